--- a/mothstall/commands/command_line.py
+++ b/mothstall/commands/command_line.py
@@ -34,7 +34,7 @@
     args = build_parser().parse_args(argv)
     try:
         operator = read_operator_file(args.operator)
-        operator.key()  # a key that cannot be read is reported before anything is dialled
+        operator.key()  # reports an unreadable key before any connection is opened
         result = args.handler(operator, args)
     except (OperatorError, ValueError) as error:
         return _fail(ExitCode.BAD_INPUT, str(error))
--- a/mothstall/commands/connection.py
+++ b/mothstall/commands/connection.py
@@ -1,6 +1,6 @@
 """Blocking calls of a command to keepers and to a proxy's agent.
 
-Each call opens its own connection, waits for the answer and closes the connection.
+Each call opens its own connection, waits for the response and closes the connection.
 """
 
 from __future__ import annotations
@@ -59,13 +59,13 @@
 def send_local_drain(
     operator: OperatorConfig, address: str, change: PutDrain | RemoveDrain, timeout_s: float
 ) -> str:
-    """Apply a drain or its end at one proxy, and return that proxy's description of the outcome.
+    """Add or remove a drain at one proxy, and return the proxy's description of the outcome.
 
     Args:
         operator: The operator file, for the cluster's name and key.
         address: `host:port` of the proxy's agent.
-        change: The drain, or its end.
-        timeout_s: For how long to wait for the answer.
+        change: The drain to add or to remove.
+        timeout_s: Seconds to wait for the response.
 
     Raises:
         CommandRejectedError: The proxy rejected the change.
@@ -84,7 +84,7 @@
     """Send one admin command to every keeper of the operator file at the same time.
 
     Returns:
-        By keeper its response, or why there is none, in the order of the operator file.
+        By keeper, its response or the error, in the order of the operator file.
     """
     return asyncio.run(_command_every_keeper(operator, verb, name, timeout_s))
 
--- a/mothstall/commands/drains.py
+++ b/mothstall/commands/drains.py
@@ -12,11 +12,11 @@
 from mothstall.store.state.changes import PutDrain, RemoveDrain
 from mothstall.store.state.rows import Drain, DrainKind
 
-# The kind of a drain by the word on the command line. `box` is the former word for a backend, which
-# commands still accept.
+# Kinds of drains by their word on the command line. `box`, the former word for a backend, is still
+# accepted.
 KINDS = {"backend": DrainKind.BACKEND, "zone": DrainKind.ZONE, "box": DrainKind.BACKEND}
 
-# The word that is printed as text, by the stored kind; JSON output carries the stored kind.
+# Words of text output, by the stored kind; JSON output has the stored kind.
 DISPLAYED_KINDS = {DrainKind.BACKEND.value: "backend", DrainKind.ZONE.value: "zone"}
 
 
@@ -40,7 +40,7 @@
     undrain = add_command(subparsers, "undrain", "end a drain", remove_drain)
     _add_target_arguments(undrain)
     add_reason_options(undrain, is_reason_required=False)
-    add_command(subparsers, "drains", "what is drained, by whom, since when and why", list_drains)
+    add_command(subparsers, "drains", "list drains: target, operator, time and reason", list_drains)
 
 
 def _add_target_arguments(parser: argparse.ArgumentParser) -> None:
@@ -49,7 +49,7 @@
     parser.add_argument(
         "--at",
         metavar="HOST:PORT",
-        help="tell one proxy's agent, which applies it at once and stores it when keepers answer",
+        help="send it to a proxy, whose agent applies it at once, and stores it when keepers answer",
     )
 
 
--- a/mothstall/commands/keeper_files.py
+++ b/mothstall/commands/keeper_files.py
@@ -18,7 +18,7 @@
 from mothstall.store.raft.ready import Ready
 from mothstall.store.state.machine import StateMachine
 
-_FIRST_TERM = 1  # a restored replica begins a new log, so its terms begin anew
+_FIRST_TERM = 1  # a restored replica starts a new log, so its terms start again
 
 
 def add_parsers(verbs: SubParsers) -> None:
@@ -26,7 +26,7 @@
     restore = add_command(
         verbs,
         "restore",
-        "write a new keeper's file from a backup, for each keeper, all of them stopped",
+        "write one keeper's file from a backup; required for each keeper, with all stopped",
         restore_backup,
     )
     restore.add_argument("file")
@@ -42,19 +42,19 @@
 
     Raises:
         OperatorError: The keeper has no data folder, or the file is not a backup.
-        CommandRejectedError: The keeper has a file already.
+        CommandRejectedError: The keeper already has a file.
     """
     keeper = operator.keeper(args.name)
     if keeper.data_folder is None:
         raise OperatorError(f"operator file: keeper {args.name} has no data folder")
     path = Path(keeper.data_folder) / f"{args.name}.db"
     if path.exists():
-        raise CommandRejectedError(f"{path} is there already")
+        raise CommandRejectedError(f"{path} already exists")
     try:
         image = zlib.decompress(Path(args.file).read_bytes())
         state = StateMachine.from_snapshot(image)
     except (zlib.error, ValueError, msgspec.DecodeError) as error:
-        raise OperatorError(f"{args.file} is no backup: {error}") from error
+        raise OperatorError(f"{args.file} is not a backup: {error}") from error
     _write_keeper_file(operator, args.name, path, image, applied_index=state.applied_index)
     counts = (
         f"{len(state.leases)} leases",
--- a/mothstall/commands/keepers.py
+++ b/mothstall/commands/keepers.py
@@ -14,12 +14,12 @@
 from mothstall.store.protocol.keeper_messages import AdminVerb
 
 KeeperStatus: TypeAlias = dict[str, Any]
-"""What a keeper reports of itself (`Keeper.status`), or `name` and `role` without a reply."""
+"""Status that a keeper reports (`Keeper.status`), or `name` and `role` without a reply."""
 
 NOT_REACHED = "not reached"
 
-# How a keeper words its rejection of a command that only the leader can carry out. These texts are
-# compared across processes, so they stay the same from version to version.
+# Parts of the texts by which a keeper rejects a command that only the leader can carry out. The
+# texts are compared across processes, so they stay the same from version to version.
 _OTHER_LEADER_SUFFIX = " leads"
 _NO_QUORUM_PREFIX = "no quorum"
 
@@ -44,7 +44,7 @@
 
 def add_parsers(verbs: SubParsers) -> None:
     """Add the verbs of this module to the group `keepers`."""
-    add_command(verbs, "status", "each keeper by its own account", show_status)
+    add_command(verbs, "status", "status of each keeper, as it reports it", show_status)
     add = add_command(
         verbs, "add", "add a learner, which becomes a voter once it has caught up", command_leader
     )
@@ -58,7 +58,7 @@
 
 
 def show_status(operator: OperatorConfig, args: argparse.Namespace) -> list[KeeperStatus]:
-    """Return the status of every keeper, those that did not answer last.
+    """Return the status of every keeper; those that did not answer come last.
 
     Raises:
         KeeperUnavailableError: No keeper answered.
@@ -73,12 +73,12 @@
         status = json.loads(reply.body)
         answered.append(status if args.json else {key: status[key] for key in _TEXT_COLUMNS})
     if not answered:
-        raise KeeperUnavailableError(f"none of {', '.join(replies)} reached")
+        raise KeeperUnavailableError(f"none of {', '.join(replies)} answered")
     return answered + missing
 
 
 def command_leader(operator: OperatorConfig, args: argparse.Namespace) -> str:
-    """Send `args.verb` to every keeper, of which the leader alone carries it out.
+    """Send `args.verb` to every keeper; only the leader carries it out.
 
     Raises:
         CommandRejectedError: The leader rejected the command.
@@ -97,14 +97,14 @@
 
 
 def _rejection(reply: KeeperReply) -> str:
-    """Return why a keeper did not carry out a command; empty: it did."""
+    """Return why a keeper did not carry out a command; empty if it did."""
     if isinstance(reply, KeeperUnavailableError):
         return NOT_REACHED
     return reply.rejected_reason
 
 
 def _is_leaders_rejection(reason: str) -> bool:
-    """Tell a rejection on the command's merits from that of a keeper which does not lead."""
+    """Whether the leader rejected a command, rather than a keeper that does not lead."""
     if reason == NOT_REACHED or reason.startswith(_NO_QUORUM_PREFIX):
         return False
     return _OTHER_LEADER_SUFFIX not in reason
--- a/mothstall/commands/leases.py
+++ b/mothstall/commands/leases.py
@@ -81,6 +81,6 @@
 
 
 def revoke_lease(operator: OperatorConfig, args: argparse.Namespace) -> str:
-    """Take a lease away from its holder, whose token is rejected from then on."""
+    """Revoke a lease; its holder's token is rejected from then on."""
     propose_change(operator, RevokeLease(args.name, args.who, args.why), args.wait)
     return f"{args.name} revoked"
--- a/mothstall/commands/members.py
+++ b/mothstall/commands/members.py
@@ -1,4 +1,4 @@
-"""`mothstall members`: the proxies that are alive, by their leases or by their observers' rows."""
+"""`mothstall members`: live proxies, by their own leases or as members of an observer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     name: str
     owner: str
     zone: str
-    by: str  # the observer that vouches for it; empty: its own lease
+    by: str  # the observer that it is attached to; empty if it holds a member lease of its own
     token: int
     probes: int  # how many backends it probes
 
--- a/mothstall/commands/observers.py
+++ b/mothstall/commands/observers.py
@@ -1,4 +1,4 @@
-"""`mothstall observers`: the status of each observer, by its own account."""
+"""`mothstall observers`: the status of each observer, as it reports it."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from mothstall.store.protocol.keeper_messages import AdminVerb
 
 ObserverStatus: TypeAlias = dict[str, Any]
-"""What an observer reports of itself (`Observer.status`), with `lag` added; or `name`, `zone`,
-`region`, `keeper` and `why` of one without a reply."""
+"""Status that an observer reports (`Observer.status`), with `lag` added; or `name`, `zone`,
+`region`, `keeper` and `why` of an observer without a reply."""
 
 _TEXT_COLUMNS = (
     "name",
@@ -35,7 +35,7 @@
 
 def add_parsers(subparsers: SubParsers) -> None:
     """Add the command of this module."""
-    summary = "each observer by its own account: attached proxies, lag, age, what it rejected"
+    summary = "status of each observer, as it reports it: attached proxies, lag, age, rejections"
     add_command(subparsers, "observers", summary, list_observers)
 
 
@@ -47,7 +47,7 @@
         KeeperUnavailableError: No observer answered.
     """
     if not operator.observers:
-        raise OperatorError("operator file: $.observers: there are none")
+        raise OperatorError("operator file: $.observers: none is configured")
     rows = asyncio.run(_query_all(operator, min(args.wait, ADMIN_TIMEOUT_S)))
     _add_lag(rows)
     if args.json:
--- a/mothstall/commands/output.py
+++ b/mothstall/commands/output.py
@@ -1,4 +1,4 @@
-"""Printing of what a command returns: aligned text by default, JSON for scripts."""
+"""Formats of a command's output: aligned text by default, JSON for scripts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, TypeAlias
 
 CommandOutput: TypeAlias = str | Mapping[str, Any] | Sequence[Mapping[str, Any]]
-"""What a command returns for printing: one line, an object with its fields, or rows of a table."""
+"""Result of a command for printing: one line, an object with its fields, or rows of a table."""
 
 
 def format_json(output: CommandOutput) -> str:
@@ -16,7 +16,7 @@
 
 
 def format_text(output: CommandOutput) -> str:
-    """Return the output for reading: rows as a table, an object as one line a field."""
+    """Return the output as text: rows as a table, an object as one line for each field."""
     if isinstance(output, str):
         return output
     if isinstance(output, Mapping):
@@ -25,7 +25,7 @@
 
 
 def _format_fields(fields: Mapping[str, Any]) -> str:
-    """Return one line a field, and the fields that hold rows as tables below them."""
+    """Return one line for each field, and the fields that hold rows as tables below."""
     tables = {name: value for name, value in fields.items() if _is_table(value)}
     lines = [
         f"{name}: {_format_cell(value)}" for name, value in fields.items() if name not in tables
--- a/mothstall/commands/parsing.py
+++ b/mothstall/commands/parsing.py
@@ -1,4 +1,4 @@
-"""Building blocks of the argument parsers: options and texts that all commands share."""
+"""Helpers to build argument parsers: options and texts that all commands share."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     """Exit codes of every command; scripts depend on them."""
 
     DONE = 0
-    UNAVAILABLE = 1  # nobody answered, or the keepers have no quorum
+    UNAVAILABLE = 1  # no process answered, or the keepers have no quorum
     BAD_INPUT = 2  # argparse exits with the same code
     REJECTED = 3
 
 
 EXIT_CODES_TEXT = (
-    "exit codes: 0 done, 1 nobody answered or no quorum, 2 bad input, 3 rejected with a reason"
+    "exit codes: 0 done, 1 no answer or no quorum, 2 bad input, 3 rejected with a reason"
 )
 DEFAULT_TIMEOUT_S = 5.0  # covers an election of the keepers, which takes up to about 1 s
 
 CommandHandler: TypeAlias = Callable[[OperatorConfig, argparse.Namespace], CommandOutput | None]
-"""Runs one command and returns what to print; None: nothing."""
+"""Runs one command and returns its output; None if it prints nothing."""
 
 SubParsers: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
@@ -40,7 +40,7 @@
     Args:
         subparsers: Where the command is added.
         name: The command's name, or its verb within a group.
-        summary: The line that `--help` of the level above shows.
+        summary: One line, shown by `--help` of the level above.
         handler: Runs the command; stored as `handler` in the parsed arguments.
 
     Returns:
@@ -64,7 +64,9 @@
     parser.add_argument(
         "--why", required=is_reason_required, default="", help="the reason, for other operators"
     )
-    parser.add_argument("--who", default=getpass.getuser(), help="default: the user")
+    parser.add_argument(
+        "--who", default=getpass.getuser(), help="name of the operator; default: the current user"
+    )
 
 
 def _common_options() -> argparse.ArgumentParser:
@@ -76,6 +78,6 @@
         type=float,
         default=DEFAULT_TIMEOUT_S,
         metavar="S",
-        help="for how many seconds to wait for an answer; default: 5",
+        help="seconds to wait for an answer; default: 5",
     )
     return options
--- a/mothstall/commands/processes.py
+++ b/mothstall/commands/processes.py
@@ -23,7 +23,7 @@
     keeper.add_argument(
         "--disk-switch",
         metavar="FILE",
-        help="for the lab: `stall`, `slow` or `full` in this file disturbs commits",
+        help="for the lab: the word `stall`, `slow` or `full` in this file injects disk faults",
     )
     observer = add_command(
         subparsers, "observer", "run one observer in the foreground", run_observer
@@ -51,7 +51,7 @@
 
     Raises:
         OperatorError: The operator file does not name this observer.
-        OSError: The observer cannot listen, or ended by a fault of its own.
+        OSError: The observer cannot listen, or stopped on an internal fault.
     """
     from mothstall.net import logs
     from mothstall.observer.run import run
--- a/mothstall/commands/zones.py
+++ b/mothstall/commands/zones.py
@@ -17,7 +17,7 @@
     parser = add_command(
         subparsers,
         "zones",
-        "where traffic may go between zones, why, and operators' overrides",
+        "show the failover plan and its reasons, or override it",
         run_zone_command,
     )
     parser.add_argument(
@@ -28,12 +28,20 @@
         help="show (default); shift a share of a zone's traffic away; evacuate a zone; hold the "
         "plan as it is; resume: end a hold, or the override of a zone",
     )
-    parser.add_argument("zone", nargs="?", default="", help="to evacuate, or to resume")
+    parser.add_argument("zone", nargs="?", default="", help="the zone to evacuate or to resume")
     parser.add_argument(
-        "--from", dest="source_zone", default="", metavar="ZONE", help="to shift from"
+        "--from",
+        dest="source_zone",
+        default="",
+        metavar="ZONE",
+        help="the zone to shift traffic from",
     )
     parser.add_argument(
-        "--part", dest="share", default="", metavar="N%", help="share to shift, 0%% to 100%%"
+        "--part",
+        dest="share",
+        default="",
+        metavar="N%",
+        help="share of its traffic to shift, 0%% to 100%%",
     )
     parser.add_argument(
         "--for",
--- a/mothstall/fleet/drains.py
+++ b/mothstall/fleet/drains.py
@@ -23,8 +23,7 @@
     def effective_health(self, backend: str, zone: str, listed: Health) -> Health:
         """Return the health that counts for a backend.
 
-        A drain applies by the backend's name, whenever the backend started, so that it outlives a
-        restart.
+        A drain applies to a backend's name, so that it stays in force when the backend restarts.
         """
         if listed != Health.READY:
             return listed
--- a/mothstall/fleet/failover/assessment.py
+++ b/mothstall/fleet/failover/assessment.py
@@ -1,7 +1,8 @@
 """Assessment of zones from the reports of all proxies. Pure.
 
-A zone is compared with the best one: what all zones show alike is no zone's fault. Each proxy is
-capped at a multiple of the median one, so that no single report decides.
+Each zone is compared with the one that has the lowest fraction of bad attempts, so that a fault
+common to all zones counts against none. The weight of each proxy is capped at a multiple of the
+median proxy's, so that no single report decides an assessment.
 """
 
 from __future__ import annotations
@@ -23,23 +24,23 @@
 )
 from mothstall.fleet.failover.zone_evidence import MIN_ATTEMPTS, ZoneAssessment, ZoneEvidence
 
-# Good attempts that every proxy is taken to have seen besides: one loss of three decides nothing.
+# Good attempts that are added to each proxy's count; limits the effect of one failure in three.
 PRIOR_GOOD_ATTEMPTS = 4.0
-# Fraction of bad attempts above the best zone's that is tolerated: nothing is moved up to it.
+# Excess over the best zone's fraction of bad attempts up to which no traffic is moved.
 TOLERATED_EXCESS_FRACTION = 0.05
-# Fraction of bad attempts above the best zone's from which a proxy finds the zone unhealthy in
-# full.
+# Excess over the best zone's fraction of bad attempts from which a proxy counts the zone as
+# completely unhealthy.
 UNHEALTHY_EXCESS_FRACTION = 0.35
-# A zone that finds all others this unhealthy is isolated itself.
+# Unhealthy fraction from which a zone counts as unhealthy in the search for isolated zones.
 ISOLATED_UNHEALTHY_FRACTION = 0.5
 # Standard deviations by which a zone's fraction of bad attempts has to exceed the best one's.
-# Guards against zones that differ by chance alone, as all do while all are slow for a part of the
-# answers.
+# Guards against differences by chance, which arise between all zones while each of them is slow for
+# a part of the responses.
 SIGNIFICANT_DEVIATIONS = 4.0
 
 
 class _WeightedSample(NamedTuple):
-    """Attempts of proxies to a zone, and the weight of these proxies among those of their zone."""
+    """Attempts of proxies to a zone; `weight` is the attempts, capped for each proxy."""
 
     weight: float
     attempts: float
@@ -48,7 +49,7 @@
 
 
 class _BadFraction(NamedTuple):
-    """A fraction of bad attempts, and the variance of it by chance."""
+    """A fraction of bad attempts, and its sampling variance."""
 
     fraction: float
     variance: float
@@ -60,12 +61,12 @@
 def assess_reports(
     reports: Iterable[TrafficReport], plan_number: int, is_capped: bool = True
 ) -> ZoneEvidence:
-    """Weigh all current reports against each other.
+    """Assess all zones by the current reports.
 
     Args:
         reports: The current reports of all proxies.
         plan_number: The plan that is in force.
-        is_capped: False takes the cap of each proxy out, for tests that show what it is for.
+        is_capped: False disables the cap on the weight of each proxy, for tests of the cap.
     """
     current = list(reports)
     merged = merge_by_proxy(current)
@@ -95,7 +96,7 @@
     plan_number: int,
     is_capped: bool,
 ) -> None:
-    """Add the rates of one zone's proxies, and how many of them follow the plan."""
+    """Add one zone's rates, its proxy count, and the fraction of proxies that follow the plan."""
     proxy_count = sum(one.proxy_count for one in group)
     on_plan = sum(one.proxies_on_plan for one in group if one.plan_number == plan_number)
     evidence.proxy_counts[origin] = round(proxy_count)
@@ -117,7 +118,7 @@
 
 
 def _medians(rows: Sequence[tuple[float, Mapping[str, float]]]) -> dict[str, float]:
-    """Return the median over proxies of what they report of each zone."""
+    """Return, for each zone, the median over proxies of the values that they report for it."""
     zones = sorted({zone for _, levels in rows for zone in levels})
     return {
         zone: weighted_median([(count, levels[zone]) for count, levels in rows if zone in levels])
@@ -128,10 +129,10 @@
 def _raise_to_newest(
     evidence: ZoneEvidence, reports: Iterable[TrafficReport], is_capped: bool
 ) -> None:
-    """Raise each unhealthy fraction to what the newest reports alone show.
+    """Raise each unhealthy fraction to the one that the newest reports alone give.
 
-    Guards against good attempts of before that outweigh a zone's loss, as proxies send there no
-    more.
+    Guards against a lost zone that still looks healthy: proxies stop sending to it, so that the
+    good attempts of earlier reports outweigh its failures.
     """
     newest = merge_by_proxy(list(newest_by_proxy(reports).values()))
     for origin, targets in _assess_zones(_group_by_origin(newest), is_capped).items():
@@ -152,7 +153,7 @@
 def _weigh_samples(
     group: Iterable[MergedReports], zone: str, is_capped: bool
 ) -> list[_WeightedSample]:
-    """Return the samples of all proxies that sent to the zone, each proxy's weight capped."""
+    """Return the samples of all proxies that sent to the zone, with each proxy's weight capped."""
     samples = [sample for one in group for sample in one.samples.get(zone, ()) if sample.attempts]
     cap = cap_per_proxy([(sample.proxy_count, sample.attempts) for sample in samples], is_capped)
     return [
@@ -166,7 +167,7 @@
 
 
 def _best_zone(by_origin: _ByOrigin, is_capped: bool) -> _BadFraction:
-    """Return the lowest fraction of bad attempts of all zones."""
+    """Return the lowest fraction of bad attempts among all zones with enough attempts."""
     zones = {zone for group in by_origin.values() for zone in _target_zones(group)}
     fractions = []
     for zone in zones:
@@ -187,7 +188,7 @@
 def _assess_zone(
     group: Sequence[MergedReports], zone: str, best: _BadFraction, is_capped: bool
 ) -> ZoneAssessment:
-    """Assess one zone by the proxies of one zone."""
+    """Assess a zone by the attempts of one origin zone's proxies."""
     samples = _weigh_samples(group, zone, is_capped)
     total = sum(row.weight for row in samples)
     bad_attempts = _weighted_bad_attempts(samples)
@@ -212,7 +213,7 @@
 
 
 def _find_isolated_zones(evidence: ZoneEvidence) -> set[str]:
-    """Return the zones that find all others unhealthy, of which another finds one healthy."""
+    """Return the zones that find all others unhealthy, while another zone finds one healthy."""
     return {origin for origin in evidence.assessments if _is_isolated(origin, evidence)}
 
 
@@ -222,7 +223,7 @@
         for zone, assessment in evidence.assessments[origin].items()
         if zone != origin and assessment.attempts >= MIN_ATTEMPTS
     }
-    # Most others, at least: one faulty path of many does not isolate a zone.
+    # Requires attempts to more than half of the others: one faulty path does not isolate a zone.
     if 2 * len(others) <= len(set(evidence.zones) - {origin}):
         return False
     if any(_is_healthy(evidence.assessments[origin][zone]) for zone in others):
--- a/mothstall/fleet/failover/baseline.py
+++ b/mothstall/fleet/failover/baseline.py
@@ -1,4 +1,4 @@
-"""Where each zone's traffic goes on an ordinary day. Pure."""
+"""Baseline weights: where each zone's traffic goes in normal operation. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from mothstall.fleet.failover.recovery import UNHEALTHY_FRACTION_THRESHOLD
 from mothstall.fleet.failover.zone_evidence import ZoneEvidence
 
-# Weight of one tick in the baseline: some ten ticks of ordinary traffic change it.
+# Weight of one tick in the baseline, which follows a change of traffic in about ten ticks.
 BASELINE_SMOOTHING_GAIN = 0.1
 # A smaller weight is dropped from the baseline.
 MIN_BASELINE_WEIGHT = 0.002
@@ -17,9 +17,9 @@
 def next_baseline_weights(
     evidence: ZoneEvidence, last: FailoverPlan, zones: Sequence[str]
 ) -> dict[str, dict[str, float]]:
-    """Return the last baseline, moved towards what is sent now where nothing is unhealthy.
+    """Return the last baseline, moved towards the current rates of zones in normal operation.
 
-    Before anything was seen, all traffic of a zone is taken to stay in it.
+    Until a zone's traffic was observed, all of it is assumed to stay in the zone.
     """
     baseline = {origin: dict(row) for origin, row in last.baseline_weights.items()}
     for origin in evidence.request_rates:
@@ -36,7 +36,7 @@
 
 
 def _is_ordinary(origin: str, evidence: ZoneEvidence, last: FailoverPlan) -> bool:
-    """Whether no plan is in force, and no zone that this one sends to is unhealthy."""
+    """Whether the last plan has no weights, and `origin` sends to no unhealthy zone."""
     return not last.weights and not any(
         evidence.unhealthy_fraction(origin, zone) > UNHEALTHY_FRACTION_THRESHOLD
         for zone in evidence.attempt_rates.get(origin, {})
--- a/mothstall/fleet/failover/capacity.py
+++ b/mothstall/fleet/failover/capacity.py
@@ -9,15 +9,15 @@
 from mothstall.fleet.failover.policy import FailoverPolicy
 from mothstall.fleet.failover.zone_evidence import ZoneEvidence
 
-# A zone whose capacity is not known is taken to serve this many times what it was seen to serve.
+# Without reported utilization, a zone's capacity is this multiple of its highest served rate.
 CAPACITY_GROWTH_FACTOR = 1.25
-# Backends that are utilized less than this say nothing of what their zone can serve.
+# Lower utilization is not used to estimate a zone's capacity.
 MIN_UTILIZATION = 0.2
-# Weight of one tick in the capacity that utilization gives; smooths its noise over some ticks.
+# Weight of one tick in the capacity estimated from utilization; averages noise over some ticks.
 CAPACITY_SMOOTHING_GAIN = 0.2
-# Fraction of the highest rate seen that is forgotten in a second: half of it in 23 minutes.
+# Fraction by which the highest served rate decays in a second: by half in 23 minutes.
 CAPACITY_DECAY_PER_S = 0.0005
-# Fraction of attempts that is good, from which a rate counts as served.
+# Fraction of good attempts from which a rate counts as served.
 MIN_SUCCESS_FRACTION = 0.9
 # Decimals of a stored capacity per weight.
 CAPACITY_DECIMALS = 4
@@ -29,8 +29,8 @@
     """Return the requests a second that each zone serves for one unit of warm backend weight.
 
     Args:
-        evidence: What reports say.
-        last: The last plan, whose measurements are carried on.
+        evidence: The assessment of the current reports.
+        last: The last plan, whose measured capacities are updated.
         elapsed_ms: Milliseconds since the last tick.
     """
     measured = dict(last.capacity_per_weight)
@@ -72,7 +72,7 @@
 
 
 def _serves_well(zone: str, evidence: ZoneEvidence) -> bool:
-    """Whether nearly all attempts to a zone are good."""
+    """Whether enough attempts to a zone are good for its rate to count as served."""
     assessments = [targets[zone] for targets in evidence.assessments.values() if zone in targets]
     attempts = sum(assessment.attempts for assessment in assessments)
     if not attempts:
--- a/mothstall/fleet/failover/controller.py
+++ b/mothstall/fleet/failover/controller.py
@@ -1,7 +1,7 @@
-"""A proxy's part in failover: it reports, follows the plan, and makes it while it holds the lease.
+"""Failover in one proxy: sends reports, follows the plan, and makes it while it holds the lease.
 
-Composes the report sender, the feed of routing weights and the plan's maker; the agent carries
-their messages. The request path waits for none of it.
+Composes the report sender, the feed of routing weights and the plan maker; the agent sends and
+receives their messages. The request path never waits for any of them.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 
 
 class ProxyTraffic(Protocol):
-    """What the failover controller needs of its proxy."""
+    """The proxy, as the failover controller uses it."""
 
     def warm_weights(self) -> Mapping[str, float]:
-        """By zone, the weight of the usable backends; one that warms up counts in part."""
+        """By zone, the weight of the usable backends; a backend in warm-up counts in part."""
 
     def request_totals(self) -> tuple[int, int]:
-        """Requests of clients received, and rejected, since the start."""
+        """Client requests received, and client requests rejected, since the start."""
 
     def apply_weights(self, weights: RoutingWeights, lifetime_ms: int) -> None:
-        """Route by these weights for so many milliseconds."""
+        """Route by these weights for `lifetime_ms` milliseconds."""
 
 
 class FailoverController:
-    """One proxy's part in failover. Times are milliseconds of its monotonic clock.
+    """Failover in one proxy. Times are milliseconds of its monotonic clock.
 
     Attributes:
-        plan: The newest plan of the store.
+        plan: The newest plan read from the store.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
             operator: The operator file.
             name: Name of the proxy.
             classes: Names of the classes of requests.
-            latency_objectives_ns: Nanoseconds within which an answer is good, for each class.
+            latency_objectives_ns: For each class, nanoseconds within which a response is good.
             traffic: The proxy.
         """
         config = operator.failover
@@ -83,12 +83,12 @@
         window = ReportWindow(config.report_max_age_ns // NS_PER_MS)
         self._maker = PlanMaker(policy_from_config(config), window, interval_ms)
         self._unreadable_reports = 0
-        # The plan's bytes when they were last decoded.
+        # The encoded plan that was decoded last.
         self._plan_data = b""
 
     @property
     def evidence(self) -> ZoneEvidence:
-        """What all reports said when this proxy last made a plan."""
+        """The assessment of all reports when this proxy last made a plan."""
         return self._maker.evidence
 
     @property
@@ -97,7 +97,7 @@
         return self._maker.report_window
 
     def status_counters(self) -> dict[str, int]:
-        """Return what `/counters` shows; `zone_plan_percent` is how far the plan holds here."""
+        """Return the counters for `/counters`; `zone_plan_percent` is the weights' strength."""
         applied = self._feed.applied
         return {
             "zone_plan": self.plan.number,
@@ -121,7 +121,7 @@
         self._reports.counters.record_attempt(zone, class_index, result, latency_ns, utilization)
 
     def receive_reports(self, rows: Sequence[bytes], now_ms: int) -> None:
-        """Take reports of proxies and observers, which come while this proxy holds the lease."""
+        """Add reports of proxies and observers, which arrive while this proxy holds the lease."""
         for data in rows:
             report = decode_report(data)
             if report is None or not is_from_known_observer(report, self._observers):
@@ -130,10 +130,10 @@
                 self._maker.report_window.add(report, now_ms)
 
     def apply_snapshot(self, snapshot: ClusterSnapshot, now_ms: int) -> None:
-        """Adopt the plan of a new snapshot of the state, if it has a newer one."""
+        """Adopt the plan in a new snapshot of the state, unless it is older than the last one."""
         row = snapshot.values.get(PLAN_VALUE_NAME)
         if row is None or row.value == self._plan_data:
-            return  # most snapshots change something else
+            return  # unchanged, as in most snapshots
         self._plan_data = row.value
         plan = decode_plan(row.value)
         if plan is not None and plan.number >= self.plan.number:
@@ -154,12 +154,12 @@
         )
 
     def apply_due_weights(self, now_ms: int, silent_ms: int) -> None:
-        """Apply the routing weights as they change, and again before the proxy forgets them.
+        """Apply the routing weights when they change, and again before their lifetime ends.
 
         Args:
             now_ms: The time.
-            silent_ms: Milliseconds since the last contact with a keeper that knows a leader; below
-                0: there was none yet.
+            silent_ms: Milliseconds since the last contact with a keeper that has a leader; negative
+                before the first contact.
         """
         weights = self._feed.current(now_ms, silent_ms)
         if weights is None:
@@ -176,9 +176,9 @@
         now_ms: int,
         on_rejected: Callable[[str], None],
     ) -> PutValue | None:
-        """Return the plan that the lease holder has to write now; see `PlanMaker.next_write`."""
+        """Return the write of the plan that is due now, if any; see `PlanMaker.next_write`."""
         return self._maker.next_write(token, self.plan, snapshot.values, now_ms, on_rejected)
 
     def mark_written(self) -> None:
-        """Note that the store has the plan; else it is written again at the next tick."""
+        """Record that the store has the plan; otherwise it is written again at the next tick."""
         self._maker.mark_written()
--- a/mothstall/fleet/failover/merged_reports.py
+++ b/mothstall/fleet/failover/merged_reports.py
@@ -13,10 +13,10 @@
     """Attempts of one or several proxies to one zone.
 
     Attributes:
-        proxy_count: How many proxies; a part of one where several reports of an observer are
+        proxy_count: Number of proxies; fractional where several aggregates of one observer are
             merged.
-        attempts: Their attempts, together.
-        bad_attempts: Those of the attempts that are not good.
+        attempts: Total attempts of these proxies.
+        bad_attempts: Attempts among them that were not good.
     """
 
     proxy_count: float
@@ -29,13 +29,13 @@
     """The current reports of one proxy, or the current aggregates of one observer and zone.
 
     Attributes:
-        zone: The zone that the proxies stand in.
+        zone: The zone that the proxies run in.
         interval_s: Seconds that the reports cover.
-        request_rate: Requests of clients a second.
-        plan_number: The plan that the newest report was counted under.
-        proxies_on_plan: How many proxies followed that plan.
-        proxy_count: How many proxies the record stands for.
-        samples: Attempts by the zone that was sent to.
+        request_rate: Client requests a second.
+        plan_number: The plan that was followed during the newest report.
+        proxies_on_plan: Number of proxies that followed that plan.
+        proxy_count: Number of proxies that the record covers.
+        samples: Attempts by target zone.
         warm_weights: As in the newest report.
         utilization: As in the newest report.
     """
@@ -62,7 +62,7 @@
 
 
 def merge_by_proxy(reports: Sequence[TrafficReport]) -> list[MergedReports]:
-    """Merge the reports of each proxy; one that moved to another zone counts where it is now."""
+    """Merge the reports of each proxy; those from a zone that it has left since are ignored."""
     by_proxy: dict[str, list[TrafficReport]] = {}
     for report in reports:
         by_proxy.setdefault(report.proxy, []).append(report)
@@ -96,7 +96,7 @@
 
 
 def _histogram_samples(aggregates: Sequence[TrafficReport]) -> dict[str, list[AttemptSample]]:
-    """Return all buckets by zone; each aggregate stands for its part of the proxies."""
+    """Return all buckets by zone, each proxy count divided by the number of aggregates."""
     samples: dict[str, list[AttemptSample]] = {}
     for report in aggregates:
         for zone, histogram in report.histograms.items():
@@ -110,7 +110,7 @@
 
 
 def _sum_outcomes(reports: Iterable[TrafficReport]) -> dict[str, AttemptSample]:
-    """Add one proxy's attempts up by the zone that was sent to."""
+    """Add up one proxy's attempts by target zone."""
     attempts: dict[str, float] = {}
     bad_attempts: dict[str, float] = {}
     for report in reports:
--- a/mothstall/fleet/failover/placement.py
+++ b/mothstall/fleet/failover/placement.py
@@ -1,7 +1,7 @@
 """Placement of the traffic that has to move onto zones with free capacity. Pure.
 
-Capacity comes before the move: nothing is put onto a zone beyond what it can serve less a reserve,
-near zones first. What fits nowhere stays on a zone that still serves most of it, else it overflows.
+Traffic moves only into free capacity, less a reserve, and to near zones first. Traffic that no zone
+has capacity for stays on a zone that still serves most of it; otherwise it overflows.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from mothstall.fleet.failover.policy import FailoverPolicy
 from mothstall.fleet.failover.zone_evidence import ZoneEvidence
 
-# Fraction of good attempts from which an unhealthy zone keeps what fits nowhere else.
+# Fraction of good attempts from which an unhealthy zone keeps traffic that fits nowhere else.
 MIN_OVERFLOW_SUCCESS_FRACTION = 0.5
 # Requests a second that stand for unlimited capacity, so that ratios of capacities are finite.
 UNLIMITED_CAPACITY = 1e12
@@ -31,15 +31,15 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementInput:
-    """What traffic is placed by.
+    """The inputs of a placement.
 
     Attributes:
-        evidence: What reports say.
-        baseline: Where each zone's traffic goes on an ordinary day.
-        pair_states: How much of it each pair of zones may carry, by `pair_key`.
+        evidence: The assessment of the current reports.
+        baseline: Where each zone's traffic goes in normal operation.
+        pair_states: The state of each restricted pair of zones, by `pair_key`.
         capacities: Requests a second that each zone can serve.
         policy: The operator's settings.
-        overrides: What operators ask for.
+        overrides: The operators' overrides.
         zones: All zones, sorted.
     """
 
@@ -52,7 +52,7 @@
     zones: Sequence[str]
 
     def allowed_fraction(self, origin: str, zone: str) -> float:
-        """Return the fraction of its usual traffic that one zone may send to another."""
+        """Return the fraction of its baseline traffic that one zone may send to another."""
         state = self.pair_states.get(pair_key(origin, zone))
         fraction = state.allowed_fraction if state else 1.0
         return fraction * (1.0 - self.overrides.evacuated_fractions.get(zone, 0.0))
@@ -60,12 +60,12 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Where traffic goes.
+    """The result of a placement.
 
     Attributes:
-        weights: As of `FailoverPlan`; only of zones that traffic has to move from.
-        overflow_fractions: As of `FailoverPlan`.
-        planned_load: As of `FailoverPlan`.
+        weights: See `FailoverPlan`; only for origin zones whose traffic has to move.
+        overflow_fractions: See `FailoverPlan`.
+        planned_load: See `FailoverPlan`.
     """
 
     weights: dict[str, dict[str, float]] = field(default_factory=dict)
@@ -74,12 +74,12 @@
 
 
 def place_traffic(inputs: PlacementInput) -> Placement:
-    """Keep what may stay, then fill zones with the rest, near ones first, within their capacity."""
+    """Keep the traffic that may stay, and place the rest within capacity, near zones first."""
     return _Placer(inputs).place()
 
 
 def placement_tiers(origin: str, zones: Sequence[str], policy: FailoverPolicy) -> list[list[str]]:
-    """Return all zones by nearness: itself, its region, the nearby regions in order, all others."""
+    """Return all zones in tiers: the origin, its region, nearby regions in order, all others."""
     region = next((name for name, members in policy.regions.items() if origin in members), "")
     nearby = (region, *policy.nearby_regions.get(region, ()))
     candidates = [list(policy.regions.get(name, ())) for name in nearby]
@@ -94,19 +94,19 @@
 
 
 class _Placer:
-    """One placement, while it is worked out. All amounts are requests a second."""
+    """Computes one placement. All amounts are requests a second."""
 
     def __init__(self, inputs: PlacementInput) -> None:
         self._inputs = inputs
-        # What each zone's traffic puts on each zone.
+        # Placed traffic by origin zone and target zone.
         self._placed: dict[str, dict[str, float]] = {}
-        # What is left of each zone's traffic.
+        # Traffic of each origin zone that is not placed yet.
         self._unplaced: dict[str, float] = {}
         self._load: dict[str, float] = {}
         self._free_capacity: dict[str, float] = {}
 
     def place(self) -> Placement:
-        """Work the placement out."""
+        """Compute the placement."""
         self._keep_allowed()
         self._shed_overload()
         self._select_moving()
@@ -116,7 +116,7 @@
         return self._result()
 
     def _keep_allowed(self) -> None:
-        """Keep of each zone's usual traffic what is allowed."""
+        """Place the allowed fraction of each origin's baseline traffic."""
         inputs = self._inputs
         for origin, request_rate in sorted(inputs.evidence.request_rates.items()):
             allowed = {
@@ -130,7 +130,7 @@
         }
 
     def _shed_overload(self) -> None:
-        """Take from each zone, in proportion, what it cannot serve."""
+        """Remove the load beyond each zone's capacity, from all origins in proportion."""
         for zone in self._inputs.zones:
             capacity = self._inputs.capacities[zone]
             if self._load[zone] <= capacity or not self._is_capacity_known(zone):
@@ -144,7 +144,10 @@
             self._load[zone] = capacity
 
     def _is_capacity_known(self, zone: str) -> bool:
-        """Whether a capacity limits what is there already; one that was only seen does not."""
+        """Whether a zone's capacity limits the traffic that it serves already.
+
+        A capacity that was inferred from the highest served rate alone does not.
+        """
         inputs = self._inputs
         return (
             inputs.policy.capacity_per_weight > 0.0
@@ -153,7 +156,7 @@
         )
 
     def _select_moving(self) -> None:
-        """Leave the zones alone of which next to nothing has to move."""
+        """Drop the origins of whose traffic at most `MIN_WEIGHT_CHANGE` has to move."""
         request_rates = self._inputs.evidence.request_rates
         self._unplaced = {
             origin: amount
@@ -169,7 +172,7 @@
         }
 
     def _fill_tiers(self) -> None:
-        """Place what is left, tier by tier, for all zones at once."""
+        """Place the remaining traffic tier by tier, for all origins at once."""
         inputs = self._inputs
         tiers = {
             origin: placement_tiers(origin, inputs.zones, inputs.policy)
@@ -181,7 +184,7 @@
             )
 
     def _fill_tier(self, targets: Mapping[str, Sequence[str]]) -> None:
-        """Share each zone's free capacity out by what is wanted of it."""
+        """Divide each zone's free capacity among the origins in proportion to their demand."""
         demand: dict[str, dict[str, float]] = {}
         for origin, zones in targets.items():
             if self._unplaced[origin] > 0:
@@ -193,7 +196,7 @@
                 self._move(origin, zone, amount * granted_fraction)
 
     def _split_demand(self, origin: str, zones: Sequence[str]) -> dict[str, float]:
-        """Split a zone's unplaced traffic over others in proportion to their free capacity."""
+        """Split an origin's unplaced traffic over zones in proportion to their free capacity."""
         free = {
             zone: min(self._free_capacity[zone], UNLIMITED_CAPACITY)
             for zone in zones
@@ -226,10 +229,10 @@
         return placement
 
     def _return_overflow(self) -> None:
-        """Keep what fits nowhere on the unhealthy zones that still serve most of it.
+        """Return traffic that fits nowhere to the unhealthy zones that still serve most of it.
 
-        Guards against two origins that count on the same free capacity: each zone's is shared out
-        by what is wanted of it, and what returns counts towards its load.
+        Guards against two origins that use the same free capacity: each zone's free capacity is
+        divided in proportion to the demand, and returned traffic is added to the zone's load.
         """
         for zone in self._inputs.zones:
             demand = {origin: self._returnable(origin, zone) for origin in self._unplaced}
@@ -241,7 +244,7 @@
                     self._move(origin, zone, amount * granted_fraction)
 
     def _returnable(self, origin: str, zone: str) -> float:
-        """Return how much of what was taken off a zone may return to it, as it fits nowhere."""
+        """Return how much of the unplaced traffic may return to a zone that it was moved off."""
         inputs = self._inputs
         weight = inputs.baseline[origin].get(zone, 0.0)
         taken_fraction = 1.0 - inputs.allowed_fraction(origin, zone)
--- a/mothstall/fleet/failover/plan.py
+++ b/mothstall/fleet/failover/plan.py
@@ -15,23 +15,24 @@
 PLAN_VALUE_NAME = "zones/plan"
 # Name of the store's value that holds operators' overrides.
 OVERRIDES_VALUE_NAME = "zones/orders"
-# Bytes of an encoded plan or of encoded overrides.
+# Maximum bytes of an encoded plan or of encoded overrides.
 MAX_PLAN_BYTES = 16 * 1024
-# A plan whose weights differ by less from the last one's is not published; no traffic moves for
-# less.
+# Smallest change of a weight for which traffic is moved and, small weights aside, a plan is
+# published; see `plan_checks.MIN_WEIGHT_RATIO`.
 MIN_WEIGHT_CHANGE = 0.02
-# Weights of a zone and its overflow add up to one within this.
+# Tolerance within which a zone's weights and its overflow fraction add up to one.
 MAX_SUM_ERROR = 1e-6
 
 _Stored = TypeVar("_Stored", bound=msgspec.Struct)
 
 
 class ZonePairState(msgspec.Struct, frozen=True, array_like=True):
-    """How much of its usual traffic one zone may send to another, and since when.
+    """How much of its baseline traffic one zone may send to another, and since when.
 
     Attributes:
-        allowed_fraction: 0 to 1, of what the baseline sends there.
-        failed_recoveries: Recovery ramps that failed since the pair was last forgotten.
+        allowed_fraction: Fraction of the baseline traffic that may be sent, 0 to 1.
+        failed_recoveries: Times that the pair became unhealthy, failed recovery ramps included,
+            since its state was last discarded.
         state_age_ms: Milliseconds since `allowed_fraction` last changed.
         is_recovering: Whether the pair is on its recovery ramp.
     """
@@ -43,23 +44,22 @@
 
 
 class FailoverPlan(msgspec.Struct, frozen=True, array_like=True):
-    """A complete plan: where the traffic of each zone goes, and what the next plan goes on from.
+    """A complete plan: where the traffic of each zone goes, and the state for the next plan.
 
     Attributes:
         number: Grows with each published plan.
-        weights: Locality weights, by the zone that traffic arrives in and the one that serves it. A
-            zone without a row routes freely, as on an ordinary day.
-        overflow_fractions: By the zone that traffic arrives in, the fraction for which no zone has
-            capacity.
-        pair_states: Pairs of zones that are, or were lately, restricted; by `pair_key`.
-        baseline_weights: Where each zone's traffic goes on an ordinary day.
-        capacity_per_weight: Requests a second that each zone was seen to serve, for one unit of
+        weights: Locality weights by origin zone, in which traffic arrives, and serving zone. An
+            origin without a row routes freely, as in normal operation.
+        overflow_fractions: By origin zone, the fraction of traffic for which no zone has capacity.
+        pair_states: Pairs of zones that are, or recently were, restricted; by `pair_key`.
+        baseline_weights: Where each zone's traffic goes in normal operation.
+        capacity_per_weight: By zone, the measured requests a second that it serves for one unit of
             warm backend weight.
         planned_load: Requests a second that the plan puts on each zone.
         capacities: Requests a second that each zone can serve.
         reasons: For operators: why traffic is moved.
-        hold_remaining_ms: Milliseconds for which an operator's hold still keeps the plan as it is.
-        overrides_number: The newest overrides that the plan takes into account.
+        hold_remaining_ms: Milliseconds that are left of an operator's hold on the plan.
+        overrides_number: Number of the newest overrides that the plan takes into account.
     """
 
     number: int = 0
@@ -76,14 +76,14 @@
 
 
 class OperatorOverrides(msgspec.Struct, frozen=True, array_like=True):
-    """What operators ask for.
+    """The operators' overrides of the plan.
 
     Attributes:
-        evacuated_fractions: By zone, the fraction of its traffic that it loses; 1 evacuates it.
-        hold_ms: Milliseconds for which the plan stays as it is, from when it is first read.
+        evacuated_fractions: By zone, the fraction of its traffic to move away; 1 evacuates it.
+        hold_ms: Milliseconds for which the plan is held, from when these overrides are first read.
         number: Grows with each change of the overrides.
-        operator: Who made the last change.
-        reason: Why.
+        operator: Name of the operator who made the last change.
+        reason: The operator's reason for it.
     """
 
     evacuated_fractions: dict[str, float] = {}
@@ -99,13 +99,13 @@
 
 
 def decode_plan(data: bytes) -> FailoverPlan | None:
-    """Decode a stored plan; None for bytes that are none, or for a plan with a defect."""
+    """Decode a stored plan; None if the bytes are not a plan, or the plan has a defect."""
     plan = _decode(data, FailoverPlan)
     return None if plan is None or plan_defect(plan) else plan
 
 
 def decode_overrides(data: bytes) -> OperatorOverrides | None:
-    """Decode stored overrides; None for bytes that are none, or for fractions outside 0 to 1."""
+    """Decode stored overrides; None if the bytes are not overrides, or a fraction is invalid."""
     overrides = _decode(data, OperatorOverrides)
     if overrides is None:
         return None
@@ -115,7 +115,7 @@
 
 
 def plan_defect(plan: FailoverPlan) -> str:
-    """Return why the numbers of a plan cannot be right; empty where they can."""
+    """Return why the weights of a plan are invalid; empty if they are valid."""
     if len(plan.weights) > MAX_ZONES:
         return f"more than {MAX_ZONES} zones"
     for origin, row in plan.weights.items():
--- a/mothstall/fleet/failover/plan_checks.py
+++ b/mothstall/fleet/failover/plan_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a new plan against the last one and against common sense. Pure."""
+"""Checks of a new plan: its concentration, and its difference from the last plan. Pure."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from mothstall.fleet.failover.plan import MIN_WEIGHT_CHANGE, FailoverPlan, OperatorOverrides
 from mothstall.fleet.failover.zone_evidence import ZoneEvidence
 
-# Fraction of all traffic that no plan puts onto one zone, where there are enough others.
+# Largest fraction of all traffic that a plan may put on one zone, if enough zones are usable.
 MAX_ZONE_LOAD_FRACTION = 0.9
-# A zone that has this fraction of all traffic on an ordinary day may have more.
+# A zone that has this fraction of all traffic in normal operation is exempt from that limit.
 DOMINANT_ZONE_FRACTION = 0.6
-# Zones with warm backends from which that holds.
+# Number of usable zones from which the limit applies.
 MIN_ZONES_TO_SPREAD = 3
-# A smaller weight counts as none.
+# A smaller weight counts as zero.
 MIN_WEIGHT = 0.002
-# Weights that differ by this factor differ, however small they are; recovery steps grow by more.
+# Weights also differ if their ratio is above this; the ratio of recovery steps is always above it.
 MIN_WEIGHT_RATIO = 1.9
 
 
@@ -25,9 +25,9 @@
     evidence: ZoneEvidence,
     zones: Sequence[str],
 ) -> str:
-    """Return why a plan puts too much on one zone; empty where it does not.
+    """Return why a plan puts too much traffic on one zone; empty if it does not.
 
-    Zones that operators evacuated are none to choose from.
+    Zones that operators evacuated do not count as usable.
     """
     total = sum(plan.planned_load.values())
     usable = [
@@ -65,9 +65,9 @@
 
 
 def _differ(one: float, other: float) -> bool:
-    """Whether two weights differ enough.
+    """Whether two weights differ enough for a plan to be published.
 
-    Guards against first steps of a recovery ramp that are never published.
+    Guards against first steps of a recovery ramp that are never published, as they are small.
     """
     low = min(one, other)
     high = max(one, other)
--- a/mothstall/fleet/failover/plan_maker.py
+++ b/mothstall/fleet/failover/plan_maker.py
@@ -1,4 +1,4 @@
-"""The plan's making, by the proxy that holds the failover lease. Pure."""
+"""Making of the failover plan, by the proxy that holds the failover lease. Pure."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from mothstall.store.state.changes import PutValue
 from mothstall.store.state.rows import StoredValue
 
-# Intervals after which a plan that has not changed is written all the same: what was learned on the
-# way (recovery ramps, capacities, baselines) goes to whoever holds the lease next.
+# Intervals after which an unchanged plan is written as well, so that the next holder of the lease
+# gets the state that it carries (recovery ramps, capacities, baselines).
 UNCHANGED_PLAN_INTERVALS = 5
 
 
@@ -33,9 +33,9 @@
 
     Attributes:
         report_window: The reports of all proxies.
-        evidence: What they said at the last tick.
-        plans_made: Changed plans that were handed out to be written.
-        plans_rejected: Plans that did not pass their checks.
+        evidence: The assessment of these reports at the last tick.
+        plans_made: Changed plans that were returned to be written.
+        plans_rejected: Plans that failed their checks.
     """
 
     def __init__(
@@ -54,9 +54,9 @@
         self.plans_rejected = 0
         self._policy = policy
         self._interval_ms = interval_ms
-        # The last plan of this holder, newer than what the store is known to have.
+        # The last plan that this holder made; it may be newer than the stored one.
         self._pending: FailoverPlan | None = None
-        # Milliseconds; None while the lease is not held.
+        # Time of the last tick in milliseconds; None while the lease is not held.
         self._ticked_at_ms: int | None = None
         self._written_at_ms = 0
         # Whether a plan that changed is not yet in the store.
@@ -70,16 +70,16 @@
         now_ms: int,
         on_rejected: Callable[[str], None],
     ) -> PutValue | None:
-        """Return what the lease holder has to write now, if anything.
+        """Return the write that is due now, if any.
 
-        It goes on from the plan in the store, whoever made that.
+        The next plan is based on the plan in the store, which another proxy may have made.
 
         Args:
-            token: The lease's fencing token; 0: it is not held.
+            token: The lease's fencing token; 0 while it is not held.
             stored: The plan in the store.
             values: All values in the store.
             now_ms: The time.
-            on_rejected: Called with the reason where a plan does not pass its checks.
+            on_rejected: Called with the reason if a plan fails its checks or is too large.
         """
         if not token:
             self._deactivate()
@@ -102,11 +102,11 @@
         return _plan_write(token, decision.plan, on_rejected)
 
     def mark_written(self) -> None:
-        """Note that the store has the plan; else it is written again at the next tick."""
+        """Record that the store has the plan; otherwise it is written again at the next tick."""
         self._has_unwritten_change = False
 
     def _deactivate(self) -> None:
-        """Forget what was not written: the next holder goes on from the plan in the store."""
+        """Discard the unwritten plan: the next holder continues from the plan in the store."""
         self._ticked_at_ms = None
         self._pending = None
         self._has_unwritten_change = False
@@ -118,7 +118,7 @@
         now_ms: int,
         elapsed_ms: int,
     ) -> PlanDecision | None:
-        """Make the next plan; None while there are no reports, as then nothing is known."""
+        """Make the next plan; None while there are no current reports to assess."""
         last = stored
         if self._pending and self._pending.number >= stored.number:
             last = self._pending
@@ -132,7 +132,10 @@
         return decision
 
     def _is_write_due(self, decision: PlanDecision, now_ms: int) -> bool:
-        """Whether the plan has changed, or was not written for some intervals; notes that it is."""
+        """Whether the plan has an unwritten change, or was not written for some intervals.
+
+        Records the write if it is due.
+        """
         if decision.has_changed:
             self._has_unwritten_change = True
         is_refresh_due = (
@@ -146,7 +149,7 @@
 
 
 def _stored_overrides(values: Mapping[str, StoredValue]) -> OperatorOverrides:
-    """Return the operators' overrides in the store; none where there are none that can be read."""
+    """Return the overrides in the store; empty ones if none are stored, or they are unreadable."""
     row = values.get(OVERRIDES_VALUE_NAME)
     overrides = decode_overrides(row.value) if row else None
     return overrides or OperatorOverrides()
@@ -155,9 +158,9 @@
 def _plan_write(
     token: int, plan: FailoverPlan, on_rejected: Callable[[str], None]
 ) -> PutValue | None:
-    """Return the change that writes a plan; None where it is too large."""
+    """Return the change that writes a plan; None if the plan is too large."""
     data = msgspec.msgpack.encode(plan)
     if len(data) > MAX_PLAN_BYTES:
-        on_rejected(f"a plan of {len(data)} bytes")
+        on_rejected(f"a plan of {len(data)} bytes is too large")
         return None
     return PutValue(FAILOVER_LEASE, token, PLAN_VALUE_NAME, data)
--- a/mothstall/fleet/failover/planner.py
+++ b/mothstall/fleet/failover/planner.py
@@ -1,7 +1,7 @@
 """The next failover plan, from evidence and the last plan. Pure.
 
-A plan gives locality weights for each zone that traffic arrives in; a zone without them routes
-freely, as on an ordinary day. See docs/failover.md.
+A plan gives locality weights for zones that traffic arrives in; a zone without weights routes
+freely, as in normal operation. See docs/failover.md.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 # `PlanDecision.rejected_reason` while an operator's hold keeps the last plan.
 HELD = "held"
-# Reasons that a plan names, so that it stays within its limit of bytes.
+# Maximum reasons in a plan, so that it stays within `MAX_PLAN_BYTES`.
 MAX_REASONS = 20
 # Decimals of a stored capacity, in requests a second.
 CAPACITY_DECIMALS = 1
@@ -31,13 +31,13 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanDecision:
-    """What one tick of the planner gives.
+    """The result of one tick of the planner.
 
     Attributes:
-        plan: The plan to go on from.
+        plan: The plan that the next tick starts from.
         has_changed: Whether it differs enough from the last one to be published.
-        rejected_reason: Why a new plan was not taken; then `plan` is the last one, with what was
-            learned. Empty where it was.
+        rejected_reason: Why the new plan was rejected; `plan` is then the last one, with the new
+            measurements. Empty if it was accepted.
     """
 
     plan: FailoverPlan
@@ -55,10 +55,10 @@
     """Make the next plan. The same arguments give the same plan.
 
     Args:
-        evidence: What reports say.
-        last: The last plan, whoever made it.
+        evidence: The assessment of the current reports.
+        last: The last plan, which another proxy may have made.
         policy: The operator's settings.
-        overrides: What operators ask for.
+        overrides: The operators' overrides.
         elapsed_ms: Milliseconds since the last tick.
     """
     hold_ms = _remaining_hold_ms(last, overrides, elapsed_ms)
@@ -78,7 +78,7 @@
 
 
 def _remaining_hold_ms(last: FailoverPlan, overrides: OperatorOverrides, elapsed_ms: int) -> int:
-    """Return how long an operator's hold still lasts; 0 where there is none."""
+    """Return the milliseconds that are left of an operator's hold; 0 if there is none."""
     if overrides.number > last.overrides_number:
         return overrides.hold_ms
     return max(0, last.hold_remaining_ms - elapsed_ms)
@@ -121,7 +121,7 @@
 
 
 def _other_reasons(evidence: ZoneEvidence, overrides: OperatorOverrides) -> list[str]:
-    """Name operators' overrides and isolated zones."""
+    """Return the reasons that come from overrides and from isolated zones."""
     evacuated = [
         f"{zone}: {fraction:.0%} shifted away by {overrides.operator}"
         for zone, fraction in sorted(overrides.evacuated_fractions.items())
@@ -130,7 +130,7 @@
 
 
 def _keep_last(last: FailoverPlan, rejected: FailoverPlan) -> FailoverPlan:
-    """Return the last plan with what was learned on the way to the one that was rejected."""
+    """Return the last plan with the measurements and pair states of the rejected one."""
     return msgspec.structs.replace(
         last,
         pair_states=rejected.pair_states,
--- a/mothstall/fleet/failover/policy.py
+++ b/mothstall/fleet/failover/policy.py
@@ -1,4 +1,4 @@
-"""The settings that failover plans are made by. Pure."""
+"""The settings of failover planning. Pure."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 @dataclass(slots=True, frozen=True)
 class FailoverPolicy:
-    """The settings that plans are made by.
+    """The settings of failover planning.
 
     Attributes:
         regions: Zones by their region.
         nearby_regions: By region, the others in order of preference.
         reserve_fraction: Fraction of a zone's capacity that stays free when traffic is moved there.
         capacity_per_weight: Requests a second for one unit of warm backend weight; 0: as measured.
-        recovery_step_ms: Milliseconds that each step of a recovery ramp takes at least.
-        recovery_wait_ms: Milliseconds before the first recovery ramp; doubles with each that
-            failed.
-        forget_after_ms: Milliseconds after which a healthy pair of zones is forgotten.
-        is_capacity_limited: A guard: False moves traffic beyond capacity; for tests.
-        has_recovery_backoff: A guard: False starts a recovery ramp without waiting; for tests.
+        recovery_step_ms: Minimum milliseconds of each step of a recovery ramp.
+        recovery_wait_ms: Milliseconds before the first recovery ramp; doubles with each failed
+            one.
+        forget_after_ms: Milliseconds after which the state of a healthy pair of zones is discarded.
+        is_capacity_limited: False disables the capacity limit on moved traffic, for tests.
+        has_recovery_backoff: False disables the wait before a recovery ramp, for tests.
     """
 
     regions: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
--- a/mothstall/fleet/failover/policy_config.py
+++ b/mothstall/fleet/failover/policy_config.py
@@ -1,4 +1,4 @@
-"""The failover policy that an operator file gives."""
+"""The failover policy that an operator file configures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def policy_from_config(config: FailoverConfig) -> FailoverPolicy:
-    """Return the policy that an operator file's failover section gives."""
+    """Return the policy that an operator file's failover section configures."""
     return FailoverPolicy(
         regions={region.name: region.zones for region in config.regions},
         nearby_regions={region.name: region.nearest_regions for region in config.regions},
--- a/mothstall/fleet/failover/recovery.py
+++ b/mothstall/fleet/failover/recovery.py
@@ -1,8 +1,8 @@
 """Evacuation of an unhealthy zone, and the recovery ramp back to it. Pure.
 
-Each pair of zones, the one that traffic comes from and the one that it goes to, has a state of its
-own. An unhealthy pair loses traffic at once. A healthy one gets it back by steps, each judged by
-what was served under it; a recovery ramp that fails doubles the wait before the next one.
+Each pair of an origin zone and a target zone has a state of its own. Traffic is moved off an
+unhealthy pair at once. A pair that is healthy again gets it back in steps, each judged by the
+attempts made under it; a failed recovery ramp doubles the wait before the next one.
 """
 
 from __future__ import annotations
@@ -14,27 +14,26 @@
 from mothstall.fleet.failover.policy import FailoverPolicy
 from mothstall.fleet.failover.zone_evidence import MIN_ATTEMPTS, ZoneEvidence
 
-# Unhealthy fraction from which a zone loses traffic; less is noise.
+# Unhealthy fraction above which traffic is moved off a zone; less is noise.
 UNHEALTHY_FRACTION_THRESHOLD = 0.1
-# What an unhealthy zone keeps of its traffic with each tick that it stays unhealthy.
+# Factor on the allowed fraction with each tick that a zone stays unhealthy.
 EVACUATION_FACTOR = 0.5
-# A smaller allowed fraction is zero: a trickle would only fail.
+# A smaller allowed fraction is set to zero: the few requests would only fail.
 MIN_ALLOWED_FRACTION = 0.03
-# Fractions of the usual traffic that come back, one after the other: a failing zone costs a
-# twentieth.
+# Allowed fractions of the successive recovery steps. The first is small, so that a zone that still
+# fails affects only a twentieth of its traffic.
 RECOVERY_STEPS = (0.05, 0.15, 0.4, 1.0)
-# Failed recovery ramps after which the wait doubles no further: 16 times the first one.
+# Failed recovery ramps from which the wait no longer doubles: 16 times the first wait.
 MAX_FAILED_RECOVERIES = 5
-# Overflow of a zone from which its recovery ramps are twice as fast: requests are rejected
-# meanwhile.
+# Overflow of an origin zone above which its recovery ramps are twice as fast, as requests that
+# overflow are rejected.
 FAST_RECOVERY_OVERFLOW_FRACTION = 0.05
 FAST_RECOVERY_SPEEDUP = 2
 # Fraction of proxies that have to follow the plan for a step to be judged.
 MIN_ON_PLAN_FRACTION = 0.5
-# A step that gets too few attempts to be judged takes this many times as long instead.
+# A step with too few expected attempts to be judged lasts this many times as long instead.
 UNJUDGED_STEP_FACTOR = 2
-# Attempts expected in a step, in multiples of those that an assessment rests on, below which it is
-# not judged.
+# Multiple of `MIN_ATTEMPTS` below which the attempts expected in a step are too few to judge it.
 JUDGED_ATTEMPTS_FACTOR = 2
 # Tolerance in the comparison of an allowed fraction with a step.
 STEP_TOLERANCE = 1e-9
@@ -42,15 +41,15 @@
 
 @dataclass(slots=True, frozen=True)
 class PairObservation:
-    """What is known of one pair of zones at one tick.
+    """Measurements of one pair of zones at one tick.
 
     Attributes:
         unhealthy_fraction: How unhealthy the target is for the origin, 0 to 1.
-        has_enough_attempts: Whether that rests on enough attempts.
+        has_enough_attempts: Whether `unhealthy_fraction` rests on enough attempts.
         on_plan_fraction: Fraction of the origin's proxies that follow the current plan.
         warm_weight: Weight of the target's warm backends.
-        baseline_rate: Attempts a second that the origin sends to the target on an ordinary day.
-        speedup: Divides the times of a recovery ramp.
+        baseline_rate: Attempts a second from the origin to the target in normal operation.
+        speedup: Divisor of the durations of a recovery ramp.
     """
 
     unhealthy_fraction: float
@@ -63,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PairUpdate:
-    """The states of all pairs of zones that are restricted, or were lately.
+    """The states of all pairs of zones that are, or recently were, restricted.
 
     Attributes:
         states: By `pair_key`.
@@ -85,9 +84,9 @@
     """Return the next states of all pairs of zones.
 
     Args:
-        evidence: What reports say.
+        evidence: The assessment of the current reports.
         last: The last plan.
-        baseline: Where each zone's traffic goes on an ordinary day.
+        baseline: Where each zone's traffic goes in normal operation.
         policy: The operator's settings.
         zones: All zones, sorted.
         elapsed_ms: Milliseconds since the last tick.
@@ -159,10 +158,10 @@
 
 
 def _evacuate(state: ZonePairState, unhealthy_fraction: float) -> ZonePairState:
-    """Take traffic away: what is unhealthy at once, then half of the rest with each tick.
+    """Move traffic off a pair: the unhealthy fraction at once, then half of the rest each tick.
 
-    A pair that was healthy, or on its recovery ramp, has failed once more; one that stays unhealthy
-    has not.
+    A pair that was healthy or on its recovery ramp counts one more failure; a pair that stays
+    unhealthy does not.
     """
     stays_unhealthy = state.allowed_fraction < 1.0 and not state.is_recovering
     allowed_fraction = min(state.allowed_fraction, 1.0 - unhealthy_fraction)
@@ -192,7 +191,7 @@
 def _continue_recovery(
     aged: ZonePairState, observation: PairObservation, policy: FailoverPolicy
 ) -> ZonePairState:
-    """Take the next step of a recovery ramp once the last one was judged, or can't be."""
+    """Take the next step of a recovery ramp once the last one was judged or lasted long enough."""
     step_ms = policy.recovery_step_ms // observation.speedup
     if aged.state_age_ms < step_ms or not _may_take_next_step(aged, observation, step_ms):
         return aged
@@ -203,9 +202,9 @@
 
 
 def _may_take_next_step(aged: ZonePairState, observation: PairObservation, step_ms: int) -> bool:
-    """Whether a step was judged: by proxies on the plan, with attempts that say something.
+    """Whether a step was judged by enough attempts of proxies that follow the plan.
 
-    A step that gets too few attempts for that only has to last longer.
+    A step in which too few attempts are expected only has to last longer.
     """
     is_on_plan = observation.on_plan_fraction >= MIN_ON_PLAN_FRACTION
     if observation.has_enough_attempts and is_on_plan:
--- a/mothstall/fleet/failover/report_sender.py
+++ b/mothstall/fleet/failover/report_sender.py
@@ -1,4 +1,4 @@
-"""When a proxy reports what it saw of the zones, and under which plan. Pure."""
+"""Schedule and contents of a proxy's traffic reports. Pure."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
         self.counters = counters
         self.reports_taken = 0
         self._interval_ms = interval_ms
-        # Milliseconds; 0: there was no report yet.
+        # Time of the last report in milliseconds; 0 before the first one.
         self._last_report_ms = 0
         self._requests_before = 0
         self._rejected_before = 0
-        # The plan that was followed since the last report; 0: several, or none.
+        # The plan that was followed since the last report; 0 for several plans or none.
         self._plan_number = 0
 
     def note_plan(self, plan_number: int) -> None:
-        """Note which plan is followed now: an interval with two plans is reported under none."""
+        """Record which plan is followed now; an interval with two plans is reported with plan 0."""
         if plan_number != self._plan_number:
             self._plan_number = 0
 
@@ -57,8 +57,8 @@
 
         Args:
             now_ms: The time.
-            requests: Requests of clients since the proxy's start.
-            rejected: Those of them that were rejected.
+            requests: Client requests since the proxy's start.
+            rejected: Rejected requests among them.
             warm_weights: See `TrafficReport`.
             plan_number: The plan that is followed from now on.
         """
--- a/mothstall/fleet/failover/report_window.py
+++ b/mothstall/fleet/failover/report_window.py
@@ -6,14 +6,13 @@
 
 from mothstall.fleet.failover.reports import TrafficReport
 
-# Proxies whose reports are kept; beyond that the one that was silent longest is dropped.
+# Maximum proxies whose reports are kept; beyond it, the one with the oldest last report is dropped.
 MAX_TRACKED_PROXIES = 2048
-# Reports of each proxy that count: some three seconds, so that one report that is lost makes no
-# gap.
+# Reports of each proxy that are kept: about three seconds, so that one lost report leaves no gap.
 MAX_REPORTS_PER_PROXY = 3
-# Divides the lifetime of an aggregate. Guards against proxies that count twice, in the last
-# aggregates of an observer that is gone and in those of the one that they are attached to now:
-# aggregates come without a gap.
+# Divisor of the lifetime of an aggregate. Guards against proxies that count twice, in the last
+# aggregates of a lost observer and in those of the observer that they are attached to now. The
+# shorter lifetime suffices, as aggregates arrive without gaps.
 AGGREGATE_LIFETIME_DIVISOR = 2
 
 
@@ -33,15 +32,16 @@
         """Create an empty window.
 
         Args:
-            stale_ms: Milliseconds after which a report counts no more.
+            stale_ms: Milliseconds after which a report is stale.
         """
         self.stale_ms = stale_ms
         self._received: dict[str, list[_ReceivedReport]] = {}
 
     def add(self, report: TrafficReport, now_ms: int) -> None:
-        """Take a report, unless a newer one of the same proxy came before it.
+        """Add a report, unless a newer one of the same proxy was received before.
 
-        A proxy that restarts counts from one again; it is taken once its old reports are stale.
+        The sequence numbers of a restarted proxy begin at one again; its reports are accepted once
+        its old ones are stale.
         """
         received = self._received.setdefault(report.proxy, [])
         if received:
@@ -55,7 +55,7 @@
             del self._received[min(self._received, key=self._last_received_ms)]
 
     def current_reports(self, now_ms: int) -> list[TrafficReport]:
-        """Return all reports that still count, and forget the others."""
+        """Return all reports that are not stale, and drop the others."""
         for proxy, received in list(self._received.items()):
             current = [row for row in received if self._is_current(row, now_ms)]
             if current:
--- a/mothstall/fleet/failover/reports.py
+++ b/mothstall/fleet/failover/reports.py
@@ -1,8 +1,8 @@
 """Reports of the traffic that proxies send to zones: messages, codec and validation. Pure.
 
-A report sums up one proxy's attempts over about a second. An observer adds the reports of its
-proxies up into an *aggregate*, one for each zone that the proxies stand in, which holds histograms
-in place of single counts.
+A report sums up one proxy's attempts over about a second. An observer combines the reports of its
+proxies into *aggregates*, one for each zone that the proxies run in, which hold histograms in place
+of single counts.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 
 import msgspec
 
-# Zones that a report, a plan or an operator file may name: bounds every loop over pairs of zones.
+# Maximum zones in a report, a plan or an operator file; bounds every loop over pairs of zones.
 MAX_ZONES = 16
-# Classes of requests in a report.
+# Maximum request classes in a report.
 MAX_CLASSES = 16
-# Bytes of an encoded report; bounds what a decoder works on.
+# Maximum bytes of an encoded report; bounds the input of the decoder.
 MAX_REPORT_BYTES = 16 * 1024
 # Largest count in one proxy's report: more than a proxy can serve in a minute.
 MAX_COUNT = 10_000_000
 # Largest count in an aggregate: of a thousand proxies.
 MAX_AGGREGATE_COUNT = MAX_COUNT * 1000
-# Milliseconds that a report may cover; a longer one says nothing of now.
+# Maximum milliseconds that a report covers; a longer one does not show the current traffic.
 MAX_INTERVAL_MS = 60_000
-# Proxies that one aggregate may stand for.
+# Maximum proxies in one aggregate.
 MAX_AGGREGATED_PROXIES = 16_384
-# Histogram buckets of one zone in an aggregate.
+# Maximum histogram buckets of one zone in an aggregate.
 MAX_HISTOGRAM_BUCKETS = 16
-# Characters of the name of a zone or a proxy.
+# Maximum characters of the name of a zone or a proxy.
 MAX_NAME_LENGTH = 100
-# Characters of the name of an aggregate, which holds an observer's and a zone's.
+# Maximum characters of the name of an aggregate, which holds an observer's and a zone's name.
 MAX_AGGREGATE_NAME_LENGTH = 300
 # Names of aggregates start with this: `observer/NAME@ZONE`.
 AGGREGATE_NAME_PREFIX = "observer/"
 
-# On the wire: a zone summary holds no value.
+# Value of an absent field of a zone summary on the wire.
 _ABSENT = -1
 
 
 class OutcomeCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Attempts of one proxy to one zone, of one class of requests, by their outcome.
+    """Attempts of one proxy to one zone in one request class, by outcome.
 
     Attributes:
         good: Answered within the class's latency objective.
-        late: Answered after it.
-        failed: Errors, resets, no answer in time.
-        connect_failed: Never connected.
-        rejected: Rejected by the backend without work done.
+        late: Answered after the latency objective.
+        failed: Errors, resets and timeouts.
+        connect_failed: No connection was established.
+        rejected: Rejected by the backend without any work.
     """
 
     good: int = 0
@@ -71,9 +71,9 @@
     """Proxies of an aggregate with about the same fraction of bad attempts to one zone.
 
     Attributes:
-        proxy_count: How many proxies.
-        attempts: Their attempts to the zone, together.
-        bad_attempts: Those of the attempts that are not good.
+        proxy_count: Number of proxies.
+        attempts: Total attempts of these proxies to the zone.
+        bad_attempts: Attempts among them that were not good.
     """
 
     proxy_count: int
@@ -82,10 +82,10 @@
 
 
 class ZoneSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What an aggregate holds of one zone, on the wire; -1 stands for no value.
+    """The values of one zone in an aggregate, on the wire; -1 stands for an absent value.
 
     Attributes:
-        zone: The zone that was sent to.
+        zone: The target zone.
         warm_weight: See `TrafficReport.warm_weights`.
         utilization: See `TrafficReport.utilization`.
         histogram: See `TrafficReport.histograms`.
@@ -105,19 +105,20 @@
 
     Attributes:
         proxy: Name of the proxy, or `observer/NAME@ZONE` of an aggregate.
-        zone: The zone that the proxy, or each proxy of the aggregate, stands in.
+        zone: The zone that the proxy, or each proxy of the aggregate, runs in.
         sequence_number: Grows with each report of the sender.
         interval_ms: Milliseconds that the counts cover.
-        plan_number: The plan that was followed for the complete interval; 0: none, or several.
-        requests: Requests of clients received.
-        rejected: Requests of clients rejected.
-        outcomes: Counts by the zone that was sent to and the class of requests.
-        warm_weights: By zone, the weight of the listed backends; one that warms up counts in part.
-        utilization: By zone, the mean utilization that backends reported, where they do.
-        proxy_count: How many proxies an aggregate stands for; 0: it is no aggregate.
-        proxies_on_plan: Those of them that followed `plan_number`.
-        histograms: By the zone that was sent to, the proxies by their fraction of bad attempts.
-        zone_summaries: On the wire, the three mappings by zone of an aggregate; empty once decoded.
+        plan_number: The plan that was followed for the complete interval; 0 for none or several.
+        requests: Client requests received.
+        rejected: Client requests rejected.
+        outcomes: Counts by target zone and request class.
+        warm_weights: By zone, the weight of the listed backends; one in warm-up counts in part.
+        utilization: By zone, the mean utilization that backends reported, if they report it.
+        proxy_count: Number of proxies in an aggregate; 0 for the report of a single proxy.
+        proxies_on_plan: Number of these proxies that followed `plan_number`.
+        histograms: By target zone, the proxies grouped by their fraction of bad attempts.
+        zone_summaries: On the wire, `warm_weights`, `utilization` and `histograms` of an aggregate;
+            empty once decoded.
     """
 
     proxy: str
@@ -139,8 +140,8 @@
 def encode_report(report: TrafficReport) -> bytes:
     """Encode a report for the wire.
 
-    An aggregate names each zone once there: the holder of the failover lease receives one from
-    every observer every second, and names were most of their bytes.
+    An aggregate is encoded with each zone's name once: the holder of the failover lease receives
+    one from every observer every second, and repeated names made up most of its bytes.
     """
     if not report.proxy_count:
         return msgspec.msgpack.encode(report)
@@ -161,11 +162,11 @@
 
 
 def decode_report(data: bytes) -> TrafficReport | None:
-    """Decode a report of the wire.
+    """Decode a report from the wire.
 
     Returns:
-        The report; None for bytes that are none, or that hold numbers which no proxy can have
-        counted.
+        The report; None if the bytes are not a report, or hold names or numbers that are not
+        plausible.
     """
     if len(data) > MAX_REPORT_BYTES:
         return None
@@ -182,7 +183,7 @@
 
 
 def _expand_summaries(report: TrafficReport) -> TrafficReport | None:
-    """Unfold the zone summaries; None for a report that names a zone twice, or is no aggregate."""
+    """Convert zone summaries to mappings; None if a zone is repeated, or it is no aggregate."""
     summaries = report.zone_summaries
     if not report.proxy_count:
         return None
@@ -202,7 +203,7 @@
 def is_from_known_observer(report: TrafficReport, observers: Sequence[str]) -> bool:
     """Whether an aggregate comes from one of these observers; True for a proxy's own report.
 
-    Guards against a proxy that speaks for hundreds.
+    Guards against a proxy that claims to report for hundreds of others.
     """
     if not report.proxy_count:
         return True
@@ -243,7 +244,7 @@
 
 
 def _has_valid_aggregate_counts(report: TrafficReport) -> bool:
-    """Whether the counts of an aggregate are within their limits, and fit each other."""
+    """Whether the counts of an aggregate are within their limits and consistent."""
     if report.outcomes:
         return False
     if not 0 <= report.proxies_on_plan <= report.proxy_count <= MAX_AGGREGATED_PROXIES:
--- a/mothstall/fleet/failover/robust_statistics.py
+++ b/mothstall/fleet/failover/robust_statistics.py
@@ -1,6 +1,6 @@
 """Medians and sums that a single false report cannot move far. Pure.
 
-All functions take pairs of numbers: of how many proxies, and a value.
+All functions take pairs of a proxy count and a value.
 """
 
 from __future__ import annotations
@@ -8,19 +8,19 @@
 import math
 from collections.abc import Sequence
 
-# What one proxy reports counts as this many times the median proxy of its zone at most. Guards
-# against a proxy that claims to be a hundred: a false one among n moves 2/(n+1) of its zone's
-# result at most.
+# Upper limit of one proxy's value, in multiples of the median proxy of its zone. Guards against a
+# proxy that reports the traffic of a hundred: one false proxy among n moves its zone's result by
+# 2/(n+1) at most.
 MAX_RATIO_TO_MEDIAN = 2.0
 # Tolerance in the comparison of sums of weights, which may be fractions.
 WEIGHT_TOLERANCE = 1e-9
 
 
 def weighted_median(rows: Sequence[tuple[float, float]]) -> float:
-    """Return the median over proxies; 0.0 of nothing.
+    """Return the median over proxies; 0.0 without rows.
 
     Args:
-        rows: Pairs of how many proxies, and the value that each of them has.
+        rows: Pairs of a proxy count and the value of each of these proxies.
     """
     ordered = sorted(rows, key=lambda row: row[1])
     half_weight = sum(weight for weight, _ in ordered) / 2
@@ -38,11 +38,11 @@
 
 
 def cap_per_proxy(rows: Sequence[tuple[float, float]], is_capped: bool) -> float:
-    """Return what one proxy may count for at most; infinity of nothing.
+    """Return the upper limit of one proxy's value; infinity without rows.
 
     Args:
-        rows: Pairs of how many proxies, and the total of all of them.
-        is_capped: False takes this guard out, for tests that show what it is for.
+        rows: Pairs of a proxy count and the total of these proxies.
+        is_capped: False disables the limit, for tests of it.
     """
     if not rows or not is_capped:
         return math.inf
@@ -50,11 +50,11 @@
 
 
 def capped_sum(rows: Sequence[tuple[float, float]], is_capped: bool) -> float:
-    """Add totals up, each proxy's limited by `cap_per_proxy` of those above zero.
+    """Add up totals, each proxy's limited by the `cap_per_proxy` of the totals above zero.
 
     Args:
-        rows: Pairs of how many proxies, and the total of all of them.
-        is_capped: As of `cap_per_proxy`.
+        rows: Pairs of a proxy count and the total of these proxies.
+        is_capped: See `cap_per_proxy`.
     """
     positive = [(count, total) for count, total in rows if total > 0]
     cap = cap_per_proxy(positive, is_capped)
--- a/mothstall/fleet/failover/transition.py
+++ b/mothstall/fleet/failover/transition.py
@@ -1,9 +1,9 @@
-"""How one proxy changes over to a plan, and away from one that is no longer confirmed. Pure.
+"""Transition of one proxy to a new plan, and fade-out of a plan without contact. Pure.
 
-Proxies begin at different moments within a stated time and change over in small steps, so that the
-fleet never moves at one instant; never to a plan older than one that was adopted. Without contact
-to the keepers the last plan holds for a stated time, then fades until the proxy routes by what it
-sees itself.
+Proxies start a transition at different times within a configured spread and change their weights in
+small steps, so that the fleet never moves at one instant. A plan that is older than the adopted one
+is ignored. Without contact to the keepers the last plan stays in force for a configured time, then
+fades out until the proxy routes by its own measurements alone.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 # Weights that differ by less from the ones applied last are not applied again.
 MIN_APPLIED_CHANGE = 0.02
-# Range of the hash that spreads the proxies' beginnings.
+# Range of the hash that spreads the proxies' start delays.
 _HASH_RANGE = 2**64
 
 
@@ -28,7 +28,7 @@
         plan_number: The plan that they come from; 0 between two plans.
         weights: Fraction of the proxy's traffic by the zone that serves it.
         overflow_fraction: Fraction for which no zone has capacity.
-        strength: How far the weights hold. 0: routing is free, as on an ordinary day; 1: they
+        strength: Influence of the weights. 0: routing is free, as in normal operation; 1: they
             decide which zone a request goes to first.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Change:
-    """A change from some weights to others that begins at a time."""
+    """A gradual change from one set of weights to another."""
 
     before: RoutingWeights = field(default_factory=RoutingWeights)
     after: RoutingWeights = field(default_factory=RoutingWeights)
@@ -62,7 +62,7 @@
 
 
 class PlanTransition:
-    """One proxy's change from plan to plan. Times are milliseconds of its monotonic clock."""
+    """Transitions of one proxy from plan to plan. Times are milliseconds of its monotonic clock."""
 
     def __init__(
         self,
@@ -78,12 +78,12 @@
 
         Args:
             proxy: Name of the proxy.
-            zone: The zone that it stands in.
-            spread_ms: Milliseconds within which all proxies change over.
-            hold_ms: Milliseconds for which a plan holds without contact.
-            fade_ms: Milliseconds in which it fades after that.
-            is_immediate: Takes the spread out, a guard; for tests and for the lab's ideal planner.
-            never_expires: Takes hold and fade out, a guard; for the same.
+            zone: The zone that it runs in.
+            spread_ms: Milliseconds within which all proxies complete a transition.
+            hold_ms: Milliseconds without contact for which a plan stays fully in force.
+            fade_ms: Milliseconds after that in which the plan fades out.
+            is_immediate: Disables the spread, for tests and for the lab's ideal planner.
+            never_expires: Disables the end of the hold and the fade-out, for the same uses.
         """
         self.proxy = proxy
         self.zone = zone
@@ -96,10 +96,10 @@
         self._change = _Change()
 
     def adopt(self, plan: FailoverPlan, now_ms: int) -> bool:
-        """Begin to change over to a plan.
+        """Start the transition to a plan.
 
         Returns:
-            Whether it is newer than the one that was adopted last; else nothing changes.
+            Whether it is newer than the one that was adopted last; otherwise nothing changes.
         """
         if plan.number <= self.plan_number:
             return False
@@ -109,22 +109,22 @@
             overflow_fraction = plan.overflow_fractions.get(self.zone, 0.0)
             after = RoutingWeights(plan.number, dict(row), overflow_fraction, 1.0)
         else:
-            # Free routing has no weights of its own: those of before lose strength instead.
+            # Free routing has no weights of its own: the previous weights lose strength instead.
             after = RoutingWeights(plan.number, before.weights, before.overflow_fraction, 0.0)
         if before.strength == 0.0:
-            # From free routing, those of the plan gain strength.
+            # From free routing, the weights of the plan gain strength.
             before = RoutingWeights(before.plan_number, after.weights, after.overflow_fraction, 0.0)
         self._change = _Change(before, after, now_ms + self._start_delay_ms(plan.number))
         self.plan_number = plan.number
         return True
 
     def weights_at(self, now_ms: int, silent_ms: int) -> RoutingWeights:
-        """Return the weights that hold now.
+        """Return the weights that are in force.
 
         Args:
             now_ms: The time.
-            silent_ms: Milliseconds since the last contact with a keeper that knows a leader; below
-                0: there was none yet.
+            silent_ms: Milliseconds since the last contact with a keeper that has a leader; negative
+                before the first contact.
         """
         current = self._blend(now_ms)
         expired_ms = silent_ms - self.hold_ms
@@ -148,7 +148,7 @@
         return int(digest / _HASH_RANGE * self.spread_ms / 2)
 
     def _blend(self, now_ms: int) -> RoutingWeights:
-        """Return the weights at a point of the change, which takes half the spread."""
+        """Return the interpolated weights at a time; a transition takes half of the spread."""
         before = self._change.before
         after = self._change.after
         duration_ms = max(1, self.spread_ms // 2)
--- a/mothstall/fleet/failover/weights_feed.py
+++ b/mothstall/fleet/failover/weights_feed.py
@@ -1,4 +1,4 @@
-"""When a proxy's routing weights are applied to its decisions. Pure."""
+"""Schedule by which a proxy applies routing weights to its decisions. Pure."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 # Milliseconds between two checks of the weights: a tenth of the default spread.
 WEIGHTS_INTERVAL_MS = 100
-# Milliseconds for which the decisions keep weights that are not applied again. Guards against
-# weights that outlive an agent which failed.
+# Milliseconds after which weights expire unless they are applied again. Guards against weights that
+# stay in force after their agent failed.
 WEIGHTS_LIFETIME_MS = 2000
 
 
 class RoutingWeightsFeed:
-    """Follows a transition, and picks the weights that have to be applied.
+    """Reads the weights of a transition, and selects those that have to be applied.
 
     Attributes:
         transition: The change from plan to plan.
@@ -23,7 +23,7 @@
         """Start with nothing applied.
 
         Args:
-            transition: What gives the weights at each time.
+            transition: The source of the weights.
         """
         self.transition = transition
         self.applied = RoutingWeights()
@@ -31,11 +31,11 @@
         self._checked_at_ms = 0
 
     def current(self, now_ms: int, silent_ms: int) -> RoutingWeights | None:
-        """Return the weights that hold now; None where the last check was a moment ago.
+        """Return the weights in force; None if the last check was under `WEIGHTS_INTERVAL_MS` ago.
 
         Args:
             now_ms: The time.
-            silent_ms: As of `PlanTransition.weights_at`.
+            silent_ms: See `PlanTransition.weights_at`.
         """
         if now_ms - self._checked_at_ms < WEIGHTS_INTERVAL_MS:
             return None
@@ -43,7 +43,7 @@
         return self.transition.weights_at(now_ms, silent_ms)
 
     def must_apply(self, weights: RoutingWeights, now_ms: int) -> bool:
-        """Whether weights differ from the applied ones, or those would soon be forgotten."""
+        """Whether weights differ from the applied ones, or the applied ones expire soon."""
         is_expiring = now_ms - self._applied_at_ms > WEIGHTS_LIFETIME_MS // 2
         return (
             (weights.strength > 0 and is_expiring)
@@ -52,6 +52,6 @@
         )
 
     def mark_applied(self, weights: RoutingWeights, now_ms: int) -> None:
-        """Note that weights were applied."""
+        """Record that weights were applied."""
         self.applied = weights
         self._applied_at_ms = now_ms
--- a/mothstall/fleet/failover/zone_commands.py
+++ b/mothstall/fleet/failover/zone_commands.py
@@ -1,7 +1,7 @@
 """The `zones` command: shows the failover plan and writes operators' overrides of it.
 
-The evidence is assessed here, from reports as they come in, by the code that the plan's maker
-uses; so `--dry-run` shows what an override would do before it is written.
+The command collects traffic reports and assesses them with the code of the plan maker, so that
+`--dry-run` shows the effect of an override before it is written.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
 
 # The lease under which overrides are written: one operator at a time.
 OVERRIDES_LEASE = "zones/operator"
-# Milliseconds after which the lease of a command that was killed is free.
+# Milliseconds after which that lease ends if the command is killed.
 OVERRIDES_LEASE_TERM_MS = 5000
-# Milliseconds that a hold may last: a day.
+# Maximum milliseconds of a hold: a day.
 MAX_HOLD_MS = 24 * 3_600_000
-# Report intervals for which reports are collected: every proxy reports once, with some margin.
+# Report intervals for which reports are collected: long enough for one report of each proxy.
 COLLECTED_INTERVALS = 1.5
 _NS_PER_S = 1e9
 _PERCENT = re.compile(r"(\d{1,3})%")
@@ -75,10 +75,10 @@
         source_zone: The zone to shift traffic from.
         share: How much to shift, "0%" to "100%".
         hold_duration: How long to hold, such as "10m".
-        is_dry_run: Whether to show the effect only.
-        operator_name: Who asks for it.
-        reason: Why.
-        wait_s: Seconds to wait for an answer of the keepers.
+        is_dry_run: Whether to show the effect without writing the override.
+        operator_name: Name of the operator.
+        reason: The operator's reason.
+        wait_s: Seconds to wait for a response of the keepers.
     """
 
     verb: ZoneVerb = ZoneVerb.SHOW
@@ -99,7 +99,7 @@
         The command's output.
 
     Raises:
-        OperatorError: The command makes no sense.
+        OperatorError: An argument is missing or invalid, or no proxy reports on a zone.
         CommandRejectedError: The store rejected the override.
         KeeperUnavailableError: No keeper answered in time.
     """
@@ -152,7 +152,7 @@
         self._interval_s = failover.report_interval_ns / _NS_PER_S
 
     def receive(self, rows: tuple[bytes, ...]) -> None:
-        """Take encoded reports; those that can't be read are left out."""
+        """Add encoded reports; unreadable ones and those of unknown observers are skipped."""
         for data in rows:
             report = decode_report(data)
             if report and is_from_known_observer(report, self._observers):
@@ -179,15 +179,15 @@
 
 
 def _check_zones(command: ZoneCommand, known_zones: set[str]) -> None:
-    """Check that proxies know the zones that a command names.
+    """Check that proxies report on the zones that a command names.
 
     Raises:
-        OperatorError: They do not.
+        OperatorError: No proxy reports on one of them.
     """
     for zone in (command.source_zone, command.zone):
         if zone and zone not in known_zones:
             known = ", ".join(sorted(known_zones)) or "none"
-            raise OperatorError(f"no proxy reports of {zone}; of {known}")
+            raise OperatorError(f"no proxy reports on zone {zone}; reported zones: {known}")
 
 
 def _next_overrides(command: ZoneCommand, last: OperatorOverrides) -> OperatorOverrides:
@@ -202,7 +202,7 @@
         fractions[command.source_zone] = _shifted_fraction(command)
     elif command.verb == ZoneVerb.EVACUATE:
         if not command.zone:
-            raise OperatorError("zones evacuate wants a zone")
+            raise OperatorError("zones evacuate requires a zone")
         fractions[command.zone] = 1.0
     elif command.verb == ZoneVerb.HOLD:
         hold_ms = _hold_ms(command)
@@ -222,7 +222,7 @@
 def _shifted_fraction(command: ZoneCommand) -> float:
     percent = _PERCENT.fullmatch(command.share)
     if not command.source_zone or not percent or int(percent[1]) > 100:
-        raise OperatorError("zones shift wants --from ZONE and --part 0% to 100%")
+        raise OperatorError("zones shift requires --from ZONE and --part 0% to 100%")
     return int(percent[1]) / 100
 
 
@@ -232,7 +232,7 @@
     except ValueError as error:
         raise OperatorError(f"--for {error}") from error
     if not 0 < hold_ms <= MAX_HOLD_MS:
-        raise OperatorError("--for is above 0 and a day at most")
+        raise OperatorError("--for must be above 0 and at most a day")
     return hold_ms
 
 
@@ -242,7 +242,7 @@
     plan: FailoverPlan,
     overrides: OperatorOverrides,
 ) -> PlanDecision:
-    """Make the plan that the overrides would give, whatever is on hold."""
+    """Make the plan that the overrides would give, without regard to a hold."""
     last = msgspec.structs.replace(plan, hold_remaining_ms=0, overrides_number=overrides.number)
     without_hold = msgspec.structs.replace(overrides, hold_ms=0)
     return next_plan(evidence, last, policy_from_config(operator.failover), without_hold, 0)
--- a/mothstall/fleet/failover/zone_counters.py
+++ b/mothstall/fleet/failover/zone_counters.py
@@ -1,4 +1,4 @@
-"""What one proxy saw of each zone since its last report. Pure."""
+"""Counts of one proxy's attempts to each zone since its last report. Pure."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 class ZoneCounters:
     """Counts attempts as they end.
 
-    An attempt that was cancelled, or never sent, says nothing of a zone and is not counted.
+    Attempts that were cancelled or never sent are not counted, as they don't show a zone's health.
     """
 
     def __init__(
@@ -50,15 +50,15 @@
 
         Args:
             proxy: Name of the proxy.
-            zone: The zone that it stands in.
+            zone: The zone that it runs in.
             classes: Names of the classes of requests.
-            latency_objectives_ns: Nanoseconds within which an answer is good, for each class.
+            latency_objectives_ns: For each class, nanoseconds within which a response is good.
         """
         self._proxy = proxy
         self._zone = zone
         self._classes = classes
         self._latency_objectives_ns = latency_objectives_ns
-        # By zone, for each class a row of counts.
+        # By zone, one row of counts for each class.
         self._counts: dict[str, list[list[int]]] = {}
         self._utilization: dict[str, _Utilization] = {}
         self._sequence_number = 0
@@ -78,7 +78,7 @@
             class_index: Index of the request's class.
             result: How it ended.
             latency_ns: Nanoseconds that the attempt took.
-            utilization: What the backend reported, 0 to 1; below 0 where it reported none.
+            utilization: Utilization that the backend reported, 0 to 1; negative if none.
         """
         rows = self._counts.get(zone)
         if rows is None:
@@ -107,13 +107,13 @@
         rejected: int,
         warm_weights: Mapping[str, float],
     ) -> TrafficReport:
-        """Return the counts since the last report, and start anew.
+        """Return the counts since the last report, and reset them.
 
         Args:
             interval_ms: Milliseconds since the last report.
             plan_number: See `TrafficReport`.
-            requests: Requests of clients in this time.
-            rejected: Those of them that were rejected.
+            requests: Client requests in this interval.
+            rejected: Rejected requests among them.
             warm_weights: See `TrafficReport`.
         """
         self._sequence_number += 1
--- a/mothstall/fleet/failover/zone_evidence.py
+++ b/mothstall/fleet/failover/zone_evidence.py
@@ -1,26 +1,26 @@
-"""What all current reports say together about each zone. Pure.
+"""Health and traffic of each zone by all current reports together. Pure.
 
-Evidence counts by its source, as suspicion does in SWIM (Das and others, 2002): a zone is
+Evidence is weighed by its source, as suspicion is in SWIM (Das and others, 2002): a zone is
 unhealthy for every zone if its own proxies, or those of two other zones, find it unhealthy. If only
-one zone does, the path between the two is at fault.
+the proxies of one other zone do, the path between the two zones is taken to be at fault.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# Attempts from one zone to another that an assessment rests on.
+# Minimum attempts from one zone to another for an assessment.
 MIN_ATTEMPTS = 6.0
 
 
 @dataclass(slots=True)
 class ZoneAssessment:
-    """What the proxies of one zone report of another zone, or of their own.
+    """Assessment of one zone by the proxies of another, or by its own proxies.
 
     Attributes:
-        attempts: Attempts that count, capped for each proxy.
-        bad_attempts: Those of them that are not good.
-        unhealthy_fraction: 0 to 1: the part of the traffic that should leave the zone.
+        attempts: Attempts, capped for each proxy.
+        bad_attempts: Attempts among them that were not good.
+        unhealthy_fraction: Fraction of the traffic that should leave the zone, 0 to 1.
     """
 
     attempts: float = 0.0
@@ -30,17 +30,16 @@
 
 @dataclass(slots=True)
 class ZoneEvidence:
-    """What all current reports say together.
+    """Combined measurements of all current reports.
 
     Attributes:
-        request_rates: Requests of clients a second, by the zone that they arrive in.
-        attempt_rates: Attempts a second, by the zone that they come from and the one that they go
-            to.
+        request_rates: Client requests a second, by the zone that they arrive in.
+        attempt_rates: Attempts a second, by origin zone and target zone.
         warm_weights: Weight of the warm backends, by zone.
-        utilization: Utilization that backends reported, by zone, where they do.
-        assessments: By the zone that reports and the zone that is reported of.
+        utilization: Utilization that backends reported, by zone, if they report it.
+        assessments: By the reporting zone and the assessed zone.
         isolated_zones: Zones that are cut off from the others.
-        proxy_counts: Proxies that report, by zone.
+        proxy_counts: Number of reporting proxies, by zone.
         on_plan_fractions: Fraction of proxies that follow the current plan, by zone.
     """
 
@@ -62,7 +61,8 @@
     def global_unhealthy_fraction(self, zone: str) -> float:
         """How unhealthy a zone is for all zones.
 
-        Counts what its own proxies find, or the second highest that other zones find.
+        The higher of the fraction that its own proxies find and the second highest that other
+        zones find; isolated zones are left out.
         """
         own = self._assessment(zone, zone).unhealthy_fraction
         others = sorted(
@@ -79,7 +79,7 @@
         """How unhealthy a zone is for another one's traffic, or its own; 0 if unknown."""
         assessed = self._assessment(origin, zone).unhealthy_fraction
         if origin == zone and self.has_enough_attempts(origin, zone):
-            return assessed  # its own proxies reach it, whoever else cannot
+            return assessed  # its own proxies reach it, even if those of other zones cannot
         return max(assessed, self.global_unhealthy_fraction(zone))
 
     def has_enough_attempts(self, origin: str, zone: str) -> bool:
--- a/mothstall/fleet/failover/zone_report.py
+++ b/mothstall/fleet/failover/zone_report.py
@@ -1,4 +1,4 @@
-"""What `mothstall zones` prints: the plan, its evidence, and the effect of an override.
+"""Output of `mothstall zones`: the plan, its evidence, and the effect of an override.
 
 The keys are part of the command's output, which scripts read.
 """
@@ -15,12 +15,12 @@
 from mothstall.fleet.failover.zone_evidence import ZoneEvidence
 from mothstall.store.state.rows import Lease
 
-# Shown for a capacity that is not known.
+# Shown in place of an unknown capacity.
 UNKNOWN = "-"
 
 
 def describe_overrides(overrides: OperatorOverrides) -> str:
-    """Say in one line what operators ask for."""
+    """Return the operators' overrides in one line."""
     parts = [
         f"{fraction:.0%} away from {zone}"
         for zone, fraction in sorted(overrides.evacuated_fractions.items())
@@ -33,7 +33,7 @@
 def describe_effect(
     evidence: ZoneEvidence, plan: FailoverPlan, decision: PlanDecision
 ) -> dict[str, Any]:
-    """Return the load of each zone by the plan of now and by the next one."""
+    """Return the load of each zone by the current plan and by the next one."""
     load_now = _zone_loads(evidence, plan)
     load_then = _zone_loads(evidence, decision.plan)
     overflow_rate = sum(
@@ -62,7 +62,7 @@
     policy: FailoverPolicy,
     lease: Lease | None,
 ) -> dict[str, Any]:
-    """Return the plan in force, who makes it, and what proxies report of each zone."""
+    """Return the plan in force, the proxy that makes it, and the measurements of each zone."""
     capacity_per_weight = measured_capacity(evidence, plan, 0)
     return {
         "plan": plan.number,
@@ -104,7 +104,7 @@
 
 
 def _zone_loads(evidence: ZoneEvidence, plan: FailoverPlan) -> dict[str, float]:
-    """Return the requests a second at each zone by the plan, or by the baseline without one."""
+    """Return the requests a second at each zone by the plan, or by the baseline."""
     loads: dict[str, float] = {}
     for origin, request_rate in evidence.request_rates.items():
         baseline = plan.baseline_weights.get(origin, {origin: 1.0})
--- a/mothstall/fleet/key_file.py
+++ b/mothstall/fleet/key_file.py
@@ -8,8 +8,8 @@
 
 from mothstall.fleet.errors import OperatorError
 
-MIN_KEY_BYTES = 32  # the length of the HMAC-SHA256 output, below which a key is the weaker part
-MAX_KEY_FILE_BYTES = 4096  # read at most; guards against a path that names something else
+MIN_KEY_BYTES = 32  # length of the HMAC-SHA256 output; a shorter key is weaker than that
+MAX_KEY_FILE_BYTES = 4096  # maximum that is read; guards against a path to some other file
 
 
 def read_key(path: Path) -> bytes:
@@ -28,7 +28,7 @@
         ) from error
     if stat.S_IMODE(status.st_mode) & 0o077 or status.st_uid != os.geteuid():
         raise OperatorError(
-            f"operator file: $.key_file: {path} must be its owner's alone (chmod 600)"
+            f"operator file: $.key_file: {path} must be accessible to its owner alone (chmod 600)"
         )
     if len(key) < MIN_KEY_BYTES:
         raise OperatorError(
--- a/mothstall/fleet/leases/__init__.py
+++ b/mothstall/fleet/leases/__init__.py
@@ -1,8 +1,9 @@
 """Leases: expiry at the keepers, validity at the holder, and fencing of late writes. Pure.
 
-The grantor lets a lease end no sooner than it promised, and the holder stops acting no later (Gray
-and Cheriton, "Leases", 1989). Each counts on a steady clock of its own, in nanoseconds; two clocks
-are never compared. The holder counts from before it sent its request, the grantor from its own
-commit, which is later. `drift` bounds how far the rates of two clocks may differ; `margin` is the
-time that a holder needs between its last check and the end of what it does under the lease.
+The grantor expires a lease no earlier than at the end of its term, and the holder stops acting no
+later than that (Gray and Cheriton, "Leases", 1989). Each measures the term on its own monotonic
+clock, in nanoseconds; two clocks are never compared. The holder's term starts before it sends its
+request, the grantor's when it commits the grant, which is later. `drift` bounds the relative
+difference between the rates of two clocks; `margin` is the time that a holder needs between its
+last check of the lease and the end of the action that it takes under the lease.
 """
--- a/mothstall/fleet/leases/fencing.py
+++ b/mothstall/fleet/leases/fencing.py
@@ -1,8 +1,8 @@
-"""Fencing tokens, as a receiver of commands remembers them. Pure.
+"""Check of fencing tokens at a receiver of commands. Pure.
 
-A holder that was paused may send a command after its lease was granted to another one. The receiver
-rejects it, as its token is older than one that it has seen (Kleppmann, "How to do distributed
-locking", 2016).
+A holder that was paused may send a command after its lease was granted to another process. The
+receiver rejects the command, as its token is older than one that it has received before (Kleppmann,
+"How to do distributed locking", 2016).
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 @dataclass(slots=True)
 class FencingTokens:
-    """The highest token that a receiver has seen of each lease.
+    """The highest token that a receiver has received for each lease.
 
     Attributes:
-        max_names: Bound of the memory; commands under further names are rejected.
-        is_enforced: The guard itself; tests alone take it out.
+        max_names: Maximum number of leases; commands under further leases are rejected.
+        is_enforced: Whether older tokens are rejected; only tests disable it.
         highest: Highest token by the lease's name; persisted by the agent.
     """
 
@@ -25,7 +25,7 @@
     highest: dict[str, int] = field(default_factory=dict)
 
     def admit(self, name: str, token: int) -> str:
-        """Return why a command under this token is rejected; remember it if it is not."""
+        """Return why a command under this token is rejected; else record the token, return ""."""
         highest = self.highest.get(name, 0)
         if self.is_enforced and token < highest:
             return f"{name}: token {token} is older than {highest}"
--- a/mothstall/fleet/leases/holder.py
+++ b/mothstall/fleet/leases/holder.py
@@ -1,4 +1,4 @@
-"""Validity of leases, as their holder counts it. Pure."""
+"""Validity of leases at their holder. Pure."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from mothstall.fleet.units import NS_PER_MS
 
-NO_TOKEN = 0  # tokens count from 1
+NO_TOKEN = 0  # tokens start at 1
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """One lease as its holder counts it."""
+    """One lease and the end of its validity at the holder."""
 
     token: int
     valid_until_ns: int
@@ -24,10 +24,10 @@
 
     Attributes:
         term_ms: Duration of a lease.
-        margin_ms: How much before the end of the term the holder stops.
+        margin_ms: Milliseconds before the end of the term at which the holder stops acting.
         drift: Greatest relative difference between the rates of two clocks.
-        counts_from_response: Takes a guard out, so that terms count from the response; tests
-            alone set it.
+        counts_from_response: Starts terms at the response instead of the request, which is
+            unsafe; only tests set it.
         held: The leases by name.
     """
 
@@ -42,7 +42,7 @@
         self.held[name] = HeldLease(token, self._valid_until_ns(sent_ns, now_ns))
 
     def record_renewal(self, renewed: Iterable[tuple[str, int]], sent_ns: int, now_ns: int) -> None:
-        """Extend leases, given by name and token; those of another token stay as they are."""
+        """Extend leases, given by name and token; a lease with another token is not extended."""
         for name, token in renewed:
             lease = self.held.get(name)
             if lease and lease.token == token:
@@ -55,21 +55,21 @@
         return start_ns + duration_ns - self.margin_ms * NS_PER_MS
 
     def forget(self, name: str) -> None:
-        """Stop holding a lease that was lost or is being released."""
+        """Drop a lease that was lost or is being released."""
         self.held.pop(name, None)
 
     def valid_token(self, name: str, now_ns: int) -> int:
-        """Return the token to act under now; `NO_TOKEN` where the holder must not act."""
+        """Return the token to act under now; `NO_TOKEN` if the holder must not act."""
         lease = self.held.get(name)
         return lease.token if lease and now_ns < lease.valid_until_ns else NO_TOKEN
 
     def remaining_ns(self, name: str, now_ns: int) -> int:
-        """Return how long the holder may still act without a renewal; 0 where it must not act."""
+        """Return how long the holder may still act without a renewal; 0 if it must not act."""
         lease = self.held.get(name)
         return max(0, lease.valid_until_ns - now_ns) if lease else 0
 
     def drop_expired(self, now_ns: int) -> list[str]:
-        """Forget the leases that have ended by this holder's own count, and return their names."""
+        """Drop the leases that have ended by this holder's clock, and return their names."""
         expired = [name for name, lease in self.held.items() if lease.valid_until_ns <= now_ns]
         for name in expired:
             del self.held[name]
--- a/mothstall/fleet/leases/names.py
+++ b/mothstall/fleet/leases/names.py
@@ -2,6 +2,6 @@
 
 from __future__ import annotations
 
-OBSERVER_LEASE_PREFIX = "observer/"  # then the observer's name: this observer is in service
-MEMBER_LEASE_PREFIX = "member/"  # then the proxy's name: it is a member, without an observer
-PROBE_LEASE_PREFIX = "probe/"  # then the backend's name: the holder is its prober
+OBSERVER_LEASE_PREFIX = "observer/"  # followed by the observer's name: the observer is in service
+MEMBER_LEASE_PREFIX = "member/"  # followed by the proxy's name: a member without an observer
+PROBE_LEASE_PREFIX = "probe/"  # followed by the backend's name: the holder probes it
--- a/mothstall/fleet/leases/stalled_holders.py
+++ b/mothstall/fleet/leases/stalled_holders.py
@@ -1,9 +1,9 @@
-"""Proxies that are listed as members and have let their leases end. Pure.
+"""Detection of proxies that are listed as members but no longer renew their leases. Pure.
 
-A lease ends one term after its holder's last renewal. A proxy behind an observer is listed for
-longer: until its observer has missed heartbeats for a term and a half, or until the members of an
-observer that is lost itself are swept. Assigned by rendezvous hash among all that are listed, the
-lease would wait for a holder that does not renew it.
+A lease ends one term after its holder's last renewal. A proxy that is attached to an observer stays
+listed for longer: until the observer has missed its heartbeats for a term and a half or, if the
+observer is lost as well, until the observer's members are swept. A lease that is assigned by
+rendezvous hash among all listed proxies would stay assigned to the stalled proxy until then.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _Process(NamedTuple):
-    """A proxy's process with one of its attachments."""
+    """A process of a proxy, and the epoch of its attachment."""
 
     owner: str
     epoch: int
@@ -34,19 +34,20 @@
 
 
 class _Stall(NamedTuple):
-    """Which process stalled, and when that was found."""
+    """A stalled process, and when the stall was found."""
 
     process: _Process
     since_ns: int
 
 
 class StalledHolders:
-    """Follows the leases of the replicated state, and leaves stalled proxies out of its members.
+    """Follows the leases of the replicated state, and excludes stalled proxies from the live ones.
 
-    A proxy is stalled once a lease ended that is assigned to it, and it holds no other one. A lease
-    that its holder gave back is assigned to somebody else by then; one that an operator revoked
-    leaves its holder with others. A proxy counts again once it acquires a lease, attaches anew or
-    restarts, and in any case after `forget_after_ns`.
+    A proxy is stalled if a lease that is assigned to it has ended and it holds no other lease. A
+    proxy that released a lease does not match, as the lease is assigned to another proxy by then;
+    nor does a proxy that holds other leases after an operator revoked one. A proxy counts as live
+    again once it acquires a lease, attaches anew or restarts, and in any case after
+    `forget_after_ns`.
     """
 
     def __init__(
@@ -55,10 +56,11 @@
         """Start without leases.
 
         Args:
-            own_owner: This process as an owner of leases; it never counts itself as stalled.
-            prefixes: Beginnings of the names of leases that are assigned by rendezvous hash.
+            own_owner: Owner name of this process, which never counts itself as stalled.
+            prefixes: Name prefixes of the leases that are assigned by rendezvous hash.
             term_ns: Duration of a lease. All leases of a stalled holder end within it.
-            forget_after_ns: Longer than the state lists a proxy that is gone.
+            forget_after_ns: Nanoseconds after which a stall is forgotten; longer than a lost proxy
+                stays listed.
         """
         self._own_owner = own_owner
         self._prefixes = prefixes
@@ -67,16 +69,16 @@
         self._held_count: Counter[str] = Counter()  # leases by owner
         self._ended: dict[str, _EndedLease] = {}
         self._stalls: dict[str, _Stall] = {}  # by the proxy's name
-        self._proxies: frozenset[str] = frozenset()  # as last given
+        self._proxies: frozenset[str] = frozenset()  # of the last call
         self._live: frozenset[str] = frozenset()
 
     def apply(self, previous: Mapping[str, Lease], delta: StateDelta, now_ns: int) -> None:
-        """Follow one step of the state; linear in the leases that changed.
+        """Apply one change of the state; linear in the leases that changed.
 
         Args:
-            previous: The leases before.
-            delta: What led from them to the present ones; in a complete state the others ended.
-            now_ns: The steady clock.
+            previous: The leases before the change.
+            delta: The change; leases that are missing from a complete state have ended.
+            now_ns: The time by the monotonic clock.
         """
         changes = dict(delta.leases)
         if not delta.since_version:
@@ -100,18 +102,18 @@
 
     @property
     def stalled_count(self) -> int:
-        """How many listed proxies are stalled."""
+        """Number of listed proxies that are stalled."""
         return len(self._stalls)
 
     def live(
         self, proxies: frozenset[str], members: Mapping[str, Member], now_ns: int
     ) -> frozenset[str]:
-        """Return the proxies that are not stalled; the same object while they are the same.
+        """Return the proxies that are not stalled; the same object while they are unchanged.
 
         Args:
-            proxies: All that are listed; the same object while they are unchanged.
-            members: Those that are attached to observers, by name.
-            now_ns: The steady clock.
+            proxies: All listed proxies; the same object while they are unchanged.
+            members: The proxies that are attached to observers, by name.
+            now_ns: The time by the monotonic clock.
         """
         stalled_before = set(self._stalls)
         self._forget_recovered(members, now_ns)
@@ -131,7 +133,7 @@
     def _find_stalled(
         self, proxies: frozenset[str], members: Mapping[str, Member], now_ns: int
     ) -> None:
-        """Look at the leases that ended; linear in those of the last term."""
+        """Find stalled holders of ended leases; linear in those that ended within the last term."""
         checks = 0
         for name, ended in list(self._ended.items()):
             if now_ns - ended.ended_at_ns > self._term_ns:
@@ -150,6 +152,6 @@
 
 
 def _process(name: str, members: Mapping[str, Member]) -> _Process | None:
-    """Return the process that is listed under a proxy's name; None where none is."""
+    """Return the process that is listed under a proxy's name; None if there is none."""
     member = members.get(name)
     return None if member is None else _Process(member.owner, member.epoch)
--- a/mothstall/fleet/operator_checks.py
+++ b/mothstall/fleet/operator_checks.py
@@ -22,7 +22,7 @@
 from mothstall.fleet.units import NS_PER_MS
 
 MAX_KEEPERS = (
-    9  # more replicas make commits slower and elections longer, and tolerate no likelier fault
+    9  # more replicas slow down commits and elections, and add tolerance of unlikely faults only
 )
 MAX_OBSERVERS = 256  # each is a subscriber of the keepers
 MAX_NAME_LENGTH = 100  # of a cluster, a keeper, a zone, a region or a prefix
@@ -49,7 +49,7 @@
     """
     is_keyed = config.key_file is not None
     if not 1 <= len(config.cluster) <= MAX_NAME_LENGTH:
-        raise _fault("$.cluster", f"has 1 to {MAX_NAME_LENGTH} letters")
+        raise _fault("$.cluster", f"must have 1 to {MAX_NAME_LENGTH} characters")
     _check_keepers(config.keepers, is_keyed)
     _check_observers(config.observers, is_keyed)
     _check_agent(config.agent, is_keyed)
@@ -69,14 +69,14 @@
 
 def _check_keepers(keepers: Sequence[KeeperConfig], is_keyed: bool) -> None:
     if not 1 <= len(keepers) <= MAX_KEEPERS:
-        raise _fault("$.keepers", f"names 1 to {MAX_KEEPERS}, 3 or 5 as a rule")
+        raise _fault("$.keepers", f"must name 1 to {MAX_KEEPERS} keepers, usually 3 or 5")
     if not any(keeper.is_voter for keeper in keepers):
-        raise _fault("$.keepers:", "one voter at least")
+        raise _fault("$.keepers:", "at least one keeper must be a voter")
     names = [keeper.name for keeper in keepers]
     for index, keeper in enumerate(keepers):
         path = f"$.keepers[{index}]"
         if not 1 <= len(keeper.name) <= MAX_NAME_LENGTH or names.index(keeper.name) != index:
-            raise _fault(f"{path}.name", "must be a name of its own")
+            raise _fault(f"{path}.name", "must be a unique name of valid length")
         _check_addresses(path, keeper, is_keyed)
 
 
@@ -91,14 +91,16 @@
         if not has_valid_length or names.index(observer.name) != index:
             raise _fault(
                 f"{path}.name",
-                f"must be a name of its own, of 1 to {MAX_OBSERVER_NAME_LENGTH} letters",
+                f"must be a unique name of 1 to {MAX_OBSERVER_NAME_LENGTH} characters",
             )
         for key, value in (("zone", observer.zone), ("region", observer.region)):
             if len(value) > MAX_NAME_LENGTH:
-                raise _fault(f"{path}.{key}", f"has {MAX_NAME_LENGTH} letters at most")
+                raise _fault(f"{path}.{key}", f"must have at most {MAX_NAME_LENGTH} characters")
         region = region_of_zone.setdefault(observer.zone, observer.region)
         if region != observer.region:
-            raise _fault(f"{path}.region:", f"zone {observer.zone!r} stands in region {region!r}")
+            raise _fault(
+                f"{path}.region:", f"zone {observer.zone!r} is already in region {region!r}"
+            )
         _check_addresses(path, observer, is_keyed)
 
 
@@ -108,7 +110,7 @@
     if not 1 <= len(prefixes) <= MAX_BACKEND_PREFIXES or has_long_prefix:
         raise _fault(
             "$.agent.backends",
-            f"names 1 to {MAX_BACKEND_PREFIXES} prefixes of {MAX_NAME_LENGTH} letters at most",
+            f"must be 1 to {MAX_BACKEND_PREFIXES} prefixes of at most {MAX_NAME_LENGTH} characters",
         )
     if agent.listen is not None:
         _check_address("$.agent.listen", agent.listen, is_keyed)
@@ -122,7 +124,7 @@
         or timing.election_timeout_ns < min_election_timeout_ns
     ):
         raise _fault(
-            "$.timing:", "tick is 1ms or more, heartbeat a tick, election three heartbeats"
+            "$.timing:", "tick must be at least 1ms, heartbeat a tick, election three heartbeats"
         )
 
 
@@ -135,16 +137,16 @@
     if usable_ns < required_ns:
         raise _fault(
             "$.leases.term",
-            "leaves a holder no time: less margin and drift it must contain four round_trip, "
-            f"{required_ns / NS_PER_MS:.0f}ms, and contains {usable_ns / NS_PER_MS:.0f}ms",
+            "leaves a holder no time: less margin and drift it must be at least four round_trip, "
+            f"{required_ns / NS_PER_MS:.0f}ms, and is {usable_ns / NS_PER_MS:.0f}ms",
         )
     if leases.term_ns < MIN_ELECTIONS_PER_TERM * timing.election_timeout_ns:
-        raise _fault("$.leases.term", "must be two elections or more")
+        raise _fault("$.leases.term", "must be at least two elections")
 
 
 def _check_probing(probing: ProbingConfig) -> None:
     if probing.interval_ns < MIN_PROBE_INTERVAL_NS or probing.timeout_ns > probing.interval_ns:
-        raise _fault("$.probing.every", "is 10ms or more, and no less than timeout")
+        raise _fault("$.probing.every", "must be at least 10ms, and no less than timeout")
 
 
 def _check_failover(failover: FailoverConfig, zone: str) -> None:
@@ -154,13 +156,13 @@
     _check_failover_durations(failover)
     has_valid_reserve = 0.0 <= failover.capacity_reserve < 1.0
     if not has_valid_reserve or not 0.0 <= failover.capacity_per_weight <= MAX_CAPACITY_PER_WEIGHT:
-        raise _fault("$.failover:", "reserve is 0 to below 1, bears 0 to 1000000")
+        raise _fault("$.failover:", "reserve must be 0 to below 1, bears 0 to 1000000")
 
 
 def _check_failover_durations(failover: FailoverConfig) -> None:
     interval_ns = failover.report_interval_ns
     if interval_ns < MIN_REPORT_INTERVAL_NS or failover.report_max_age_ns < 2 * interval_ns:
-        raise _fault("$.failover:", "every is 100ms or more, stale two of it")
+        raise _fault("$.failover:", "every must be at least 100ms, stale at least twice every")
     shortest_ns = min(
         failover.transition_spread_ns,
         failover.fade_ns,
@@ -170,7 +172,7 @@
     )
     is_spread_too_long = failover.transition_spread_ns > failover.hold_ns
     if is_spread_too_long or shortest_ns < MIN_FAILOVER_DURATION_NS:
-        raise _fault("$.failover:", "durations are 1ms or more, keep no less than spread")
+        raise _fault("$.failover:", "durations must be at least 1ms, keep no less than spread")
 
 
 def _check_regions(regions: Sequence[RegionConfig]) -> None:
@@ -179,15 +181,15 @@
     for index, region in enumerate(regions):
         path = f"$.failover.regions[{index}]"
         if not region.name or names.index(region.name) != index:
-            raise _fault(f"{path}.name", "must be a name of its own")
+            raise _fault(f"{path}.name", "must be a unique, non-empty name")
         zones = set(region.zones)
         if not zones or zones & known_zones or len(zones) < len(region.zones):
             raise _fault(
-                f"{path}.zones:", "a zone stands in one region, and a region has one at least"
+                f"{path}.zones:", "a zone must be in one region only, and a region must have a zone"
             )
         for near in region.nearest_regions:
             if near not in names or near == region.name:
-                raise _fault(f"{path}.near:", f"{near!r} is no other region")
+                raise _fault(f"{path}.near:", f"{near!r} is not another region")
         known_zones |= zones
     if len(known_zones) > MAX_ZONES:
         raise _fault("$.failover.regions:", f"more than {MAX_ZONES} zones")
--- a/mothstall/fleet/operator_config.py
+++ b/mothstall/fleet/operator_config.py
@@ -1,7 +1,7 @@
-"""The structs of the operator file: keepers, observers, and what a proxy does for the fleet.
+"""The structs of the operator file: keepers, observers, and the proxies' part in the fleet.
 
 They mirror the file's tables. A field whose name differs from its key gives the key by `name=`, so
-that the keys of existing files stay. Durations are nanoseconds.
+that existing files stay valid. Durations are nanoseconds.
 """
 
 from __future__ import annotations
@@ -67,13 +67,13 @@
 
 
 class TimingConfig(_Section, kw_only=True, frozen=True):
-    """Raft's clock.
+    """Timing of Raft.
 
     Attributes:
         tick_ns: Interval of the keepers' periodic work.
         heartbeat_ns: Interval of the leader's heartbeats.
-        election_timeout_ns: Silence of the leader until an election; drawn between once and twice
-            this.
+        election_timeout_ns: Time without a heartbeat until an election; drawn between once and
+            twice this.
     """
 
     tick_ns: Duration = msgspec.field(default=parse_duration("20ms"), name="tick")
@@ -85,21 +85,21 @@
     """Log compaction.
 
     Attributes:
-        snapshot_interval_entries: Applied entries between two snapshots; older ones may be
-            dropped.
+        snapshot_interval_entries: Applied entries between two snapshots; entries before a snapshot
+            may be dropped.
     """
 
     snapshot_interval_entries: int = msgspec.field(default=2000, name="snapshot_every")
 
 
 class LeaseConfig(_Section, kw_only=True, frozen=True):
-    """How leases count.
+    """Timing of leases.
 
     Attributes:
         term_ns: Duration of a lease.
-        margin_ns: A holder stops this much before its term ends.
-        max_clock_drift: Greatest relative difference between the rates of two steady clocks.
-        round_trip_ns: Duration of a commit as a holder sees it; a term has to contain several.
+        margin_ns: Time before the end of its term at which a holder stops acting.
+        max_clock_drift: Greatest relative difference between the rates of two monotonic clocks.
+        round_trip_ns: Duration of a commit, measured at a holder; a term has to contain several.
     """
 
     term_ns: Duration = msgspec.field(default=parse_duration("2s"), name="term")
@@ -112,10 +112,10 @@
     """The agent in a proxy.
 
     Attributes:
-        data_folder: Folder of what must survive a restart: local drains and highest fencing tokens.
-        listen: Where it accepts local drains and commands; None: nowhere.
-        backend_prefixes: Where observers are configured, the backends that it subscribes to, by the
-            beginning of their names; "" is all of them.
+        data_folder: Folder of the state that survives restarts: local drains, fencing tokens.
+        listen: Where it accepts local drains and commands; None: it accepts none.
+        backend_prefixes: Where observers are configured, name prefixes of the backends that it
+            subscribes to; "" matches all.
     """
 
     data_folder: str | None = msgspec.field(default=None, name="data")
@@ -152,7 +152,7 @@
 
 
 class FailoverConfig(_Section, kw_only=True, frozen=True):
-    """Zone failover, which the fleet decides in common.
+    """Zone failover, coordinated across the fleet.
 
     Attributes:
         is_enabled: Whether this proxy takes part.
@@ -161,12 +161,12 @@
         report_max_age_ns: Age from which a report no longer counts.
         transition_spread_ns: Interval over which the proxies adopt a new plan.
         hold_ns: How long a proxy without contact keeps a plan unchanged.
-        fade_ns: Time after that in which the plan fades out.
+        fade_ns: Time after `hold_ns` in which the plan fades out.
         recovery_step_ns: Time between two steps of the recovery ramp.
-        recovery_wait_ns: Time before a recovery is attempted; doubles with each that failed.
+        recovery_wait_ns: Time before a recovery is attempted; doubles with each failed one.
         calm_ns: Time without a fault after which earlier failed recoveries are forgotten.
-        capacity_reserve: Part of a zone's capacity that stays free of moved traffic.
-        capacity_per_weight: Requests a second for one unit of weight; 0: as observed.
+        capacity_reserve: Fraction of a zone's capacity that stays free of moved traffic.
+        capacity_per_weight: Requests a second for one unit of weight; 0: as measured.
     """
 
     is_enabled: bool = msgspec.field(default=False, name="on")
@@ -192,9 +192,9 @@
         key_file: File of the shared key; None: loopback addresses only.
         zone: The zone of the process that reads the file.
         observers: Where there are any, proxies attach to them and connect to no keeper.
-        timing: Raft's clock.
+        timing: Timing of Raft.
         store: Log compaction.
-        leases: How leases count.
+        leases: Timing of leases.
         agent: The agent in a proxy.
         probing: Health checks that the proxies share.
         failover: Zone failover.
--- a/mothstall/fleet/probing/__init__.py
+++ b/mothstall/fleet/probing/__init__.py
@@ -1,5 +1,6 @@
-"""Health checks that all proxies share: who probes which backend, and what follows. Pure.
+"""Health checks that all proxies share: assignment of probers, and results of probes. Pure.
 
-Backends are divided among the live proxies by rendezvous hashing; a lease confirms each prober. The
-result travels as a health hint: advice with its age and evidence, which no rule depends on.
+Backends are divided among the live proxies by rendezvous hashing; each prober holds a lease for its
+backend. Results are published as health hints: advice with its age and evidence, on which no rule
+depends.
 """
--- a/mothstall/fleet/probing/assignment.py
+++ b/mothstall/fleet/probing/assignment.py
@@ -1,8 +1,8 @@
 """Assignment of backends to probers by rendezvous hashing. Pure.
 
-Each backend belongs to the live proxy of the highest weight for it, so that a proxy that joins or
-leaves moves only its own part (Thaler and Ravishankar, "Using name-based mappings to increase hit
-rates", 1998).
+Each backend is assigned to the live proxy with the highest weight for it, so that a proxy that
+joins or leaves changes only its own assignments (Thaler and Ravishankar, "Using name-based mappings
+to increase hit rates", 1998).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def assigned_prober(backend: str, proxies: Iterable[str]) -> str:
-    """Return the proxy that probes a backend; empty where no proxy is live."""
+    """Return the proxy that probes a backend; empty if no proxy is live."""
     weights = [(_rendezvous_weight(name, backend), name) for name in proxies]
     return max(weights)[1] if weights else ""
 
@@ -37,13 +37,14 @@
 class ProbeAssignment:
     """The result of `assigned_backends` for one proxy, updated as backends and proxies come and go.
 
-    For a backend that belongs to another proxy it is enough to know one live proxy with a higher
-    weight: its witness. One is found among n proxies in about ln n attempts, as each proxy that is
-    compared is equally likely to be the heaviest so far. So the first update is linear in the
-    backends times the logarithm of the proxies. A proxy that joins is compared for this proxy's own
-    backends; when one leaves, a new witness is searched for those backends whose witness it was,
-    which are few, as the search begins at another proxy for each backend. An update besides costs
-    the difference of the sets, and nothing where neither has changed.
+    For a backend of another proxy it suffices to keep one live proxy with a higher weight than this
+    proxy: the backend's witness. A witness is found among n proxies in about ln n attempts, as each
+    proxy that is compared is equally likely to have the highest weight so far. So the first update
+    is linear in the backends times the logarithm of the proxies. When a proxy joins, it is compared
+    for this proxy's own backends only. When a proxy leaves, a new witness is searched for the
+    backends whose witness it was; these are few, as the search starts at a different proxy for each
+    backend. Apart from that, an update is linear in the difference of the sets, and takes constant
+    time if neither has changed.
 
     Attributes:
         proxy: The name of this proxy.
@@ -52,10 +53,10 @@
 
     proxy: str
     assigned: set[str] = field(default_factory=set)
-    _backends: Collection[str] | None = None  # as last given
-    _live_proxies: Collection[str] | None = None  # as last given
+    _backends: Collection[str] | None = None  # of the last call
+    _live_proxies: Collection[str] | None = None  # of the last call
     _other_proxies: list[str] = field(default_factory=list)  # in any order
-    _position: dict[str, int] = field(default_factory=dict)  # in `_other_proxies`
+    _position: dict[str, int] = field(default_factory=dict)  # index in `_other_proxies`
     _witness: dict[str, str] = field(default_factory=dict)  # by backend
     _witnessed: dict[str, set[str]] = field(default_factory=dict)  # backends by their witness
 
@@ -104,7 +105,7 @@
         return without_witness
 
     def _remove_proxy(self, name: str) -> None:
-        """Remove in constant time: the last proxy of the list takes the place."""
+        """Remove a proxy in constant time: the last one in the list takes its place."""
         position = self._position.pop(name)
         last = self._other_proxies.pop()
         if last != name:
@@ -132,8 +133,8 @@
     def _search_witness(self, backend: str) -> None:
         """Assign the backend to this proxy unless a proxy with a higher weight is found.
 
-        The search begins at another proxy for each backend, so that each proxy becomes the
-        witness of its part only.
+        The search starts at a different proxy for each backend, so that the backends are spread
+        over all witnesses.
         """
         own_weight = _rendezvous_weight(self.proxy, backend)
         count = len(self._other_proxies)
@@ -146,7 +147,7 @@
         self.assigned.add(backend)
 
     def _compare(self, backend: str, joined: Iterable[str]) -> None:
-        """Give up a backend for which a proxy that joined has a higher weight."""
+        """Drop a backend if a proxy that joined has a higher weight for it."""
         own_weight = _rendezvous_weight(self.proxy, backend)
         for name in joined:
             if (_rendezvous_weight(name, backend), name) > (own_weight, self.proxy):
--- a/mothstall/fleet/probing/health_checker.py
+++ b/mothstall/fleet/probing/health_checker.py
@@ -1,4 +1,4 @@
-"""What a prober concludes from its probes. Pure."""
+"""Evaluation of a prober's probe results. Pure."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from mothstall.fleet.probing.health_hint import HealthHint
 from mothstall.fleet.units import NS_PER_MS
 
-UNHEALTHY_AFTER_FAILURES = 3  # consecutive ones; a single loss is no verdict
-MAX_EVIDENCE_LENGTH = 200  # characters, so that a hint stays below its limit
+UNHEALTHY_AFTER_FAILURES = 3  # consecutive; a single lost probe proves nothing
+MAX_EVIDENCE_LENGTH = 200  # characters; keeps a hint below `MAX_HINT_BYTES`
 
 
 @dataclass(slots=True)
 class _BackendHealth:
-    """One backend by this prober's own probes.
+    """Results of this prober's own probes of one backend.
 
     Attributes:
         state_since_ns: When `is_unhealthy` last changed.
-        published_unhealthy: The state in the last published hint; None: none was published.
+        published_unhealthy: The state in the last published hint; None before the first hint.
     """
 
     state_since_ns: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class HealthChecker:
-    """The results of one proxy's probes, by the backend's name."""
+    """The results of one proxy's probes, by backend name."""
 
     backends: dict[str, _BackendHealth] = field(default_factory=dict)
 
@@ -41,7 +41,7 @@
         self.backends = {name: health for name, health in self.backends.items() if name in names}
 
     def record_probe(self, backend: str, succeeded: bool, evidence: str, now_ns: int) -> None:
-        """Count the result of one probe."""
+        """Record the result of one probe."""
         health = self.backends.setdefault(backend, _BackendHealth(state_since_ns=now_ns))
         health.probe_count += 1
         health.consecutive_failures = 0 if succeeded else health.consecutive_failures + 1
@@ -57,7 +57,7 @@
         return bool(probed) and all(health.consecutive_failures for health in probed)
 
     def pending_hints(self, now_ns: int) -> Mapping[str, HealthHint]:
-        """Return by backend the hints that differ from the published ones.
+        """Return, by backend, the hints whose state differs from the published one.
 
         Empty while the prober suspects its own network.
         """
@@ -75,7 +75,7 @@
         }
 
     def mark_published(self, backend: str, is_unhealthy: bool) -> None:
-        """Remember that a hint of this state is in the store."""
+        """Record that a hint of this state is in the store."""
         health = self.backends.get(backend)
         if health is not None:
             health.published_unhealthy = is_unhealthy
--- a/mothstall/fleet/probing/health_hint.py
+++ b/mothstall/fleet/probing/health_hint.py
@@ -1,21 +1,21 @@
-"""Health hints: what a prober tells the other proxies of a backend, as it is stored. Pure."""
+"""Health hints: stored results of a prober about a backend, for the other proxies. Pure."""
 
 from __future__ import annotations
 
 import msgspec
 
-HEALTH_HINT_PREFIX = "hint/"  # of the stored value's name, then the backend's name
-MAX_HINT_BYTES = 1024  # guards the proxies against a value of another origin
+HEALTH_HINT_PREFIX = "hint/"  # of the stored value's name; followed by the backend's name
+MAX_HINT_BYTES = 1024  # guards against a stored value that is not a hint
 
 
 class HealthHint(msgspec.Struct, frozen=True, array_like=True):
-    """The state of a backend by its prober's account. Stored as an array: the order never changes.
+    """The state of a backend by its probes. Stored as an array: the order of fields never changes.
 
     Attributes:
         is_unhealthy: Whether probes fail.
         evidence: Result of the last probe, for operators.
-        state_age_ms: How long the state had lasted when the hint was written.
-        probe_count: Probes that the prober had made.
+        state_age_ms: Milliseconds for which the state had lasted when the hint was written.
+        probe_count: Probes that the prober had made by then.
     """
 
     is_unhealthy: bool
@@ -25,7 +25,7 @@
 
 
 def decode_health_hint(data: bytes) -> HealthHint | None:
-    """Return the hint in a stored value; None for bytes that are no hint."""
+    """Return the hint in a stored value; None if the bytes are not a hint."""
     if len(data) > MAX_HINT_BYTES:
         return None
     try:
--- a/mothstall/fleet/probing/probe_schedule.py
+++ b/mothstall/fleet/probing/probe_schedule.py
@@ -1,4 +1,4 @@
-"""How often a backend may be probed while its prober changes. Pure."""
+"""Limit on the probe rate of a backend whose prober changes. Pure."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 @dataclass(slots=True)
 class ProbeSchedule:
-    """When one proxy may probe each backend; times in ns of its steady clock, by the lease's name.
+    """When one proxy may probe each backend; monotonic times in ns, by lease name.
 
-    Guards against leases that change hands often: a prober remembers its last probe across the loss
-    of its lease, and lets half of the interval pass after it last saw another proxy hold it. So
-    however often a backend changes its prober, it is probed at most twice as often as planned.
+    Guards against excessive probes while leases change holders often: a prober keeps the time of
+    its last probe across the loss of its lease, and waits for half of the interval after it last
+    saw another proxy hold the lease. So however often a backend's prober changes, the backend is
+    probed at most twice as often as configured.
 
     Attributes:
         interval_ns: Time between two probes of one backend.
         last_probe_ns: When this proxy last probed.
-        last_held_elsewhere_ns: When this proxy last saw another one hold the lease.
+        last_held_elsewhere_ns: When this proxy last saw another proxy hold the lease.
     """
 
     interval_ns: int
--- a/tests/commands/test_store_commands.py
+++ b/tests/commands/test_store_commands.py
@@ -94,7 +94,7 @@
     backup = tmp_path / "copy"
     commands.text("keepers", "backup", str(backup))
     keeper.stop()
-    assert "is there already" in restore(capsys, tmp_path, backup, code=3)
+    assert "already exists" in restore(capsys, tmp_path, backup, code=3)
 
 
 def test_restored_backup_starts_a_new_keeper_and_other_files_are_rejected(
@@ -112,7 +112,7 @@
     write_operator_file(other / "own.toml", 1, data=str(other))
     rubbish = other / "rubbish"
     rubbish.write_bytes(b"rubbish")
-    assert "is no backup" in restore(capsys, other, rubbish, code=2)
+    assert "is not a backup" in restore(capsys, other, rubbish, code=2)
     assert "1 drains" in restore(capsys, other, backup)
     restored = RunningKeeper.start(other, capsys)
     try:
--- a/tests/commands/test_zone_commands.py
+++ b/tests/commands/test_zone_commands.py
@@ -79,6 +79,6 @@
         assert zones("hold", "--for", "5m")["said"] == "30% away from b; hold for 300 s"
         assert "30% away from b" in zones()["orders"]
         assert zones("resume", "b")["said"] == "hold for 300 s"
-        assert "no proxy reports of q" in rejected("evacuate", "q")
+        assert "no proxy reports on zone q" in rejected("evacuate", "q")
         assert "--part 0% to 100%" in rejected("shift", "--from", "b", "--part", "a lot")
         assert "decided_by: nobody" in commands.text("zones")
