--- a/mothstall/commands/drains.py
+++ b/mothstall/commands/drains.py
@@ -49,7 +49,7 @@
     parser.add_argument(
         "--at",
         metavar="HOST:PORT",
-        help="send it to a proxy, whose agent applies it at once, and stores it when keepers answer",
+        help="send to one proxy, whose agent applies it at once and stores it once keepers answer",
     )
 
 
--- a/mothstall/commands/keepers.py
+++ b/mothstall/commands/keepers.py
@@ -93,7 +93,7 @@
     for reason in reasons.values():
         if _is_leaders_rejection(reason):
             raise CommandRejectedError(reason)
-    raise KeeperUnavailableError("; ".join(f"{name}: {why}" for name, why in reasons.items()))
+    raise KeeperUnavailableError("; ".join(f"{name}: {reason}" for name, reason in reasons.items()))
 
 
 def _rejection(reply: KeeperReply) -> str:
--- a/mothstall/commands/zones.py
+++ b/mothstall/commands/zones.py
@@ -58,7 +58,7 @@
 
 def run_zone_command(operator: OperatorConfig, args: argparse.Namespace) -> dict[str, Any]:
     """Show the plan and its evidence, or write an operator's override and show its effect."""
-    statement = ZoneCommand(
+    command = ZoneCommand(
         verb=ZoneVerb(args.verb),
         zone=args.zone,
         source_zone=args.source_zone,
@@ -69,5 +69,5 @@
         reason=args.why,
         wait_s=args.wait,
     )
-    output: dict[str, Any] = asyncio.run(zone_commands.run_zone_command(operator, statement))
+    output: dict[str, Any] = asyncio.run(zone_commands.run_zone_command(operator, command))
     return output
--- a/mothstall/fleet/failover/assessment.py
+++ b/mothstall/fleet/failover/assessment.py
@@ -74,8 +74,10 @@
     evidence = ZoneEvidence()
     for origin, group in sorted(by_origin.items()):
         _add_traffic(evidence, origin, group, plan_number, is_capped)
-    evidence.warm_weights = _medians([(one.proxy_count, one.warm_weights) for one in merged])
-    evidence.utilization = _medians([(one.proxy_count, one.utilization) for one in merged])
+    evidence.warm_weights = _medians(
+        [(record.proxy_count, record.warm_weights) for record in merged]
+    )
+    evidence.utilization = _medians([(record.proxy_count, record.utilization) for record in merged])
     evidence.assessments = _assess_zones(by_origin, is_capped)
     _raise_to_newest(evidence, current, is_capped)
     evidence.isolated_zones = _find_isolated_zones(evidence)
@@ -84,8 +86,8 @@
 
 def _group_by_origin(merged: Iterable[MergedReports]) -> dict[str, list[MergedReports]]:
     groups: dict[str, list[MergedReports]] = {}
-    for one in merged:
-        groups.setdefault(one.zone, []).append(one)
+    for record in merged:
+        groups.setdefault(record.zone, []).append(record)
     return groups
 
 
@@ -97,31 +99,33 @@
     is_capped: bool,
 ) -> None:
     """Add one zone's rates, its proxy count, and the fraction of proxies that follow the plan."""
-    proxy_count = sum(one.proxy_count for one in group)
-    on_plan = sum(one.proxies_on_plan for one in group if one.plan_number == plan_number)
+    proxy_count = sum(record.proxy_count for record in group)
+    on_plan = sum(record.proxies_on_plan for record in group if record.plan_number == plan_number)
     evidence.proxy_counts[origin] = round(proxy_count)
     evidence.on_plan_fractions[origin] = on_plan / proxy_count
     evidence.request_rates[origin] = capped_sum(
-        [(one.proxy_count, one.request_rate) for one in group], is_capped
+        [(record.proxy_count, record.request_rate) for record in group], is_capped
     )
     for zone in _target_zones(group):
         rates = [
-            (sample.proxy_count, sample.attempts / one.interval_s)
-            for one in group
-            for sample in one.samples.get(zone, ())
+            (sample.proxy_count, sample.attempts / record.interval_s)
+            for record in group
+            for sample in record.samples.get(zone, ())
         ]
         evidence.attempt_rates.setdefault(origin, {})[zone] = capped_sum(rates, is_capped)
 
 
 def _target_zones(group: Iterable[MergedReports]) -> list[str]:
-    return sorted({zone for one in group for zone in one.samples})
+    return sorted({zone for record in group for zone in record.samples})
 
 
 def _medians(rows: Sequence[tuple[float, Mapping[str, float]]]) -> dict[str, float]:
     """Return, for each zone, the median over proxies of the values that they report for it."""
-    zones = sorted({zone for _, levels in rows for zone in levels})
+    zones = sorted({zone for _, by_zone in rows for zone in by_zone})
     return {
-        zone: weighted_median([(count, levels[zone]) for count, levels in rows if zone in levels])
+        zone: weighted_median(
+            [(count, by_zone[zone]) for count, by_zone in rows if zone in by_zone]
+        )
         for zone in zones
     }
 
@@ -137,8 +141,10 @@
     newest = merge_by_proxy(list(newest_by_proxy(reports).values()))
     for origin, targets in _assess_zones(_group_by_origin(newest), is_capped).items():
         for zone, assessment in targets.items():
-            known = evidence.assessments[origin][zone]
-            known.unhealthy_fraction = max(known.unhealthy_fraction, assessment.unhealthy_fraction)
+            combined = evidence.assessments[origin][zone]
+            combined.unhealthy_fraction = max(
+                combined.unhealthy_fraction, assessment.unhealthy_fraction
+            )
 
 
 def _assess_zones(by_origin: _ByOrigin, is_capped: bool) -> dict[str, dict[str, ZoneAssessment]]:
@@ -154,7 +160,9 @@
     group: Iterable[MergedReports], zone: str, is_capped: bool
 ) -> list[_WeightedSample]:
     """Return the samples of all proxies that sent to the zone, with each proxy's weight capped."""
-    samples = [sample for one in group for sample in one.samples.get(zone, ()) if sample.attempts]
+    samples = [
+        sample for record in group for sample in record.samples.get(zone, ()) if sample.attempts
+    ]
     cap = cap_per_proxy([(sample.proxy_count, sample.attempts) for sample in samples], is_capped)
     return [
         _WeightedSample(min(attempts, cap * proxy_count), attempts, bad_attempts, proxy_count)
@@ -229,11 +237,11 @@
     if any(_is_healthy(evidence.assessments[origin][zone]) for zone in others):
         return False
     return any(
-        far != origin
+        other_origin != origin
         and zone in others
         and assessment.attempts >= MIN_ATTEMPTS
         and _is_healthy(assessment)
-        for far, targets in evidence.assessments.items()
+        for other_origin, targets in evidence.assessments.items()
         for zone, assessment in targets.items()
     )
 
--- a/mothstall/fleet/failover/baseline.py
+++ b/mothstall/fleet/failover/baseline.py
@@ -25,17 +25,17 @@
     for origin in evidence.request_rates:
         rates = evidence.attempt_rates.get(origin, {})
         total = sum(rates.values())
-        is_ordinary = total > 0 and _is_ordinary(origin, evidence, last)
+        is_normal = total > 0 and _is_normal_operation(origin, evidence, last)
         if origin not in baseline:
             baseline[origin] = {origin: 1.0}
-            if is_ordinary:
+            if is_normal:
                 baseline[origin] = {zone: rate / total for zone, rate in rates.items() if rate > 0}
-        elif is_ordinary:
+        elif is_normal:
             baseline[origin] = _smooth(baseline[origin], rates, zones)
     return baseline
 
 
-def _is_ordinary(origin: str, evidence: ZoneEvidence, last: FailoverPlan) -> bool:
+def _is_normal_operation(origin: str, evidence: ZoneEvidence, last: FailoverPlan) -> bool:
     """Whether the last plan has no weights, and `origin` sends to no unhealthy zone."""
     return not last.weights and not any(
         evidence.unhealthy_fraction(origin, zone) > UNHEALTHY_FRACTION_THRESHOLD
@@ -44,12 +44,12 @@
 
 
 def _smooth(
-    known: Mapping[str, float], rates: Mapping[str, float], zones: Sequence[str]
+    previous: Mapping[str, float], rates: Mapping[str, float], zones: Sequence[str]
 ) -> dict[str, float]:
-    """Move known weights towards current rates by the gain; the weights add up to one."""
+    """Move previous weights towards current rates by the gain; the weights add up to one."""
     total_rate = sum(rates.values())
     mixed = {
-        zone: (1 - BASELINE_SMOOTHING_GAIN) * known.get(zone, 0.0)
+        zone: (1 - BASELINE_SMOOTHING_GAIN) * previous.get(zone, 0.0)
         + BASELINE_SMOOTHING_GAIN * rates.get(zone, 0.0) / total_rate
         for zone in zones
     }
--- a/mothstall/fleet/failover/capacity.py
+++ b/mothstall/fleet/failover/capacity.py
@@ -41,12 +41,12 @@
         utilization = evidence.utilization.get(zone, 0.0)
         if utilization >= MIN_UTILIZATION:
             estimate = rate / utilization / warm_weight
-            known = measured.get(zone, estimate)
-            capacity = known + CAPACITY_SMOOTHING_GAIN * (estimate - known)
+            previous = measured.get(zone, estimate)
+            capacity = previous + CAPACITY_SMOOTHING_GAIN * (estimate - previous)
             measured[zone] = round(capacity, CAPACITY_DECIMALS)
-        elif _serves_well(zone, evidence):
-            known = measured.get(zone, 0.0) * (1.0 - CAPACITY_DECAY_PER_S * elapsed_ms / 1000)
-            measured[zone] = round(max(known, rate / warm_weight), CAPACITY_DECIMALS)
+        elif _counts_as_served(zone, evidence):
+            previous = measured.get(zone, 0.0) * (1.0 - CAPACITY_DECAY_PER_S * elapsed_ms / 1000)
+            measured[zone] = round(max(previous, rate / warm_weight), CAPACITY_DECIMALS)
     return measured
 
 
@@ -71,7 +71,7 @@
     return any(utilization > 0.0 for utilization in evidence.utilization.values())
 
 
-def _serves_well(zone: str, evidence: ZoneEvidence) -> bool:
+def _counts_as_served(zone: str, evidence: ZoneEvidence) -> bool:
     """Whether enough attempts to a zone are good for its rate to count as served."""
     assessments = [targets[zone] for targets in evidence.assessments.values() if zone in targets]
     attempts = sum(assessment.attempts for assessment in assessments)
--- a/mothstall/fleet/failover/controller.py
+++ b/mothstall/fleet/failover/controller.py
@@ -81,7 +81,7 @@
             )
         )
         window = ReportWindow(config.report_max_age_ns // NS_PER_MS)
-        self._maker = PlanMaker(policy_from_config(config), window, interval_ms)
+        self._plan_maker = PlanMaker(policy_from_config(config), window, interval_ms)
         self._unreadable_reports = 0
         # The encoded plan that was decoded last.
         self._plan_data = b""
@@ -89,12 +89,12 @@
     @property
     def evidence(self) -> ZoneEvidence:
         """The assessment of all reports when this proxy last made a plan."""
-        return self._maker.evidence
+        return self._plan_maker.evidence
 
     @property
     def report_window(self) -> ReportWindow:
         """The reports that plans are made from."""
-        return self._maker.report_window
+        return self._plan_maker.report_window
 
     def status_counters(self) -> dict[str, int]:
         """Return the counters for `/counters`; `zone_plan_percent` is the weights' strength."""
@@ -105,8 +105,8 @@
             "zone_stays_percent": round(100 * applied.overflow_fraction),
             "zone_reports": self._reports.reports_taken,
             "zone_reports_unread": self._unreadable_reports,
-            "zone_plans_made": self._maker.plans_made,
-            "zone_plans_refused": self._maker.plans_rejected,
+            "zone_plans_made": self._plan_maker.plans_made,
+            "zone_plans_refused": self._plan_maker.plans_rejected,
         }
 
     def record_attempt(
@@ -127,7 +127,7 @@
             if report is None or not is_from_known_observer(report, self._observers):
                 self._unreadable_reports += 1
             else:
-                self._maker.report_window.add(report, now_ms)
+                self._plan_maker.report_window.add(report, now_ms)
 
     def apply_snapshot(self, snapshot: ClusterSnapshot, now_ms: int) -> None:
         """Adopt the plan in a new snapshot of the state, unless it is older than the last one."""
@@ -153,15 +153,15 @@
             self._feed.applied.plan_number,
         )
 
-    def apply_due_weights(self, now_ms: int, silent_ms: int) -> None:
+    def apply_due_weights(self, now_ms: int, contact_age_ms: int) -> None:
         """Apply the routing weights when they change, and again before their lifetime ends.
 
         Args:
             now_ms: The time.
-            silent_ms: Milliseconds since the last contact with a keeper that has a leader; negative
-                before the first contact.
+            contact_age_ms: Milliseconds since the last contact with a keeper that has a leader;
+                negative before the first contact.
         """
-        weights = self._feed.current(now_ms, silent_ms)
+        weights = self._feed.current(now_ms, contact_age_ms)
         if weights is None:
             return
         self._reports.note_plan(weights.plan_number)
@@ -177,8 +177,8 @@
         on_rejected: Callable[[str], None],
     ) -> PutValue | None:
         """Return the write of the plan that is due now, if any; see `PlanMaker.next_write`."""
-        return self._maker.next_write(token, self.plan, snapshot.values, now_ms, on_rejected)
+        return self._plan_maker.next_write(token, self.plan, snapshot.values, now_ms, on_rejected)
 
     def mark_written(self) -> None:
         """Record that the store has the plan; otherwise it is written again at the next tick."""
-        self._maker.mark_written()
+        self._plan_maker.mark_written()
--- a/mothstall/fleet/failover/merged_reports.py
+++ b/mothstall/fleet/failover/merged_reports.py
@@ -71,21 +71,21 @@
 
 
 def _merge(newest: TrafficReport, reports: Iterable[TrafficReport]) -> MergedReports:
-    of_zone = [report for report in reports if report.zone == newest.zone]
-    interval_s = sum(report.interval_ms for report in of_zone) / 1000
+    zone_reports = [report for report in reports if report.zone == newest.zone]
+    interval_s = sum(report.interval_ms for report in zone_reports) / 1000
     samples: Mapping[str, Sequence[AttemptSample]]
     if newest.proxy_count:
-        samples = _histogram_samples([report for report in of_zone if report.proxy_count])
+        samples = _histogram_samples([report for report in zone_reports if report.proxy_count])
         proxy_count = float(newest.proxy_count)
         proxies_on_plan = float(newest.proxies_on_plan)
     else:
-        samples = {zone: [sample] for zone, sample in _sum_outcomes(of_zone).items()}
+        samples = {zone: [sample] for zone, sample in _sum_outcomes(zone_reports).items()}
         proxy_count = 1.0
         proxies_on_plan = 1.0
     return MergedReports(
         zone=newest.zone,
         interval_s=interval_s,
-        request_rate=sum(report.requests for report in of_zone) / interval_s,
+        request_rate=sum(report.requests for report in zone_reports) / interval_s,
         plan_number=newest.plan_number,
         proxies_on_plan=proxies_on_plan,
         proxy_count=proxy_count,
--- a/mothstall/fleet/failover/plan_maker.py
+++ b/mothstall/fleet/failover/plan_maker.py
@@ -25,7 +25,7 @@
 
 # Intervals after which an unchanged plan is written as well, so that the next holder of the lease
 # gets the state that it carries (recovery ramps, capacities, baselines).
-UNCHANGED_PLAN_INTERVALS = 5
+UNCHANGED_PLAN_WRITE_INTERVALS = 5
 
 
 class PlanMaker:
@@ -139,7 +139,7 @@
         if decision.has_changed:
             self._has_unwritten_change = True
         is_refresh_due = (
-            now_ms - self._written_at_ms >= UNCHANGED_PLAN_INTERVALS * self._interval_ms
+            now_ms - self._written_at_ms >= UNCHANGED_PLAN_WRITE_INTERVALS * self._interval_ms
         )
         if not self._has_unwritten_change and not is_refresh_due:
             return False
--- a/mothstall/fleet/failover/reports.py
+++ b/mothstall/fleet/failover/reports.py
@@ -222,13 +222,13 @@
     return (
         has_valid_counts
         and 0 < report.interval_ms <= MAX_INTERVAL_MS
-        and _are_counts([report.sequence_number, report.plan_number], MAX_COUNT)
-        and _has_valid_levels(report)
+        and _are_within_limit([report.sequence_number, report.plan_number], MAX_COUNT)
+        and _has_valid_weights_and_utilization(report)
         and _has_valid_names(report)
     )
 
 
-def _are_counts(numbers: Sequence[int], limit: int) -> bool:
+def _are_within_limit(numbers: Sequence[int], limit: int) -> bool:
     return all(0 <= number <= limit for number in numbers)
 
 
@@ -240,7 +240,7 @@
             return False
         for row in by_class.values():
             counts += [row.good, row.late, row.failed, row.connect_failed, row.rejected]
-    return _are_counts(counts, MAX_COUNT)
+    return _are_within_limit(counts, MAX_COUNT)
 
 
 def _has_valid_aggregate_counts(report: TrafficReport) -> bool:
@@ -254,7 +254,7 @@
             return False
         if not all(_is_valid_bucket(bucket, report.proxy_count) for bucket in histogram):
             return False
-    return _are_counts([report.requests, report.rejected], MAX_AGGREGATE_COUNT)
+    return _are_within_limit([report.requests, report.rejected], MAX_AGGREGATE_COUNT)
 
 
 def _is_valid_bucket(bucket: HistogramBucket, proxy_count: int) -> bool:
@@ -264,9 +264,9 @@
     )
 
 
-def _has_valid_levels(report: TrafficReport) -> bool:
-    levels = [*report.warm_weights.values(), *report.utilization.values()]
-    return all(math.isfinite(level) and 0.0 <= level <= MAX_COUNT for level in levels)
+def _has_valid_weights_and_utilization(report: TrafficReport) -> bool:
+    values = [*report.warm_weights.values(), *report.utilization.values()]
+    return all(math.isfinite(value) and 0.0 <= value <= MAX_COUNT for value in values)
 
 
 def _has_valid_names(report: TrafficReport) -> bool:
--- a/mothstall/fleet/failover/transition.py
+++ b/mothstall/fleet/failover/transition.py
@@ -103,7 +103,7 @@
         """
         if plan.number <= self.plan_number:
             return False
-        before = self._blend(now_ms)
+        before = self._interpolate(now_ms)
         row = plan.weights.get(self.zone)
         if row:
             overflow_fraction = plan.overflow_fractions.get(self.zone, 0.0)
@@ -118,20 +118,20 @@
         self.plan_number = plan.number
         return True
 
-    def weights_at(self, now_ms: int, silent_ms: int) -> RoutingWeights:
+    def weights_at(self, now_ms: int, contact_age_ms: int) -> RoutingWeights:
         """Return the weights that are in force.
 
         Args:
             now_ms: The time.
-            silent_ms: Milliseconds since the last contact with a keeper that has a leader; negative
-                before the first contact.
+            contact_age_ms: Milliseconds since the last contact with a keeper that has a leader;
+                negative before the first contact.
         """
-        current = self._blend(now_ms)
-        expired_ms = silent_ms - self.hold_ms
-        if self.never_expires or (silent_ms >= 0 and expired_ms <= 0):
+        current = self._interpolate(now_ms)
+        expired_ms = contact_age_ms - self.hold_ms
+        if self.never_expires or (contact_age_ms >= 0 and expired_ms <= 0):
             return current
         remaining = 0.0
-        if silent_ms >= 0:
+        if contact_age_ms >= 0:
             remaining = max(0.0, 1.0 - expired_ms / max(1, self.fade_ms))
         return RoutingWeights(
             current.plan_number,
@@ -147,7 +147,7 @@
         digest = xxhash.xxh3_64_intdigest(f"{self.proxy}\0{plan_number}".encode())
         return int(digest / _HASH_RANGE * self.spread_ms / 2)
 
-    def _blend(self, now_ms: int) -> RoutingWeights:
+    def _interpolate(self, now_ms: int) -> RoutingWeights:
         """Return the interpolated weights at a time; a transition takes half of the spread."""
         before = self._change.before
         after = self._change.after
@@ -156,16 +156,16 @@
         if self.is_immediate:
             progress = 1.0
 
-        def mix(old: float, new: float) -> float:
+        def interpolate(old: float, new: float) -> float:
             return (1 - progress) * old + progress * new
 
         weights = {
-            zone: mix(before.weights.get(zone, 0.0), after.weights.get(zone, 0.0))
+            zone: interpolate(before.weights.get(zone, 0.0), after.weights.get(zone, 0.0))
             for zone in sorted({*before.weights, *after.weights})
         }
         return RoutingWeights(
             plan_number=after.plan_number if progress >= 1.0 else 0,
             weights={zone: weight for zone, weight in weights.items() if weight > 0},
-            overflow_fraction=mix(before.overflow_fraction, after.overflow_fraction),
-            strength=mix(before.strength, after.strength),
+            overflow_fraction=interpolate(before.overflow_fraction, after.overflow_fraction),
+            strength=interpolate(before.strength, after.strength),
         )
--- a/mothstall/fleet/failover/weights_feed.py
+++ b/mothstall/fleet/failover/weights_feed.py
@@ -30,17 +30,17 @@
         self._applied_at_ms = 0
         self._checked_at_ms = 0
 
-    def current(self, now_ms: int, silent_ms: int) -> RoutingWeights | None:
+    def current(self, now_ms: int, contact_age_ms: int) -> RoutingWeights | None:
         """Return the weights in force; None if the last check was under `WEIGHTS_INTERVAL_MS` ago.
 
         Args:
             now_ms: The time.
-            silent_ms: See `PlanTransition.weights_at`.
+            contact_age_ms: See `PlanTransition.weights_at`.
         """
         if now_ms - self._checked_at_ms < WEIGHTS_INTERVAL_MS:
             return None
         self._checked_at_ms = now_ms
-        return self.transition.weights_at(now_ms, silent_ms)
+        return self.transition.weights_at(now_ms, contact_age_ms)
 
     def must_apply(self, weights: RoutingWeights, now_ms: int) -> bool:
         """Whether weights differ from the applied ones, or the applied ones expire soon."""
--- a/mothstall/fleet/failover/zone_commands.py
+++ b/mothstall/fleet/failover/zone_commands.py
@@ -50,7 +50,7 @@
 # Maximum milliseconds of a hold: a day.
 MAX_HOLD_MS = 24 * 3_600_000
 # Report intervals for which reports are collected: long enough for one report of each proxy.
-COLLECTED_INTERVALS = 1.5
+COLLECTION_INTERVALS = 1.5
 _NS_PER_S = 1e9
 _PERCENT = re.compile(r"(\d{1,3})%")
 
@@ -160,7 +160,7 @@
 
     async def collect(self, plan_number: int) -> ZoneEvidence:
         """Wait until every proxy has reported, then assess the reports."""
-        await asyncio.sleep(COLLECTED_INTERVALS * self._interval_s)
+        await asyncio.sleep(COLLECTION_INTERVALS * self._interval_s)
         return assess_reports(self._window.current_reports(_now_ms()), plan_number)
 
 
--- a/mothstall/fleet/failover/zone_counters.py
+++ b/mothstall/fleet/failover/zone_counters.py
@@ -14,9 +14,9 @@
 _FAILED = 2
 _CONNECT_FAILED = 3
 _REJECTED = 4
-_OUTCOMES = 5
+_OUTCOME_COUNT = 5
 
-_POSITIONS = {
+_OUTCOME_POSITIONS = {
     AttemptResult.ERROR: _FAILED,
     AttemptResult.TIMEOUT: _FAILED,
     AttemptResult.RESET: _FAILED,
@@ -84,20 +84,20 @@
         if rows is None:
             if len(self._counts) >= MAX_ZONES:
                 return
-            rows = [[0] * _OUTCOMES for _ in self._classes]
+            rows = [[0] * _OUTCOME_COUNT for _ in self._classes]
             self._counts[zone] = rows
         if result == AttemptResult.OK:
             is_late = latency_ns > self._latency_objectives_ns[class_index]
             rows[class_index][_LATE if is_late else _GOOD] += 1
-        elif result in _POSITIONS:
-            rows[class_index][_POSITIONS[result]] += 1
+        elif result in _OUTCOME_POSITIONS:
+            rows[class_index][_OUTCOME_POSITIONS[result]] += 1
         if utilization >= 0.0:
-            known = self._utilization.get(zone)
-            if known is None:
-                known = _Utilization()
-                self._utilization[zone] = known
-            known.total += utilization
-            known.count += 1
+            zone_utilization = self._utilization.get(zone)
+            if zone_utilization is None:
+                zone_utilization = _Utilization()
+                self._utilization[zone] = zone_utilization
+            zone_utilization.total += utilization
+            zone_utilization.count += 1
 
     def take_report(
         self,
@@ -118,7 +118,10 @@
         """
         self._sequence_number += 1
         outcomes = {zone: self._outcomes_by_class(rows) for zone, rows in self._counts.items()}
-        utilization = {zone: known.total / known.count for zone, known in self._utilization.items()}
+        utilization = {
+            zone: zone_utilization.total / zone_utilization.count
+            for zone, zone_utilization in self._utilization.items()
+        }
         self._counts = {}
         self._utilization = {}
         return TrafficReport(
--- a/mothstall/fleet/operator_checks.py
+++ b/mothstall/fleet/operator_checks.py
@@ -47,15 +47,15 @@
     Raises:
         OperatorError: It cannot; the message is one line and names the key's path.
     """
-    is_keyed = config.key_file is not None
+    has_key_file = config.key_file is not None
     if not 1 <= len(config.cluster) <= MAX_NAME_LENGTH:
-        raise _fault("$.cluster", f"must have 1 to {MAX_NAME_LENGTH} characters")
-    _check_keepers(config.keepers, is_keyed)
-    _check_observers(config.observers, is_keyed)
-    _check_agent(config.agent, is_keyed)
+        raise _config_error("$.cluster", f"must have 1 to {MAX_NAME_LENGTH} characters")
+    _check_keepers(config.keepers, has_key_file)
+    _check_observers(config.observers, has_key_file)
+    _check_agent(config.agent, has_key_file)
     _check_timing(config.timing)
     if not MIN_SNAPSHOT_INTERVAL <= config.store.snapshot_interval_entries <= MAX_SNAPSHOT_INTERVAL:
-        raise _fault(
+        raise _config_error(
             "$.store.snapshot_every", f"must be {MIN_SNAPSHOT_INTERVAL} to {MAX_SNAPSHOT_INTERVAL}"
         )
     _check_leases(config.leases, config.timing)
@@ -63,57 +63,59 @@
     _check_probing(config.probing)
 
 
-def _fault(path: str, reason: str) -> OperatorError:
+def _config_error(path: str, reason: str) -> OperatorError:
     return OperatorError(f"operator file: {path} {reason}")
 
 
-def _check_keepers(keepers: Sequence[KeeperConfig], is_keyed: bool) -> None:
+def _check_keepers(keepers: Sequence[KeeperConfig], has_key_file: bool) -> None:
     if not 1 <= len(keepers) <= MAX_KEEPERS:
-        raise _fault("$.keepers", f"must name 1 to {MAX_KEEPERS} keepers, usually 3 or 5")
+        raise _config_error("$.keepers", f"must name 1 to {MAX_KEEPERS} keepers, usually 3 or 5")
     if not any(keeper.is_voter for keeper in keepers):
-        raise _fault("$.keepers:", "at least one keeper must be a voter")
+        raise _config_error("$.keepers:", "at least one keeper must be a voter")
     names = [keeper.name for keeper in keepers]
     for index, keeper in enumerate(keepers):
         path = f"$.keepers[{index}]"
         if not 1 <= len(keeper.name) <= MAX_NAME_LENGTH or names.index(keeper.name) != index:
-            raise _fault(f"{path}.name", "must be a unique name of valid length")
-        _check_addresses(path, keeper, is_keyed)
+            raise _config_error(f"{path}.name", "must be a unique name of valid length")
+        _check_addresses(path, keeper, has_key_file)
 
 
-def _check_observers(observers: Sequence[ObserverConfig], is_keyed: bool) -> None:
+def _check_observers(observers: Sequence[ObserverConfig], has_key_file: bool) -> None:
     if len(observers) > MAX_OBSERVERS:
-        raise _fault("$.observers:", f"more than {MAX_OBSERVERS}")
+        raise _config_error("$.observers:", f"more than {MAX_OBSERVERS}")
     names = [observer.name for observer in observers]
     region_of_zone: dict[str, str] = {}
     for index, observer in enumerate(observers):
         path = f"$.observers[{index}]"
         has_valid_length = 1 <= len(observer.name) <= MAX_OBSERVER_NAME_LENGTH
         if not has_valid_length or names.index(observer.name) != index:
-            raise _fault(
+            raise _config_error(
                 f"{path}.name",
                 f"must be a unique name of 1 to {MAX_OBSERVER_NAME_LENGTH} characters",
             )
         for key, value in (("zone", observer.zone), ("region", observer.region)):
             if len(value) > MAX_NAME_LENGTH:
-                raise _fault(f"{path}.{key}", f"must have at most {MAX_NAME_LENGTH} characters")
+                raise _config_error(
+                    f"{path}.{key}", f"must have at most {MAX_NAME_LENGTH} characters"
+                )
         region = region_of_zone.setdefault(observer.zone, observer.region)
         if region != observer.region:
-            raise _fault(
+            raise _config_error(
                 f"{path}.region:", f"zone {observer.zone!r} is already in region {region!r}"
             )
-        _check_addresses(path, observer, is_keyed)
+        _check_addresses(path, observer, has_key_file)
 
 
-def _check_agent(agent: AgentConfig, is_keyed: bool) -> None:
+def _check_agent(agent: AgentConfig, has_key_file: bool) -> None:
     prefixes = agent.backend_prefixes
     has_long_prefix = any(len(prefix) > MAX_NAME_LENGTH for prefix in prefixes)
     if not 1 <= len(prefixes) <= MAX_BACKEND_PREFIXES or has_long_prefix:
-        raise _fault(
+        raise _config_error(
             "$.agent.backends",
             f"must be 1 to {MAX_BACKEND_PREFIXES} prefixes of at most {MAX_NAME_LENGTH} characters",
         )
     if agent.listen is not None:
-        _check_address("$.agent.listen", agent.listen, is_keyed)
+        _check_address("$.agent.listen", agent.listen, has_key_file)
 
 
 def _check_timing(timing: TimingConfig) -> None:
@@ -123,7 +125,7 @@
         or timing.heartbeat_ns < timing.tick_ns
         or timing.election_timeout_ns < min_election_timeout_ns
     ):
-        raise _fault(
+        raise _config_error(
             "$.timing:", "tick must be at least 1ms, heartbeat a tick, election three heartbeats"
         )
 
@@ -131,38 +133,40 @@
 def _check_leases(leases: LeaseConfig, timing: TimingConfig) -> None:
     drift = leases.max_clock_drift
     if not 0.0 <= drift <= MAX_CLOCK_DRIFT:
-        raise _fault("$.leases.drift", f"must be 0 to {MAX_CLOCK_DRIFT}, not {drift}")
+        raise _config_error("$.leases.drift", f"must be 0 to {MAX_CLOCK_DRIFT}, not {drift}")
     usable_ns = leases.term_ns * (1.0 - drift) - leases.margin_ns
     required_ns = MIN_ROUND_TRIPS_PER_TERM * leases.round_trip_ns
     if usable_ns < required_ns:
-        raise _fault(
+        raise _config_error(
             "$.leases.term",
             "leaves a holder no time: less margin and drift it must be at least four round_trip, "
             f"{required_ns / NS_PER_MS:.0f}ms, and is {usable_ns / NS_PER_MS:.0f}ms",
         )
     if leases.term_ns < MIN_ELECTIONS_PER_TERM * timing.election_timeout_ns:
-        raise _fault("$.leases.term", "must be at least two elections")
+        raise _config_error("$.leases.term", "must be at least two elections")
 
 
 def _check_probing(probing: ProbingConfig) -> None:
     if probing.interval_ns < MIN_PROBE_INTERVAL_NS or probing.timeout_ns > probing.interval_ns:
-        raise _fault("$.probing.every", "must be at least 10ms, and no less than timeout")
+        raise _config_error("$.probing.every", "must be at least 10ms, and no less than timeout")
 
 
 def _check_failover(failover: FailoverConfig, zone: str) -> None:
     _check_regions(failover.regions)
     if failover.is_enabled and not zone:
-        raise _fault("$.zone:", "failover requires the zone of this proxy")
+        raise _config_error("$.zone:", "failover requires the zone of this proxy")
     _check_failover_durations(failover)
     has_valid_reserve = 0.0 <= failover.capacity_reserve < 1.0
     if not has_valid_reserve or not 0.0 <= failover.capacity_per_weight <= MAX_CAPACITY_PER_WEIGHT:
-        raise _fault("$.failover:", "reserve must be 0 to below 1, bears 0 to 1000000")
+        raise _config_error("$.failover:", "reserve must be 0 to below 1, bears 0 to 1000000")
 
 
 def _check_failover_durations(failover: FailoverConfig) -> None:
     interval_ns = failover.report_interval_ns
     if interval_ns < MIN_REPORT_INTERVAL_NS or failover.report_max_age_ns < 2 * interval_ns:
-        raise _fault("$.failover:", "every must be at least 100ms, stale at least twice every")
+        raise _config_error(
+            "$.failover:", "every must be at least 100ms, stale at least twice every"
+        )
     shortest_ns = min(
         failover.transition_spread_ns,
         failover.fade_ns,
@@ -172,7 +176,9 @@
     )
     is_spread_too_long = failover.transition_spread_ns > failover.hold_ns
     if is_spread_too_long or shortest_ns < MIN_FAILOVER_DURATION_NS:
-        raise _fault("$.failover:", "durations must be at least 1ms, keep no less than spread")
+        raise _config_error(
+            "$.failover:", "durations must be at least 1ms, keep no less than spread"
+        )
 
 
 def _check_regions(regions: Sequence[RegionConfig]) -> None:
@@ -181,34 +187,34 @@
     for index, region in enumerate(regions):
         path = f"$.failover.regions[{index}]"
         if not region.name or names.index(region.name) != index:
-            raise _fault(f"{path}.name", "must be a unique, non-empty name")
+            raise _config_error(f"{path}.name", "must be a unique, non-empty name")
         zones = set(region.zones)
         if not zones or zones & known_zones or len(zones) < len(region.zones):
-            raise _fault(
+            raise _config_error(
                 f"{path}.zones:", "a zone must be in one region only, and a region must have a zone"
             )
-        for near in region.nearest_regions:
-            if near not in names or near == region.name:
-                raise _fault(f"{path}.near:", f"{near!r} is not another region")
+        for neighbor in region.nearest_regions:
+            if neighbor not in names or neighbor == region.name:
+                raise _config_error(f"{path}.near:", f"{neighbor!r} is not another region")
         known_zones |= zones
     if len(known_zones) > MAX_ZONES:
-        raise _fault("$.failover.regions:", f"more than {MAX_ZONES} zones")
+        raise _config_error("$.failover.regions:", f"more than {MAX_ZONES} zones")
 
 
-def _check_addresses(path: str, peer: KeeperConfig | ObserverConfig, is_keyed: bool) -> None:
-    _check_address(f"{path}.address", peer.address, is_keyed)
+def _check_addresses(path: str, peer: KeeperConfig | ObserverConfig, has_key_file: bool) -> None:
+    _check_address(f"{path}.address", peer.address, has_key_file)
     if peer.listen is not None:
-        _check_address(f"{path}.listen", peer.listen, is_keyed)
+        _check_address(f"{path}.listen", peer.listen, has_key_file)
 
 
-def _check_address(path: str, text: str, is_keyed: bool) -> None:
+def _check_address(path: str, text: str, has_key_file: bool) -> None:
     """Guards against a control plane that is open to a network without authentication."""
     try:
         address = parse_address(text)
     except ValueError as error:
-        raise _fault(f"{path}:", str(error)) from error
-    if not is_keyed and not _is_loopback(address.host):
-        raise _fault(f"{path}:", "without key_file only loopback addresses are accepted")
+        raise _config_error(f"{path}:", str(error)) from error
+    if not has_key_file and not _is_loopback(address.host):
+        raise _config_error(f"{path}:", "without key_file only loopback addresses are accepted")
 
 
 def _is_loopback(host: str) -> bool:
--- a/mothstall/fleet/probing/assignment.py
+++ b/mothstall/fleet/probing/assignment.py
@@ -82,7 +82,7 @@
             without_witness = self._apply_backends(set(backends), without_witness)
         if joined:
             for backend in list(self.assigned):
-                self._compare(backend, joined)
+                self._drop_if_outweighed(backend, joined)
         for backend in without_witness:
             self._search_witness(backend)
         return self.assigned
@@ -146,7 +146,7 @@
                 return
         self.assigned.add(backend)
 
-    def _compare(self, backend: str, joined: Iterable[str]) -> None:
+    def _drop_if_outweighed(self, backend: str, joined: Iterable[str]) -> None:
         """Drop a backend if a proxy that joined has a higher weight for it."""
         own_weight = _rendezvous_weight(self.proxy, backend)
         for name in joined:
