--- a/tests/commands/running_keeper.py
+++ b/tests/commands/running_keeper.py
@@ -55,7 +55,7 @@
         assert self.process.wait(STOP_TIMEOUT_S) == 0
 
     def kill(self) -> None:
-        """End the process in whatever state it is."""
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
         assert self.process.stderr
@@ -82,7 +82,7 @@
         return keeper
 
     def _wait_for_leadership(self) -> None:
-        """A command fails at once while the keeper has not elected itself."""
+        """Repeat a command until it succeeds; it fails at once while there is no leader."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while main(["members", "--operator", self.operator_file]):
             assert time.monotonic() < deadline, "the keeper did not become the leader"
@@ -93,7 +93,7 @@
         self.process.stop()
 
     def kill(self) -> None:
-        """End the keeper in whatever state it is."""
+        """Kill the keeper."""
         self.process.kill()
 
 
--- a/tests/commands/test_command_line.py
+++ b/tests/commands/test_command_line.py
@@ -61,7 +61,7 @@
 
 
 class CapturedDrains:
-    """Stands in for the connection of the drain commands and records what they send."""
+    """Replaces the connection of the drain commands and records the changes that they send."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.stored: list[Change] = []
@@ -162,7 +162,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against a keeper that words its answer in another way than the command expects."""
+    """Guards against rejection texts of a keeper that the command does not recognize."""
     replica = SimpleNamespace(raft=SimpleNamespace(is_leader=False, leader=leader))
     reporter = cast(StatusReporter, SimpleNamespace(replica=replica))
     handler = AdminCommandHandler(reporter, lambda: None)
--- a/tests/commands/test_observer_commands.py
+++ b/tests/commands/test_observer_commands.py
@@ -20,7 +20,7 @@
 from tests.ports import free_port
 
 pytestmark = pytest.mark.processes
-# What a proxy loads only where observers are named.
+# Modules that a proxy loads only if its operator file names observers.
 OBSERVER_MODULES = (
     "mothstall.observer",
     "mothstall.store.protocol.observer_messages",
@@ -128,7 +128,7 @@
 
 
 def test_proxy_without_observers_loads_no_module_of_them(tmp_path: Path) -> None:
-    """The operator file of a small fleet: the same agent, and nothing that observers need."""
+    """Without observers a proxy runs the same agent, and loads no module that observers need."""
     file = write_operator_file(tmp_path / "operator.toml", 1)
     printed = subprocess.run(
         [sys.executable, "-c", _LOADED_MODULES, file],
@@ -138,12 +138,12 @@
         check=True,
     )
     loaded = set(json.loads(printed.stdout))
-    assert "mothstall.fleet.agent.agent" in loaded, "the agent ran"
+    assert "mothstall.fleet.agent.agent" in loaded, "the agent was not loaded"
     assert not {name for name in loaded if name.startswith(OBSERVER_MODULES)}
 
 
 def test_modules_of_observers_exist() -> None:
-    """Guards against a renamed module, which the test above would no longer look for."""
+    """Guards against a renamed module, for which the test above would check nothing."""
     for name in OBSERVER_MODULES:
         assert importlib.util.find_spec(name), name
 
--- a/tests/commands/test_zone_commands.py
+++ b/tests/commands/test_zone_commands.py
@@ -24,7 +24,7 @@
 
 @contextlib.contextmanager
 def reporting_proxies(operator_file: str) -> Iterator[None]:
-    """Two proxies in each of three zones whose backends bear 60 requests a second each."""
+    """Two proxies in each of three zones, which can serve 60 requests a second each."""
     is_over = threading.Event()
 
     async def report_until_over() -> None:
@@ -73,7 +73,7 @@
         assert tried["said"] == "nothing"
         assert [row["load_then"] for row in tried["zones"]] == [6.0, 57.0, 57.0]
         assert zones("resume")["said"] == "nothing is asked for any more", (
-            "a dry run left nothing behind"
+            "the dry run wrote no override"
         )
         assert zones("shift", "--from", "b", "--part", "30%")["said"] == "30% away from b"
         assert zones("hold", "--for", "5m")["said"] == "30% away from b; hold for 300 s"
--- a/tests/fleet/failover/builders.py
+++ b/tests/fleet/failover/builders.py
@@ -1,4 +1,4 @@
-"""Reports, fleets and plans that the tests of failover share."""
+"""Builders of reports and plans for the tests of failover."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 POLICY = FailoverPolicy(
     reserve_fraction=0.1, regions=REGIONS, nearby_regions=NEARBY_REGIONS, capacity_per_weight=10.0
 )
-# Capacity is no limit.
+# Capacity limits no move.
 AMPLE_POLICY = FailoverPolicy(capacity_per_weight=100.0)
 HEALTHY = OutcomeCounts(good=50)
 TICK_MS = 1000
@@ -54,7 +54,7 @@
     plan_number: int = 0,
     warm_weights: Mapping[str, float] | None = None,
 ) -> list[TrafficReport]:
-    """Return reports of several proxies in each zone that all saw the same."""
+    """Return reports of several proxies in each zone, with the same outcomes for all of a zone."""
     return [
         make_report(f"{origin}{i}", origin, row, 1, plan_number, warm_weights)
         for origin, row in outcomes.items()
@@ -69,7 +69,7 @@
     overrides: OperatorOverrides | None = None,
     elapsed_ms: int = TICK_MS,
 ) -> PlanDecision:
-    """Return what the planner makes of these reports."""
+    """Return the decision of the planner on these reports."""
     evidence = assess_reports(reports, last.number)
     return next_plan(evidence, last, policy, overrides or OperatorOverrides(), elapsed_ms)
 
@@ -89,7 +89,7 @@
 def make_plans(
     outcomes: Mapping[str, Outcomes], plan: FailoverPlan, ticks: int, policy: FailoverPolicy
 ) -> list[FailoverPlan]:
-    """Return the plans of some ticks in which all proxies follow the plan and see the same."""
+    """Return the plans of successive ticks; all proxies follow the plan and report `outcomes`."""
     plans = []
     for _ in range(ticks):
         plan = make_plan(make_fleet(outcomes, plan_number=plan.number), plan, policy)
@@ -103,10 +103,10 @@
 
 
 def with_lost_zone(zone: str) -> dict[str, Outcomes]:
-    """Return an ordinary day's outcomes, but nothing in one zone can be connected to."""
+    """Return the outcomes of normal operation, except that all connections to one zone fail."""
     return {**LOCAL_TRAFFIC, zone: {zone: OutcomeCounts(connect_failed=50)}}
 
 
-# An ordinary day: all traffic stays in its zone and is served well.
+# Normal operation: all traffic stays in its zone, and all attempts are good.
 LOCAL_TRAFFIC: dict[str, Outcomes] = {zone: {zone: HEALTHY} for zone in ZONES}
 ORDINARY_PLAN = make_plan(make_fleet(LOCAL_TRAFFIC), FailoverPlan())
--- a/tests/fleet/failover/test_assessment.py
+++ b/tests/fleet/failover/test_assessment.py
@@ -1,4 +1,4 @@
-"""What reports say together: each zone's health, isolated zones, and reports that are false."""
+"""Assessment of zones by reports: their health, isolated zones, and false reports."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
         report = make_report("a-false", "a", {"a": false, "b": false, "c": false})
         plan = make_plan([*honest, report], ORDINARY_PLAN, AMPLE_POLICY)
         moved = 1.0 - own_weight(plan, "a")
-        assert moved <= 2.0 / 11.0 + 1e-6, "twice the median proxy of ten"
+        assert moved <= 2.0 / 11.0 + 1e-6, "one of ten proxies counts twice the median at most"
         assert "b" not in plan.weights
         assert "c" not in plan.weights
 
--- a/tests/fleet/failover/test_failover_lease.py
+++ b/tests/fleet/failover/test_failover_lease.py
@@ -1,4 +1,4 @@
-"""A new holder of the failover lease goes on from the last one's plan."""
+"""A new holder of the failover lease continues from its predecessor's plan."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     "keepers": [{"name": "k1", "address": "127.0.0.1:1"}],
     "failover": {"on": True, "every": "100ms"},
 }
-# Longer than an interval of the operator file.
+# Longer than the report interval of the operator file.
 TICK_S = 0.11
-# Named by the rendezvous hash ahead of `p1`.
+# Preferred to `p1` by the rendezvous hash of the failover lease.
 OTHER_PROXY = next(
     name
     for name in (f"p{number}" for number in range(2, 50))
@@ -35,7 +35,7 @@
 
 
 class GrantingKeepers:
-    """Grants the lease at version 9, and takes what is written."""
+    """Grants the lease at version 9, and accepts all writes."""
 
     def __init__(self) -> None:
         self.proposed: list[Change] = []
@@ -81,7 +81,7 @@
 
 
 async def tick(agent: Agent, keepers: Any, ticks: int) -> None:
-    """Let an agent that gets reports reconcile failover some times."""
+    """Reconcile an agent's failover `ticks` times, with new reports before each."""
     reports = tuple(
         msgspec.msgpack.encode(make_report(f"p{i}", "a", {"a": HEALTHY})) for i in range(3)
     )
@@ -106,7 +106,7 @@
         adopt(agent, snapshot_with_plan(version=8, plan_number=6))
         await tick(agent, keepers, 4)
         proposed = [type(change) for change in keepers.proposed]
-        assert proposed == [AcquireLease], "plan 7 is not known here yet"
+        assert proposed == [AcquireLease], "plan 7 was not received yet"
         adopt(agent, snapshot_with_plan(version=9, plan_number=7))
         await tick(agent, keepers, 3)
         write = keepers.proposed[1]
@@ -118,18 +118,19 @@
 
 
 def test_holder_acquires_the_lease_again_that_the_store_still_has_as_its_own() -> None:
-    """After a loss of quorum no plan was made for a zone that was lost meanwhile.
+    """Guards against a missing plan for a zone that was lost during a loss of quorum.
 
-    The holder's own count ends a term after its last renewal. The store has the lease as its own
-    until the next leader has given it a complete term, and the holder waited for that as others
-    must: `lab fleet run zone-no-quorum` acquired it 2.0 s after the members' leases, 1.0 s before
-    the zone was back, and put no plan out in 7 of 8 rounds. Probe leases are acquired again at once.
+    By the holder's clock its lease ends one term after the last renewal. The store lists it as the
+    holder's until the next leader has given it a complete term, and the holder waited for that end
+    as other proxies must: in `lab fleet run zone-no-quorum` it acquired the lease 2.0 s after the
+    members' leases, 1.0 s before the zone was back, and published no plan in 7 of 8 rounds. Probe
+    leases are acquired again at once.
     """
 
     async def run() -> None:
         agent = make_agent()
         keepers = GrantingKeepers()
-        # It acquired the lease when it was alone; by the hash it would be p2's now.
+        # The agent acquired the lease as the only proxy; the hash now assigns it to another proxy.
         assert assigned_prober(FAILOVER_LEASE, ("p1", OTHER_PROXY)) == OTHER_PROXY
         adopt(agent, snapshot_with_lease_of(agent.owner))
         await tick(agent, keepers, 1)
--- a/tests/fleet/failover/test_placement.py
+++ b/tests/fleet/failover/test_placement.py
@@ -1,4 +1,4 @@
-"""Where the traffic of a lost zone goes: near zones first, within their capacity."""
+"""Placement of a lost zone's traffic: near zones first, within their capacity."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     with_lost_zone,
 )
 
-# Each zone gets 200 requests a second and has a warm weight of 20.
+# In all tests with reports, each zone gets 200 requests a second and has a warm weight of 20.
 
 
 def policy_of(capacity_per_weight: float, is_capacity_limited: bool = True) -> FailoverPolicy:
@@ -37,7 +37,7 @@
 
 
 def test_traffic_fills_the_own_region_first_and_nearby_regions_next() -> None:
-    # Each zone serves 300 a second, of which 270 are used at most: 70 more.
+    # Each zone can serve 300 requests a second and is used up to 270: it takes 70 more.
     plan = make_plan(make_fleet(with_lost_zone("a")), ORDINARY_PLAN, policy_of(15.0))
     assert plan.weights["a"] == pytest.approx({"b": 0.35, "c": 0.35})
     assert plan.overflow_fractions["a"] == pytest.approx(0.3)
@@ -71,11 +71,11 @@
 
 
 def test_two_origins_share_the_capacity_that_overflow_returns_to() -> None:
-    """Two zones' traffic that fits nowhere returned to one unhealthy zone, each up to all that was free.
+    """Guards against returned overflow beyond the capacity of an unhealthy zone.
 
-    What returned was not added to the planned load, so that a zone that serves 150 a second, and
-    had 50, was planned for 50 and got 200: `planned_load` in the plan and the sum of its weights
-    differed by 150.
+    The overflow of each of two origins used all of the zone's free capacity, and was not added to
+    the planned load. So a zone that can serve 150 requests a second, and had 50, was planned for 50
+    and got 200: `planned_load` in the plan and the sum of its weights differed by 150.
     """
     pairs = {pair_key(origin, "c"): ZonePairState(0.25, 0, 0) for origin in ("a", "b")}
     mostly_good = {"c": ZoneAssessment(attempts=50.0, bad_attempts=10.0)}
--- a/tests/fleet/failover/test_plan.py
+++ b/tests/fleet/failover/test_plan.py
@@ -1,4 +1,4 @@
-"""Stored plans and overrides: any bytes are decoded or rejected."""
+"""Decoding of stored plans and overrides: any bytes are decoded or rejected."""
 
 from __future__ import annotations
 
--- a/tests/fleet/failover/test_planner.py
+++ b/tests/fleet/failover/test_planner.py
@@ -1,4 +1,4 @@
-"""The next plan: ordinary days, operators' overrides, rejected plans, and what holds for any reports."""
+"""The next plan: normal operation, overrides, rejected plans, and properties for any reports."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 ) -> PlanDecision:
     decision = decide(reports, plan, policy)
     again = next_plan(evidence, plan, policy, OperatorOverrides(), 1000)
-    assert decision == again, "the same arguments give the same plan"
+    assert decision == again, "the same arguments must give the same plan"
     return decision
 
 
@@ -122,7 +122,7 @@
 
 
 def check_evacuated_pairs(plan: FailoverPlan, evidence: ZoneEvidence) -> None:
-    """An evacuated zone keeps traffic only where it serves most of it, and nothing else fits."""
+    """Check that an evacuated zone keeps traffic only of origins for which it serves most of it."""
     for key, pair in plan.pair_states.items():
         origin, _, zone = key.partition(">")
         if pair.allowed_fraction == 0.0 and origin in plan.weights:
--- a/tests/fleet/failover/test_recovery.py
+++ b/tests/fleet/failover/test_recovery.py
@@ -1,4 +1,4 @@
-"""The recovery ramp: steps back, backoff after a failed one, and what is forgotten."""
+"""The recovery ramp: its steps, the backoff after a failure, and discarded pair states."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 POLICY = FailoverPolicy(capacity_per_weight=100.0, forget_after_ms=5000)
 # Traffic of zone a is served by zone b.
 MOVED: dict[str, Outcomes] = {**LOCAL_TRAFFIC, "a": {"b": HEALTHY}}
-# The first step of a recovery ramp fails.
+# All attempts to zone a in the first step of its recovery ramp fail.
 FAILED_RETURN: dict[str, Outcomes] = {
     **LOCAL_TRAFFIC,
     "a": {"b": HEALTHY, "a": OutcomeCounts(connect_failed=10)},
@@ -50,7 +50,7 @@
 
 
 def plan_after_failed_returns(count: int) -> tuple[FailoverPlan, list[int]]:
-    """The plan after some failed recovery ramps, and the ticks that each one waited."""
+    """Return the plan after failed recovery ramps, and the ticks of wait before each of them."""
     plan = plan_after_loss()
     waits = []
     for _ in range(count):
@@ -80,7 +80,7 @@
     assert stored == plan
     assert plan.pair_states["a>a"].allowed_fraction == 0.0
     later = make_plan(make_fleet(MOVED, plan_number=plan.number), stored, AMPLE_POLICY)
-    assert later.weights["a"].get("a", 0.0) == 0.0, "the evacuation stands until it is judged"
+    assert later.weights["a"].get("a", 0.0) == 0.0, "a new holder keeps the evacuation"
 
 
 def test_pairs_that_are_healthy_for_long_are_forgotten() -> None:
--- a/tests/fleet/failover/test_reports.py
+++ b/tests/fleet/failover/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports and their window: what is decoded, what is rejected, and what still counts."""
+"""Decoding and checks of reports, and the window of the newest reports."""
 
 from __future__ import annotations
 
--- a/tests/fleet/failover/test_transition.py
+++ b/tests/fleet/failover/test_transition.py
@@ -1,4 +1,4 @@
-"""How proxies change over to a plan, and away from one that is no longer confirmed."""
+"""Transitions of proxies to a new plan, and fade-out of a plan without contact."""
 
 from __future__ import annotations
 
--- a/tests/fleet/failover/test_zone_counters.py
+++ b/tests/fleet/failover/test_zone_counters.py
@@ -1,4 +1,4 @@
-"""Counts of attempts by zone."""
+"""Counts of attempts by zone and outcome."""
 
 from __future__ import annotations
 
--- a/tests/fleet/leases/test_lease_expiry.py
+++ b/tests/fleet/leases/test_lease_expiry.py
@@ -1,4 +1,4 @@
-"""When the leading keeper expires a lease."""
+"""Expiry of leases at the leading keeper."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def test_holder_stops_before_the_grantor_expires_the_lease(
     rate: float, other: float, there_ms: int, back_ms: int
 ) -> None:
-    """Whatever the rates of the two clocks within the drift, and however long messages take."""
+    """Holds for all clock rates within the drift and for all message delays."""
     tracker, holder = LeaseExpiryTracker(), LeaseHolder(2000, 100, 0.02)
     sent, applied = 10 * NS_PER_S, 10 * NS_PER_S + there_ms * NS_PER_MS
     tracker.record_grant("x", 1, 2000, int(applied * rate))
@@ -47,6 +47,7 @@
 def test_every_expired_lease_is_found_however_rarely_checked(
     steps: list[tuple[str, int, int]],
 ) -> None:
+    # Events: g: grant, n: release, e: a new leader if the step is 0, d: the clock only.
     tracker, expected_ends, now = LeaseExpiryTracker(), dict[str, int](), 0
     for event, name, step_ms in steps:
         now += step_ms * NS_PER_MS
--- a/tests/fleet/leases/test_stalled_holders.py
+++ b/tests/fleet/leases/test_stalled_holders.py
@@ -1,11 +1,12 @@
-"""Who takes over from a proxy that is still listed, and has let its leases end.
-
-A lease ends one term (2 s) after its holder's last renewal. The assignment by rendezvous hash
-followed members only, and a proxy behind an observer stays listed for longer: for a term and a half
-where its observer lives, for five terms and more where that is lost as well. So the next holder
-waited 2.6 to 3.0 s, or until the first one woke up (5.1 to 5.4 s), in 20 of 24 rounds of
-`lab fleet run observer-owner --seed 1 --rounds 24 --side-by-side 6`. The logs told: `leases expire`
-1.7 to 2.1 s after the stop, then nothing until `proxies gone`, though all live proxies were
+"""Detection of proxies that are still listed but no longer renew their leases.
+
+Guards against leases that stay assigned to such a proxy. A lease ends one term (2 s) after its
+holder's last renewal. The assignment by rendezvous hash used the members only, and a proxy that is
+attached to an observer stays listed for longer: for a term and a half if its observer runs, for five
+terms and more if the observer is lost as well. So the next holder acquired the lease after 2.6 to
+3.0 s, or only once the first one resumed (5.1 to 5.4 s), in 20 of 24 rounds of
+`lab fleet run observer-owner --seed 1 --rounds 24 --side-by-side 6`. The logs had `leases expire`
+1.7 to 2.1 s after the stop, then no event until `proxies gone`, although all live proxies were
 `attached` to the other observer by then.
 """
 
@@ -40,7 +41,7 @@
 
 @dataclass
 class Observed:
-    """The state as one proxy sees it, and what it concludes."""
+    """The replicated state at one proxy, and the stalled holders that it finds."""
 
     stalled: StalledHolders = field(
         default_factory=lambda: StalledHolders(
@@ -76,7 +77,7 @@
 
 
 def settled_fleet() -> Observed:
-    """Every backend's lease is held by the proxy that it is assigned to."""
+    """Return a state in which each backend's lease is held by the proxy it is assigned to."""
     observed = Observed()
     leases: dict[str, Lease | None] = {
         f"{PROBE_LEASE_PREFIX}{backend}": probe_lease(backend, owner_of(holder_of(backend)))
@@ -112,7 +113,7 @@
 
 
 def test_proxy_that_gave_its_lease_to_a_newcomer_counts() -> None:
-    """A lease that is given back is assigned to another proxy by then."""
+    """A released lease is already assigned to another proxy."""
     backends = assigned_to(VICTIM)
     others = [proxy for proxy in PROXIES if proxy != VICTIM]
     observed = Observed()
--- a/tests/fleet/probing/test_health_checker.py
+++ b/tests/fleet/probing/test_health_checker.py
@@ -1,4 +1,4 @@
-"""What a prober concludes from its probes."""
+"""Evaluation of a prober's probe results."""
 
 from __future__ import annotations
 
--- a/tests/fleet/probing/test_probe_assignment.py
+++ b/tests/fleet/probing/test_probe_assignment.py
@@ -71,7 +71,7 @@
     backends = [f"b{i}" for i in range(2000)]
     probe_assignment = ProbeAssignment("p0")
     probe_assignment.update(backends, live_proxies)
-    assert hash_count < 2000 * 12  # and not 2000 x 400
+    assert hash_count < 2000 * 12  # not one for each of the 2000 x 400 pairs
     hash_count = 0
     probe_assignment.update(backends, live_proxies)
     assert hash_count == 0
--- a/tests/fleet/probing/test_probe_schedule.py
+++ b/tests/fleet/probing/test_probe_schedule.py
@@ -1,4 +1,4 @@
-"""How often a backend is probed."""
+"""Limit on the probe rate of a backend."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 def test_backend_with_changing_probers_is_probed_at_most_twice_as_often() -> None:
     schedules = [ProbeSchedule(NS_PER_S), ProbeSchedule(NS_PER_S), ProbeSchedule(NS_PER_S)]
     probes = []
-    for step in range(200):  # the lease moves every 100 ms; each proxy sees who holds it
+    for step in range(200):  # the lease moves every 100 ms; each proxy sees its holder
         now, holder = step * 100 * NS_PER_MS, schedules[step % 3]
         for schedule in schedules:
             if schedule is not holder:
--- a/tests/fleet/test_clocks.py
+++ b/tests/fleet/test_clocks.py
@@ -1,4 +1,4 @@
-"""Which clocks the control plane reads."""
+"""The control plane reads monotonic clocks only."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_no_module_that_counts_terms_reads_a_wall_clock() -> None:
-    """Clocks of machines may be minutes apart and jump: the only wall clock is an operator's, for show."""
+    """Wall clocks may jump and differ by minutes; only operators' commands use one, for display."""
     package = Path(operator_file.__file__).parents[1]
     files = [
         p for part in ("store", "fleet", "keeper") for p in sorted((package / part).rglob("*.py"))
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains and the endpoint list."""
+"""Effect of drains on the health in the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_operator_file.py
+++ b/tests/fleet/test_operator_file.py
@@ -1,4 +1,4 @@
-"""Which operator files are accepted, and how faults are reported."""
+"""Valid and invalid operator files, and the errors of invalid ones."""
 
 from __future__ import annotations
 
