--- a/tests/commands/test_observer_commands.py
+++ b/tests/commands/test_observer_commands.py
@@ -127,7 +127,7 @@
     cli._attaches(cli._operator(str(file)))
 
 
-def test_proxy_without_observers_loads_no_module_of_them(tmp_path: Path) -> None:
+def test_proxy_without_observers_loads_no_observer_module(tmp_path: Path) -> None:
     """Without observers a proxy runs the same agent, and loads no module that observers need."""
     file = write_operator_file(tmp_path / "operator.toml", 1)
     printed = subprocess.run(
--- a/tests/commands/test_store_commands.py
+++ b/tests/commands/test_store_commands.py
@@ -26,7 +26,7 @@
     assert "nobody holds" in commands.text("lease", "drop", "none", "--why", "x", code=3)
 
 
-def test_drains_list_who_drained_what_until_it_is_undrained(commands: CommandRunner) -> None:
+def test_drains_lists_each_drain_until_it_is_removed(commands: CommandRunner) -> None:
     commands.text("drain", "box", "b1", "--why", "a bad fan", "--who", "ann")
     commands.text("drain", "zone", "z2", "--why", "works on its power")
     row = commands.json("drains")[0]
@@ -53,7 +53,7 @@
     assert commands.json("members") == []
 
 
-def test_keepers_shows_the_leader_and_rejects_changes_of_membership_that_cannot_be(
+def test_keepers_shows_the_leader_and_rejects_impossible_membership_changes(
     commands: CommandRunner,
 ) -> None:
     assert commands.json("keepers", "status")[0]["role"] == "leader"
--- a/tests/commands/test_zone_commands.py
+++ b/tests/commands/test_zone_commands.py
@@ -25,31 +25,31 @@
 @contextlib.contextmanager
 def reporting_proxies(operator_file: str) -> Iterator[None]:
     """Two proxies in each of three zones, which can serve 60 requests a second each."""
-    is_over = threading.Event()
+    stopped = threading.Event()
 
-    async def report_until_over() -> None:
+    async def report_until_stopped() -> None:
         loop = asyncio.get_running_loop()
         client = KeeperClient(read_operator_file(operator_file), "fakes", PeerRole.AGENT, loop=loop)
-        number = 0
-        while not is_over.is_set():
-            number += 1
+        sequence_number = 0
+        while not stopped.is_set():
+            sequence_number += 1
             for index, zone in enumerate(ZONES * 2):
-                rows = {zone: {"x": OutcomeCounts(good=20)}}
+                outcomes = {zone: {"x": OutcomeCounts(good=20)}}
                 warm = dict.fromkeys(ZONES, 6.0)
-                utilisation = dict.fromkeys(ZONES, 40 / 60)
+                utilization = dict.fromkeys(ZONES, 40 / 60)
                 report = TrafficReport(
-                    f"p{index}", zone, number, 1000, 0, 20, 0, rows, warm, utilisation
+                    f"p{index}", zone, sequence_number, 1000, 0, 20, 0, outcomes, warm, utilization
                 )
                 client.publish_report(msgspec.msgpack.encode(report))
             await asyncio.sleep(REPORT_INTERVAL_S)
         await client.close()
 
-    thread = threading.Thread(target=asyncio.run, args=(report_until_over(),))
+    thread = threading.Thread(target=asyncio.run, args=(report_until_stopped(),))
     thread.start()
     try:
         yield
     finally:
-        is_over.set()
+        stopped.set()
         thread.join()
 
 
@@ -69,9 +69,9 @@
         assert shown["plan"] == 0
         rows = [(r["zone"], r["proxies"], r["goes_to"], r["bears"]) for r in shown["zones"]]
         assert rows == [("a", 2, "free", 60.0), ("b", 2, "free", 60.0), ("c", 2, "free", 60.0)]
-        tried = zones("evacuate", "a", "--dry-run")
-        assert tried["said"] == "nothing"
-        assert [row["load_then"] for row in tried["zones"]] == [6.0, 57.0, 57.0]
+        preview = zones("evacuate", "a", "--dry-run")
+        assert preview["said"] == "nothing"
+        assert [row["load_then"] for row in preview["zones"]] == [6.0, 57.0, 57.0]
         assert zones("resume")["said"] == "nothing is asked for any more", (
             "the dry run wrote no override"
         )
--- a/tests/fleet/failover/builders.py
+++ b/tests/fleet/failover/builders.py
@@ -48,7 +48,7 @@
     )
 
 
-def make_fleet(
+def make_fleet_reports(
     outcomes: Mapping[str, Outcomes],
     proxies_per_zone: int = 4,
     plan_number: int = 0,
@@ -92,7 +92,7 @@
     """Return the plans of successive ticks; all proxies follow the plan and report `outcomes`."""
     plans = []
     for _ in range(ticks):
-        plan = make_plan(make_fleet(outcomes, plan_number=plan.number), plan, policy)
+        plan = make_plan(make_fleet_reports(outcomes, plan_number=plan.number), plan, policy)
         plans.append(plan)
     return plans
 
@@ -102,11 +102,11 @@
     return plan.weights.get(zone, {zone: 1.0}).get(zone, 0.0)
 
 
-def with_lost_zone(zone: str) -> dict[str, Outcomes]:
+def outcomes_with_lost_zone(zone: str) -> dict[str, Outcomes]:
     """Return the outcomes of normal operation, except that all connections to one zone fail."""
     return {**LOCAL_TRAFFIC, zone: {zone: OutcomeCounts(connect_failed=50)}}
 
 
 # Normal operation: all traffic stays in its zone, and all attempts are good.
 LOCAL_TRAFFIC: dict[str, Outcomes] = {zone: {zone: HEALTHY} for zone in ZONES}
-ORDINARY_PLAN = make_plan(make_fleet(LOCAL_TRAFFIC), FailoverPlan())
+NORMAL_PLAN = make_plan(make_fleet_reports(LOCAL_TRAFFIC), FailoverPlan())
--- a/tests/fleet/failover/test_failover_lease.py
+++ b/tests/fleet/failover/test_failover_lease.py
@@ -99,7 +99,7 @@
     agent.failover.apply_snapshot(agent.snapshot, 0)
 
 
-def test_a_new_lease_holder_waits_until_it_knows_the_last_ones_plan() -> None:
+def test_a_new_lease_holder_waits_for_its_predecessors_last_plan() -> None:
     async def run() -> None:
         agent = make_agent()
         keepers = GrantingKeepers()
@@ -117,7 +117,7 @@
     asyncio.run(run())
 
 
-def test_holder_acquires_the_lease_again_that_the_store_still_has_as_its_own() -> None:
+def test_holder_acquires_at_once_a_lease_that_the_store_still_lists_as_its_own() -> None:
     """Guards against a missing plan for a zone that was lost during a loss of quorum.
 
     By the holder's clock its lease ends one term after the last renewal. The store lists it as the
--- a/tests/fleet/failover/test_placement.py
+++ b/tests/fleet/failover/test_placement.py
@@ -10,11 +10,11 @@
 from mothstall.fleet.failover.zone_evidence import ZoneAssessment, ZoneEvidence
 from tests.fleet.failover.builders import (
     NEARBY_REGIONS,
-    ORDINARY_PLAN,
+    NORMAL_PLAN,
     REGIONS,
-    make_fleet,
+    make_fleet_reports,
     make_plan,
-    with_lost_zone,
+    outcomes_with_lost_zone,
 )
 
 # In all tests with reports, each zone gets 200 requests a second and has a warm weight of 20.
@@ -31,41 +31,41 @@
 
 
 def test_traffic_overflows_where_no_zone_has_free_capacity() -> None:
-    plan = make_plan(make_fleet(with_lost_zone("a")), ORDINARY_PLAN, policy_of(10.0))
+    plan = make_plan(make_fleet_reports(outcomes_with_lost_zone("a")), NORMAL_PLAN, policy_of(10.0))
     assert plan.weights["a"].get("a", 0.0) == 0.0
     assert plan.overflow_fractions["a"] == pytest.approx(1.0)
 
 
 def test_traffic_fills_the_own_region_first_and_nearby_regions_next() -> None:
     # Each zone can serve 300 requests a second and is used up to 270: it takes 70 more.
-    plan = make_plan(make_fleet(with_lost_zone("a")), ORDINARY_PLAN, policy_of(15.0))
+    plan = make_plan(make_fleet_reports(outcomes_with_lost_zone("a")), NORMAL_PLAN, policy_of(15.0))
     assert plan.weights["a"] == pytest.approx({"b": 0.35, "c": 0.35})
     assert plan.overflow_fractions["a"] == pytest.approx(0.3)
     assert plan.planned_load["b"] <= 270 + 1e-6
 
 
 def test_traffic_goes_no_further_than_needed() -> None:
-    plan = make_plan(make_fleet(with_lost_zone("a")), ORDINARY_PLAN, policy_of(30.0))
+    plan = make_plan(make_fleet_reports(outcomes_with_lost_zone("a")), NORMAL_PLAN, policy_of(30.0))
     assert plan.weights == {"a": pytest.approx({"b": 1.0})}
 
 
 def test_without_the_limit_of_capacity_the_nearest_zone_is_overloaded() -> None:
     policy = policy_of(10.0, is_capacity_limited=False)
-    plan = make_plan(make_fleet(with_lost_zone("a")), ORDINARY_PLAN, policy)
+    plan = make_plan(make_fleet_reports(outcomes_with_lost_zone("a")), NORMAL_PLAN, policy)
     assert plan.planned_load["b"] > 2 * 200 - 1
 
 
 def test_traffic_that_fits_nowhere_overloads_no_other_zone() -> None:
     policy = FailoverPolicy(capacity_per_weight=200 / 0.95 / 20.0)  # all zones at 0.95 of capacity
-    plan = make_plan(make_fleet(with_lost_zone("a")), ORDINARY_PLAN, policy)
+    plan = make_plan(make_fleet_reports(outcomes_with_lost_zone("a")), NORMAL_PLAN, policy)
     assert max(plan.planned_load["b"], plan.planned_load["c"]) <= 200 + 1e-6
     assert plan.overflow_fractions["a"] == pytest.approx(1)
 
 
-def test_a_zone_that_warms_up_gets_what_its_warm_backends_serve() -> None:
+def test_a_zone_in_warm_up_gets_at_most_what_its_warm_backends_serve() -> None:
     warm_weights = {"a": 20.0, "b": 2.0, "c": 20.0}
-    reports = make_fleet(with_lost_zone("a"), warm_weights=warm_weights)
-    plan = make_plan(reports, ORDINARY_PLAN, FailoverPolicy(capacity_per_weight=30.0))
+    reports = make_fleet_reports(outcomes_with_lost_zone("a"), warm_weights=warm_weights)
+    plan = make_plan(reports, NORMAL_PLAN, FailoverPolicy(capacity_per_weight=30.0))
     assert plan.planned_load["b"] <= 60.0 + 1e-6
     assert plan.weights["b"]["b"] == pytest.approx(0.3)
 
--- a/tests/fleet/failover/test_planner.py
+++ b/tests/fleet/failover/test_planner.py
@@ -4,7 +4,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.fleet.failover.assessment import assess_reports
 from mothstall.fleet.failover.placement import MIN_OVERFLOW_SUCCESS_FRACTION
@@ -17,32 +17,34 @@
     AMPLE_POLICY,
     HEALTHY,
     LOCAL_TRAFFIC,
-    ORDINARY_PLAN,
+    NORMAL_PLAN,
     REGIONS,
     ZONES,
     Outcomes,
     decide,
-    make_fleet,
+    make_fleet_reports,
     make_plan,
     make_report,
-    with_lost_zone,
+    outcomes_with_lost_zone,
 )
 
 
-def test_routing_is_free_on_an_ordinary_day() -> None:
-    assert not ORDINARY_PLAN.weights
-    assert ORDINARY_PLAN.baseline_weights["a"] == {"a": 1.0}
-    assert not decide(make_fleet(LOCAL_TRAFFIC), ORDINARY_PLAN).has_changed
+def test_routing_is_free_in_normal_operation() -> None:
+    assert not NORMAL_PLAN.weights
+    assert NORMAL_PLAN.baseline_weights["a"] == {"a": 1.0}
+    assert not decide(make_fleet_reports(LOCAL_TRAFFIC), NORMAL_PLAN).has_changed
 
 
 def shifted_plan() -> FailoverPlan:
     overrides = OperatorOverrides({"a": 0.3}, 0, 1, "ann")
-    return make_plan(make_fleet(LOCAL_TRAFFIC), ORDINARY_PLAN, AMPLE_POLICY, overrides)
+    return make_plan(make_fleet_reports(LOCAL_TRAFFIC), NORMAL_PLAN, AMPLE_POLICY, overrides)
 
 
-def hold(plan: FailoverPlan, elapsed_ms: int = 1000) -> PlanDecision:
+def decide_with_hold(plan: FailoverPlan, elapsed_ms: int = 1000) -> PlanDecision:
     overrides = OperatorOverrides({"a": 0.3}, 60_000, 2, "ann")
-    return decide(make_fleet(with_lost_zone("b")), plan, AMPLE_POLICY, overrides, elapsed_ms)
+    return decide(
+        make_fleet_reports(outcomes_with_lost_zone("b")), plan, AMPLE_POLICY, overrides, elapsed_ms
+    )
 
 
 def test_an_operator_shifts_a_fraction_of_a_zones_traffic() -> None:
@@ -51,13 +53,13 @@
     assert plan.reasons == ("a: 30% shifted away by ann",)
 
 
-def test_an_operators_hold_keeps_the_plan_for_its_time() -> None:
+def test_an_operators_hold_keeps_the_plan_for_its_duration() -> None:
     plan = shifted_plan()
-    held = hold(plan)
+    held = decide_with_hold(plan)
     assert held.rejected_reason == HELD == "held"
     assert held.plan.weights == plan.weights
     assert held.plan.hold_remaining_ms == 60_000
-    later = hold(held.plan, elapsed_ms=60_000)
+    later = decide_with_hold(held.plan, elapsed_ms=60_000)
     assert later.has_changed
     assert "b" in later.plan.weights
 
@@ -66,31 +68,31 @@
     lost = OutcomeCounts(connect_failed=50)
     outcomes: dict[str, Outcomes] = {"a": {"a": lost}, "b": {"b": lost}, "c": {"c": HEALTHY}}
     policy = FailoverPolicy(capacity_per_weight=1000.0)
-    decision = decide(make_fleet(outcomes), ORDINARY_PLAN, policy)
+    decision = decide(make_fleet_reports(outcomes), NORMAL_PLAN, policy)
     assert "would send" in decision.rejected_reason
-    assert decision.plan.weights == ORDINARY_PLAN.weights
+    assert decision.plan.weights == NORMAL_PLAN.weights
     assert not decision.has_changed
 
 
-_COUNT = some.integers(0, 60)
-_OUTCOMES = some.fixed_dictionaries(
+_COUNT = st.integers(0, 60)
+_OUTCOMES = st.fixed_dictionaries(
     {
-        zone: some.builds(
+        zone: st.builds(
             OutcomeCounts, good=_COUNT, late=_COUNT, failed=_COUNT, connect_failed=_COUNT
         )
         for zone in ZONES
     }
 )
-_REPORTED = some.lists(some.tuples(some.sampled_from(ZONES), _OUTCOMES), max_size=9)
+_REPORTED = st.lists(st.tuples(st.sampled_from(ZONES), _OUTCOMES), max_size=9)
 
 
-@given(_REPORTED, some.floats(0.0, 40.0), some.integers(0, 5))
-def test_whatever_is_reported_a_plan_adds_up_and_fits_the_capacity(
+@given(_REPORTED, st.floats(0.0, 40.0), st.integers(0, 5))
+def test_any_reports_give_a_plan_that_adds_up_and_fits_the_capacity(
     reported: list[tuple[str, dict[str, OutcomeCounts]]], capacity_per_weight: float, ticks: int
 ) -> None:
     reports = [make_report(f"p{i}", zone, outcomes) for i, (zone, outcomes) in enumerate(reported)]
     policy = FailoverPolicy(regions=REGIONS, capacity_per_weight=capacity_per_weight)
-    plan = ORDINARY_PLAN
+    plan = NORMAL_PLAN
     for _ in range(ticks):
         evidence = assess_reports(reports, plan.number)
         decision = decide_twice(reports, evidence, plan, policy)
--- a/tests/fleet/failover/test_reports.py
+++ b/tests/fleet/failover/test_reports.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.fleet.failover.report_window import MAX_TRACKED_PROXIES, ReportWindow
 from mothstall.fleet.failover.reports import OutcomeCounts, TrafficReport, decode_report
 from tests.fleet.failover.builders import HEALTHY, make_report
 
 
-@given(some.binary(max_size=600))
+@given(st.binary(max_size=600))
 def test_any_bytes_decode_to_a_report_or_to_none(data: bytes) -> None:
     report = decode_report(data)
     assert report is None or isinstance(report, TrafficReport)
@@ -34,7 +34,7 @@
         {"warm_weights": {f"z{i}": 1.0 for i in range(30)}},
     ],
 )
-def test_a_report_with_numbers_that_cannot_be_is_rejected(change: dict[str, Any]) -> None:
+def test_a_report_with_implausible_values_is_rejected(change: dict[str, Any]) -> None:
     report = make_report("p", "a", {"a": HEALTHY})
     changed = msgspec.structs.replace(report, **change)
     assert decode_report(msgspec.msgpack.encode(report)) == report
@@ -49,7 +49,7 @@
     assert len(window.current_reports(3000)) <= MAX_TRACKED_PROXIES
 
 
-def test_the_window_leaves_out_a_report_that_another_overtook() -> None:
+def test_the_window_ignores_a_report_older_than_the_newest() -> None:
     window = ReportWindow(5000)
     window.add(make_report("p9", "a", {"a": HEALTHY}, 7), 9000)
     window.add(make_report("p9", "a", {"a": HEALTHY}, 6), 9001)
--- a/tests/fleet/failover/test_transition.py
+++ b/tests/fleet/failover/test_transition.py
@@ -31,14 +31,14 @@
     transitions = [make_transition(f"p{i}") for i in range(200)]
     for transition in transitions:
         transition.adopt(PLAN, 0)
-    means = [
+    mean_strengths = [
         sum(transition.weights_at(now_ms, 0).strength for transition in transitions) / 200
         for now_ms in range(0, 1100, 100)
     ]
-    assert means == sorted(means)
-    assert means[0] == 0.0
-    assert means[-1] == 1.0
-    assert max(after - before for before, after in itertools.pairwise(means)) < 0.25
+    assert mean_strengths == sorted(mean_strengths)
+    assert mean_strengths[0] == 0.0
+    assert mean_strengths[-1] == 1.0
+    assert max(after - before for before, after in itertools.pairwise(mean_strengths)) < 0.25
 
 
 def test_without_the_spread_all_proxies_change_over_at_one_instant() -> None:
@@ -48,7 +48,7 @@
     assert sum(transition.weights_at(0, 0).strength for transition in transitions) == 200.0
 
 
-def test_on_the_way_to_free_routing_the_last_weights_lose_strength() -> None:
+def test_weights_lose_strength_in_the_transition_to_free_routing() -> None:
     transition = make_transition("p0")
     transition.adopt(PLAN, 0)
     transition.adopt(FREE, 5000)
--- a/tests/fleet/leases/test_lease_expiry.py
+++ b/tests/fleet/leases/test_lease_expiry.py
@@ -3,28 +3,31 @@
 from __future__ import annotations
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.fleet.leases.expiry import LeaseExpiryTracker
 from mothstall.fleet.leases.holder import LeaseHolder
 from mothstall.fleet.units import NS_PER_MS, NS_PER_S
 
 
-@given(
-    some.floats(0.99, 1.01), some.floats(0.99, 1.01), some.integers(0, 500), some.integers(0, 500)
-)
+@given(st.floats(0.99, 1.01), st.floats(0.99, 1.01), st.integers(0, 500), st.integers(0, 500))
 def test_holder_stops_before_the_grantor_expires_the_lease(
-    rate: float, other: float, there_ms: int, back_ms: int
+    grantor_rate: float, holder_rate: float, request_delay_ms: int, response_delay_ms: int
 ) -> None:
     """Holds for all clock rates within the drift and for all message delays."""
     tracker, holder = LeaseExpiryTracker(), LeaseHolder(2000, 100, 0.02)
-    sent, applied = 10 * NS_PER_S, 10 * NS_PER_S + there_ms * NS_PER_MS
-    tracker.record_grant("x", 1, 2000, int(applied * rate))
-    holder.record_grant("x", 1, int(sent * other), int((applied + back_ms * NS_PER_MS) * other))
-    over = holder.held["x"].valid_until_ns / other
-    assert not tracker.expired(int(over * rate))
-    assert holder.valid_token("x", int(over * other) + 1000) == 0
-    assert tracker.expired(int((applied + 2.1 * NS_PER_S) * rate)) == (("x", 1),)
+    sent_ns, applied_ns = 10 * NS_PER_S, 10 * NS_PER_S + request_delay_ms * NS_PER_MS
+    tracker.record_grant("x", 1, 2000, int(applied_ns * grantor_rate))
+    holder.record_grant(
+        "x",
+        1,
+        int(sent_ns * holder_rate),
+        int((applied_ns + response_delay_ms * NS_PER_MS) * holder_rate),
+    )
+    ends_at_ns = holder.held["x"].valid_until_ns / holder_rate
+    assert not tracker.expired(int(ends_at_ns * grantor_rate))
+    assert holder.valid_token("x", int(ends_at_ns * holder_rate) + 1000) == 0
+    assert tracker.expired(int((applied_ns + 2.1 * NS_PER_S) * grantor_rate)) == (("x", 1),)
 
 
 def test_new_leader_gives_each_lease_a_complete_term() -> None:
@@ -39,8 +42,8 @@
 
 
 @given(
-    some.lists(
-        some.tuples(some.sampled_from("gned"), some.integers(0, 5), some.integers(0, 9)),
+    st.lists(
+        st.tuples(st.sampled_from("gned"), st.integers(0, 5), st.integers(0, 9)),
         max_size=40,
     )
 )
--- a/tests/fleet/leases/test_stalled_holders.py
+++ b/tests/fleet/leases/test_stalled_holders.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Observed:
+class ObservedState:
     """The replicated state at one proxy, and the stalled holders that it finds."""
 
     stalled: StalledHolders = field(
@@ -57,12 +57,14 @@
         members: dict[str, Member | None] | None = None,
         complete: bool = False,
     ) -> None:
-        since = 0 if complete else self.snapshot.version
-        delta = StateDelta(since, self.snapshot.version + 1, leases or {}, {}, {}, members or {})
-        following = self.snapshot.apply(delta)
-        assert following is not None
+        since_version = 0 if complete else self.snapshot.version
+        delta = StateDelta(
+            since_version, self.snapshot.version + 1, leases or {}, {}, {}, members or {}
+        )
+        next_snapshot = self.snapshot.apply(delta)
+        assert next_snapshot is not None
         self.stalled.apply(self.snapshot.leases, delta, self.now_ns)
-        self.snapshot = following
+        self.snapshot = next_snapshot
 
     def live(self) -> frozenset[str]:
         return self.stalled.live(self.snapshot.proxies, self.snapshot.attached, self.now_ns)
@@ -76,9 +78,9 @@
     return [backend for backend in BACKENDS if holder_of(backend) == proxy]
 
 
-def settled_fleet() -> Observed:
+def fleet_with_all_leases_held() -> ObservedState:
     """Return a state in which each backend's lease is held by the proxy it is assigned to."""
-    observed = Observed()
+    observed = ObservedState()
     leases: dict[str, Lease | None] = {
         f"{PROBE_LEASE_PREFIX}{backend}": probe_lease(backend, owner_of(holder_of(backend)))
         for backend in BACKENDS
@@ -88,35 +90,35 @@
     return observed
 
 
-def ended(*backends: str) -> dict[str, Lease | None]:
+def ended_leases(*backends: str) -> dict[str, Lease | None]:
     return {f"{PROBE_LEASE_PREFIX}{backend}": None for backend in backends}
 
 
-VICTIM = next(proxy for proxy in PROXIES[1:] if assigned_to(proxy))
+HOLDER = next(proxy for proxy in PROXIES[1:] if assigned_to(proxy))
 
 
-def test_proxy_whose_leases_ended_does_not_count_though_it_is_listed() -> None:
-    observed = settled_fleet()
-    observed.apply(ended(*assigned_to(VICTIM)))
-    assert observed.live() == frozenset(PROXIES) - {VICTIM}
+def test_listed_proxy_whose_leases_ended_is_not_live() -> None:
+    observed = fleet_with_all_leases_held()
+    observed.apply(ended_leases(*assigned_to(HOLDER)))
+    assert observed.live() == frozenset(PROXIES) - {HOLDER}
 
 
-def test_leases_that_ended_while_a_complete_state_was_on_its_way_count_too() -> None:
-    observed = settled_fleet()
+def test_leases_that_are_missing_from_a_complete_state_count_as_ended() -> None:
+    observed = fleet_with_all_leases_held()
     kept: dict[str, Lease | None] = {
         name: lease
         for name, lease in observed.snapshot.leases.items()
-        if lease.owner != owner_of(VICTIM)
+        if lease.owner != owner_of(HOLDER)
     }
     observed.apply(kept, dict(observed.snapshot.attached), complete=True)
-    assert observed.live() == frozenset(PROXIES) - {VICTIM}
+    assert observed.live() == frozenset(PROXIES) - {HOLDER}
 
 
-def test_proxy_that_gave_its_lease_to_a_newcomer_counts() -> None:
+def test_proxy_that_released_its_lease_to_a_new_proxy_is_live() -> None:
     """A released lease is already assigned to another proxy."""
-    backends = assigned_to(VICTIM)
-    others = [proxy for proxy in PROXIES if proxy != VICTIM]
-    observed = Observed()
+    backends = assigned_to(HOLDER)
+    others = [proxy for proxy in PROXIES if proxy != HOLDER]
+    observed = ObservedState()
     leases = {
         f"{PROBE_LEASE_PREFIX}{backend}": probe_lease(
             backend, owner_of(assigned_prober(backend, others))
@@ -125,81 +127,81 @@
     }
     observed.apply(dict(leases), {proxy: member(proxy) for proxy in others}, complete=True)
     observed.live()
-    observed.apply(members={VICTIM: member(VICTIM)})
-    observed.apply(ended(*backends))
+    observed.apply(members={HOLDER: member(HOLDER)})
+    observed.apply(ended_leases(*backends))
     assert observed.live() == frozenset(PROXIES)
 
 
-def test_proxy_that_holds_another_lease_counts_after_one_was_revoked() -> None:
-    observed = settled_fleet()
-    backends = assigned_to(VICTIM)
-    observed.apply({f"{PROBE_LEASE_PREFIX}extra": probe_lease("extra", owner_of(VICTIM))})
-    observed.apply(ended(backends[0]))
+def test_proxy_that_holds_another_lease_is_live_after_one_was_revoked() -> None:
+    observed = fleet_with_all_leases_held()
+    backends = assigned_to(HOLDER)
+    observed.apply({f"{PROBE_LEASE_PREFIX}extra": probe_lease("extra", owner_of(HOLDER))})
+    observed.apply(ended_leases(backends[0]))
     assert observed.live() == frozenset(PROXIES)
 
 
-def test_leases_that_end_one_after_the_other_are_found_with_the_last() -> None:
-    observed = settled_fleet()
-    observed.apply({f"{PROBE_LEASE_PREFIX}extra": probe_lease("extra", owner_of(VICTIM))})
-    observed.apply(ended(*assigned_to(VICTIM)))
+def test_proxy_is_stalled_only_once_the_last_of_its_leases_ended() -> None:
+    observed = fleet_with_all_leases_held()
+    observed.apply({f"{PROBE_LEASE_PREFIX}extra": probe_lease("extra", owner_of(HOLDER))})
+    observed.apply(ended_leases(*assigned_to(HOLDER)))
     assert observed.live() == frozenset(PROXIES)
     observed.now_ns += TERM_NS // 3
-    observed.apply(ended("extra"))
-    assert observed.live() == frozenset(PROXIES) - {VICTIM}
+    observed.apply(ended_leases("extra"))
+    assert observed.live() == frozenset(PROXIES) - {HOLDER}
 
 
-def stalled_fleet() -> Observed:
-    observed = settled_fleet()
-    observed.apply(ended(*assigned_to(VICTIM)))
-    assert VICTIM not in observed.live()
+def fleet_with_stalled_holder() -> ObservedState:
+    observed = fleet_with_all_leases_held()
+    observed.apply(ended_leases(*assigned_to(HOLDER)))
+    assert HOLDER not in observed.live()
     return observed
 
 
-def test_stalled_proxy_counts_again_once_it_acquires_a_lease() -> None:
-    observed = stalled_fleet()
-    backend = assigned_to(VICTIM)[0]
-    observed.apply({f"{PROBE_LEASE_PREFIX}{backend}": probe_lease(backend, owner_of(VICTIM), 2)})
+def test_stalled_proxy_is_live_again_once_it_acquires_a_lease() -> None:
+    observed = fleet_with_stalled_holder()
+    backend = assigned_to(HOLDER)[0]
+    observed.apply({f"{PROBE_LEASE_PREFIX}{backend}": probe_lease(backend, owner_of(HOLDER), 2)})
     assert observed.live() == frozenset(PROXIES)
 
 
-def test_stalled_proxy_counts_again_once_it_attaches_anew() -> None:
-    observed = stalled_fleet()
-    observed.apply(members={VICTIM: member(VICTIM, epoch=2)})
+def test_stalled_proxy_is_live_again_once_it_attaches_anew() -> None:
+    observed = fleet_with_stalled_holder()
+    observed.apply(members={HOLDER: member(HOLDER, epoch=2)})
     assert observed.live() == frozenset(PROXIES)
 
 
-def test_stalled_proxy_counts_again_as_a_new_process() -> None:
-    observed = stalled_fleet()
-    observed.apply(members={VICTIM: member(VICTIM, owner=f"{VICTIM}#bb")})
+def test_stalled_proxy_is_live_again_as_a_new_process() -> None:
+    observed = fleet_with_stalled_holder()
+    observed.apply(members={HOLDER: member(HOLDER, owner=f"{HOLDER}#bb")})
     assert observed.live() == frozenset(PROXIES)
 
 
-def test_stalled_proxy_is_forgotten_after_it_would_have_been_removed() -> None:
-    observed = stalled_fleet()
+def test_stall_is_forgotten_after_the_configured_time() -> None:
+    observed = fleet_with_stalled_holder()
     observed.now_ns += FORGET_AFTER_NS - 1
-    assert VICTIM not in observed.live()
+    assert HOLDER not in observed.live()
     observed.now_ns += 1
     assert observed.live() == frozenset(PROXIES)
 
 
 def test_proxy_never_counts_itself_as_stalled() -> None:
-    observed = settled_fleet()
+    observed = fleet_with_all_leases_held()
     observed.stalled = StalledHolders(
-        owner_of(VICTIM), (PROBE_LEASE_PREFIX,), TERM_NS, FORGET_AFTER_NS
+        owner_of(HOLDER), (PROBE_LEASE_PREFIX,), TERM_NS, FORGET_AFTER_NS
     )
-    observed.apply(ended(*assigned_to(VICTIM)))
+    observed.apply(ended_leases(*assigned_to(HOLDER)))
     assert observed.live() == frozenset(PROXIES)
 
 
-def test_holder_of_the_failover_lease_is_found_as_well() -> None:
-    observed = settled_fleet()
-    leader = assigned_prober("failover", PROXIES)
+def test_stalled_holder_of_the_failover_lease_is_found() -> None:
+    observed = fleet_with_all_leases_held()
+    failover_holder = assigned_prober("failover", PROXIES)
     observed.stalled = StalledHolders("other#aa", ("failover",), TERM_NS, FORGET_AFTER_NS)
-    observed.apply({"failover": Lease("failover", owner_of(leader), 2000, 9, {})})
+    observed.apply({"failover": Lease("failover", owner_of(failover_holder), 2000, 9, {})})
     observed.apply({"failover": None})
-    assert observed.live() == frozenset(PROXIES) - {leader}
+    assert observed.live() == frozenset(PROXIES) - {failover_holder}
 
 
 def test_the_same_object_is_returned_while_nothing_changes() -> None:
-    observed = stalled_fleet()
+    observed = fleet_with_stalled_holder()
     assert observed.live() is observed.live()
--- a/tests/fleet/probing/test_probe_assignment.py
+++ b/tests/fleet/probing/test_probe_assignment.py
@@ -4,16 +4,14 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.fleet.probing import assignment
 from mothstall.fleet.probing.assignment import ProbeAssignment
 
-NAMES = [f"p{i}" for i in range(12)]
+PROXIES = [f"p{i}" for i in range(12)]
 BACKENDS = [f"b{i}" for i in range(30)]
-SETS = some.tuples(
-    some.frozensets(some.sampled_from(BACKENDS)), some.frozensets(some.sampled_from(NAMES))
-)
+SETS = st.tuples(st.frozensets(st.sampled_from(BACKENDS)), st.frozensets(st.sampled_from(PROXIES)))
 
 
 def test_leaving_proxy_moves_only_its_own_backends() -> None:
@@ -27,7 +25,7 @@
     assert assignment.assigned_prober("b", []) == ""
 
 
-@given(some.lists(SETS, min_size=1, max_size=12))
+@given(st.lists(SETS, min_size=1, max_size=12))
 def test_updated_assignment_equals_the_complete_computation(
     steps: list[tuple[frozenset[str], frozenset[str]]],
 ) -> None:
@@ -42,11 +40,11 @@
         assert probe_assignment.update(backends, live_proxies) == expected
 
 
-@given(some.lists(SETS, min_size=1, max_size=8))
+@given(st.lists(SETS, min_size=1, max_size=8))
 def test_each_backend_is_assigned_to_exactly_one_live_proxy(
     steps: list[tuple[frozenset[str], frozenset[str]]],
 ) -> None:
-    shares = {name: ProbeAssignment(name) for name in NAMES}
+    shares = {name: ProbeAssignment(name) for name in PROXIES}
     for backends, live_proxies in steps:
         assigned = [
             backend
--- a/tests/fleet/test_clocks.py
+++ b/tests/fleet/test_clocks.py
@@ -18,8 +18,8 @@
     for path in files:
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name):
-                told = f"{node.value.id}.{node.attr}"
-                assert told not in ("time.time", "time.time_ns", "time.gmtime", "datetime.now"), (
+                name = f"{node.value.id}.{node.attr}"
+                assert name not in ("time.time", "time.time_ns", "time.gmtime", "datetime.now"), (
                     path
                 )
             if isinstance(node, ast.ImportFrom):
--- a/tests/fleet/test_observer_config.py
+++ b/tests/fleet/test_observer_config.py
@@ -65,6 +65,6 @@
     change: dict[str, Any], path: str
 ) -> None:
     tree = {"cluster": "c", "keepers": [{"name": "k1", "address": "127.0.0.1:9"}], **change}
-    with pytest.raises(OperatorError, match=path) as why:
+    with pytest.raises(OperatorError, match=path) as error:
         parse_operator_file(tree)
-    assert "\n" not in str(why.value)
+    assert "\n" not in str(error.value)
--- a/tests/fleet/test_operator_file.py
+++ b/tests/fleet/test_operator_file.py
@@ -65,14 +65,14 @@
     path = tmp_path / "key"
     path.write_bytes(b"0123456789abcdef" * 2)
     os.chmod(path, 0o640)
-    found = operator_file.parse_operator_file({**TREE, "key_file": str(path)})
+    config = operator_file.parse_operator_file({**TREE, "key_file": str(path)})
     with pytest.raises(OperatorError, match="chmod 600"):
-        found.key()
+        config.key()
     os.chmod(path, 0o600)
-    assert found.key() == b"0123456789abcdef" * 2
+    assert config.key() == b"0123456789abcdef" * 2
     path.write_bytes(b"short")
     with pytest.raises(OperatorError, match="fewer than 32"):
-        found.key()
+        config.key()
 
 
 def test_sample_operator_file_is_valid() -> None:
