--- a/mothstall/commands/members.py
+++ b/mothstall/commands/members.py
@@ -25,7 +25,7 @@
     zone: str
     by: str  # the observer that it is attached to; empty if it holds a member lease of its own
     token: int
-    probes: int  # how many backends it probes
+    probes: int  # number of backends that it probes
 
 
 def add_parsers(subparsers: SubParsers) -> None:
--- a/mothstall/commands/observers.py
+++ b/mothstall/commands/observers.py
@@ -79,7 +79,7 @@
 
 
 def _add_lag(rows: list[ObserverStatus]) -> None:
-    """Add `lag`: by how many versions of the state each observer is behind the most recent one."""
+    """Add `lag`: the number of state versions by which each observer is behind the newest."""
     versions = [row["version"] for row in rows if "version" in row]
     if not versions:
         raise KeeperUnavailableError("; ".join(row["why"] for row in rows))
--- a/mothstall/fleet/failover/assessment.py
+++ b/mothstall/fleet/failover/assessment.py
@@ -213,7 +213,7 @@
 
 
 def _unhealthiness(sample: _WeightedSample, best: _BadFraction) -> float:
-    """How unhealthy a zone is by one sample: 0 up to the tolerated excess, then linear up to 1."""
+    """Return the unhealthy fraction of a sample: 0 up to the tolerated excess, linear up to 1."""
     attempts = sample.attempts + PRIOR_GOOD_ATTEMPTS * sample.proxy_count
     excess = sample.bad_attempts / attempts - best.fraction
     intolerable = UNHEALTHY_EXCESS_FRACTION - TOLERATED_EXCESS_FRACTION
--- a/mothstall/fleet/leases/stalled_holders.py
+++ b/mothstall/fleet/leases/stalled_holders.py
@@ -27,7 +27,7 @@
 
 
 class _EndedLease(NamedTuple):
-    """A lease that nobody holds."""
+    """A lease that ended and has no new holder yet."""
 
     last_owner: str
     ended_at_ns: int
@@ -46,7 +46,7 @@
     A proxy is stalled if a lease that is assigned to it has ended and it holds no other lease. A
     proxy that released a lease does not match, as the lease is assigned to another proxy by then;
     nor does a proxy that holds other leases after an operator revoked one. A proxy counts as live
-    again once it acquires a lease, attaches anew or restarts, and in any case after
+    again once it acquires a lease, attaches again or restarts, and in any case after
     `forget_after_ns`.
     """
 
--- a/mothstall/fleet/operator_config.py
+++ b/mothstall/fleet/operator_config.py
@@ -138,7 +138,7 @@
 
 
 class RegionConfig(_Section, kw_only=True, frozen=True):
-    """Zones that are close to one another.
+    """A group of zones that are close to each other.
 
     Attributes:
         name: Unique among the regions.
@@ -216,7 +216,7 @@
         """Return the keeper of this name.
 
         Raises:
-            OperatorError: There is none.
+            OperatorError: No keeper has this name.
         """
         for keeper in self.keepers:
             if keeper.name == name:
@@ -227,7 +227,7 @@
         """Return the observer of this name.
 
         Raises:
-            OperatorError: There is none.
+            OperatorError: No observer has this name.
         """
         for observer in self.observers:
             if observer.name == name:
--- a/tests/fleet/failover/test_placement.py
+++ b/tests/fleet/failover/test_placement.py
@@ -17,7 +17,7 @@
     outcomes_with_lost_zone,
 )
 
-# In all tests with reports, each zone gets 200 requests a second and has a warm weight of 20.
+# Unless a test says otherwise, each zone gets 200 requests a second and has a warm weight of 20.
 
 
 def policy_of(capacity_per_weight: float, is_capacity_limited: bool = True) -> FailoverPolicy:
