--- a/mothstall/fleet/failover/assessment.py
+++ b/mothstall/fleet/failover/assessment.py
@@ -1,7 +1,8 @@
 """Assessment of zones from the reports of all proxies. Pure.
 
-A zone is compared with the best one: what all zones show alike is no zone's fault. Each proxy is
-capped at a multiple of the median one, so that no single report decides.
+Each zone is compared with the one that has the lowest fraction of bad attempts, so that a fault
+common to all zones counts against none. The weight of each proxy is capped at a multiple of the
+median proxy's, so that no single report decides an assessment.
 """
 
 from __future__ import annotations
@@ -23,23 +24,23 @@
 )
 from mothstall.fleet.failover.zone_evidence import MIN_ATTEMPTS, ZoneAssessment, ZoneEvidence
 
-# Good attempts that every proxy is taken to have seen besides: one loss of three decides nothing.
+# Good attempts that are added to each proxy's count; limits the effect of one failure in three.
 PRIOR_GOOD_ATTEMPTS = 4.0
-# Fraction of bad attempts above the best zone's that is tolerated: nothing is moved up to it.
+# Excess over the best zone's fraction of bad attempts up to which no traffic is moved.
 TOLERATED_EXCESS_FRACTION = 0.05
-# Fraction of bad attempts above the best zone's from which a proxy finds the zone unhealthy in
-# full.
+# Excess over the best zone's fraction of bad attempts from which a proxy counts the zone as
+# completely unhealthy.
 UNHEALTHY_EXCESS_FRACTION = 0.35
-# A zone that finds all others this unhealthy is isolated itself.
+# Unhealthy fraction from which a zone counts as unhealthy in the search for isolated zones.
 ISOLATED_UNHEALTHY_FRACTION = 0.5
 # Standard deviations by which a zone's fraction of bad attempts has to exceed the best one's.
-# Guards against zones that differ by chance alone, as all do while all are slow for a part of the
-# answers.
+# Guards against differences by chance, which arise between all zones while each of them is slow for
+# a part of the responses.
 SIGNIFICANT_DEVIATIONS = 4.0
 
 
 class _WeightedSample(NamedTuple):
-    """Attempts of proxies to a zone, and the weight of these proxies among those of their zone."""
+    """Attempts of proxies to a zone; `weight` is the attempts, capped for each proxy."""
 
     weight: float
     attempts: float
@@ -48,7 +49,7 @@
 
 
 class _BadFraction(NamedTuple):
-    """A fraction of bad attempts, and the variance of it by chance."""
+    """A fraction of bad attempts, and its sampling variance."""
 
     fraction: float
     variance: float
@@ -60,12 +61,12 @@
 def assess_reports(
     reports: Iterable[TrafficReport], plan_number: int, is_capped: bool = True
 ) -> ZoneEvidence:
-    """Weigh all current reports against each other.
+    """Assess all zones by the current reports.
 
     Args:
         reports: The current reports of all proxies.
         plan_number: The plan that is in force.
-        is_capped: False takes the cap of each proxy out, for tests that show what it is for.
+        is_capped: False disables the cap on the weight of each proxy, for tests of the cap.
     """
     current = list(reports)
     merged = merge_by_proxy(current)
@@ -73,8 +74,10 @@
     evidence = ZoneEvidence()
     for origin, group in sorted(by_origin.items()):
         _add_traffic(evidence, origin, group, plan_number, is_capped)
-    evidence.warm_weights = _medians([(one.proxy_count, one.warm_weights) for one in merged])
-    evidence.utilization = _medians([(one.proxy_count, one.utilization) for one in merged])
+    evidence.warm_weights = _medians(
+        [(record.proxy_count, record.warm_weights) for record in merged]
+    )
+    evidence.utilization = _medians([(record.proxy_count, record.utilization) for record in merged])
     evidence.assessments = _assess_zones(by_origin, is_capped)
     _raise_to_newest(evidence, current, is_capped)
     evidence.isolated_zones = _find_isolated_zones(evidence)
@@ -83,8 +86,8 @@
 
 def _group_by_origin(merged: Iterable[MergedReports]) -> dict[str, list[MergedReports]]:
     groups: dict[str, list[MergedReports]] = {}
-    for one in merged:
-        groups.setdefault(one.zone, []).append(one)
+    for record in merged:
+        groups.setdefault(record.zone, []).append(record)
     return groups
 
 
@@ -95,32 +98,34 @@
     plan_number: int,
     is_capped: bool,
 ) -> None:
-    """Add the rates of one zone's proxies, and how many of them follow the plan."""
-    proxy_count = sum(one.proxy_count for one in group)
-    on_plan = sum(one.proxies_on_plan for one in group if one.plan_number == plan_number)
+    """Add one zone's rates, its proxy count, and the fraction of proxies that follow the plan."""
+    proxy_count = sum(record.proxy_count for record in group)
+    on_plan = sum(record.proxies_on_plan for record in group if record.plan_number == plan_number)
     evidence.proxy_counts[origin] = round(proxy_count)
     evidence.on_plan_fractions[origin] = on_plan / proxy_count
     evidence.request_rates[origin] = capped_sum(
-        [(one.proxy_count, one.request_rate) for one in group], is_capped
+        [(record.proxy_count, record.request_rate) for record in group], is_capped
     )
     for zone in _target_zones(group):
         rates = [
-            (sample.proxy_count, sample.attempts / one.interval_s)
-            for one in group
-            for sample in one.samples.get(zone, ())
+            (sample.proxy_count, sample.attempts / record.interval_s)
+            for record in group
+            for sample in record.samples.get(zone, ())
         ]
         evidence.attempt_rates.setdefault(origin, {})[zone] = capped_sum(rates, is_capped)
 
 
 def _target_zones(group: Iterable[MergedReports]) -> list[str]:
-    return sorted({zone for one in group for zone in one.samples})
+    return sorted({zone for record in group for zone in record.samples})
 
 
 def _medians(rows: Sequence[tuple[float, Mapping[str, float]]]) -> dict[str, float]:
-    """Return the median over proxies of what they report of each zone."""
-    zones = sorted({zone for _, levels in rows for zone in levels})
+    """Return, for each zone, the median over proxies of the values that they report for it."""
+    zones = sorted({zone for _, by_zone in rows for zone in by_zone})
     return {
-        zone: weighted_median([(count, levels[zone]) for count, levels in rows if zone in levels])
+        zone: weighted_median(
+            [(count, by_zone[zone]) for count, by_zone in rows if zone in by_zone]
+        )
         for zone in zones
     }
 
@@ -128,16 +133,18 @@
 def _raise_to_newest(
     evidence: ZoneEvidence, reports: Iterable[TrafficReport], is_capped: bool
 ) -> None:
-    """Raise each unhealthy fraction to what the newest reports alone show.
+    """Raise each unhealthy fraction to the one that the newest reports alone give.
 
-    Guards against good attempts of before that outweigh a zone's loss, as proxies send there no
-    more.
+    Guards against a lost zone that still looks healthy: proxies stop sending to it, so that the
+    good attempts of earlier reports outweigh its failures.
     """
     newest = merge_by_proxy(list(newest_by_proxy(reports).values()))
     for origin, targets in _assess_zones(_group_by_origin(newest), is_capped).items():
         for zone, assessment in targets.items():
-            known = evidence.assessments[origin][zone]
-            known.unhealthy_fraction = max(known.unhealthy_fraction, assessment.unhealthy_fraction)
+            combined = evidence.assessments[origin][zone]
+            combined.unhealthy_fraction = max(
+                combined.unhealthy_fraction, assessment.unhealthy_fraction
+            )
 
 
 def _assess_zones(by_origin: _ByOrigin, is_capped: bool) -> dict[str, dict[str, ZoneAssessment]]:
@@ -152,8 +159,10 @@
 def _weigh_samples(
     group: Iterable[MergedReports], zone: str, is_capped: bool
 ) -> list[_WeightedSample]:
-    """Return the samples of all proxies that sent to the zone, each proxy's weight capped."""
-    samples = [sample for one in group for sample in one.samples.get(zone, ()) if sample.attempts]
+    """Return the samples of all proxies that sent to the zone, with each proxy's weight capped."""
+    samples = [
+        sample for record in group for sample in record.samples.get(zone, ()) if sample.attempts
+    ]
     cap = cap_per_proxy([(sample.proxy_count, sample.attempts) for sample in samples], is_capped)
     return [
         _WeightedSample(min(attempts, cap * proxy_count), attempts, bad_attempts, proxy_count)
@@ -166,7 +175,7 @@
 
 
 def _best_zone(by_origin: _ByOrigin, is_capped: bool) -> _BadFraction:
-    """Return the lowest fraction of bad attempts of all zones."""
+    """Return the lowest fraction of bad attempts among all zones with enough attempts."""
     zones = {zone for group in by_origin.values() for zone in _target_zones(group)}
     fractions = []
     for zone in zones:
@@ -187,7 +196,7 @@
 def _assess_zone(
     group: Sequence[MergedReports], zone: str, best: _BadFraction, is_capped: bool
 ) -> ZoneAssessment:
-    """Assess one zone by the proxies of one zone."""
+    """Assess a zone by the attempts of one origin zone's proxies."""
     samples = _weigh_samples(group, zone, is_capped)
     total = sum(row.weight for row in samples)
     bad_attempts = _weighted_bad_attempts(samples)
@@ -204,7 +213,7 @@
 
 
 def _unhealthiness(sample: _WeightedSample, best: _BadFraction) -> float:
-    """How unhealthy a zone is by one sample: 0 up to the tolerated excess, then linear up to 1."""
+    """Return the unhealthy fraction of a sample: 0 up to the tolerated excess, linear up to 1."""
     attempts = sample.attempts + PRIOR_GOOD_ATTEMPTS * sample.proxy_count
     excess = sample.bad_attempts / attempts - best.fraction
     intolerable = UNHEALTHY_EXCESS_FRACTION - TOLERATED_EXCESS_FRACTION
@@ -212,7 +221,7 @@
 
 
 def _find_isolated_zones(evidence: ZoneEvidence) -> set[str]:
-    """Return the zones that find all others unhealthy, of which another finds one healthy."""
+    """Return the zones that find all others unhealthy, while another zone finds one healthy."""
     return {origin for origin in evidence.assessments if _is_isolated(origin, evidence)}
 
 
@@ -222,17 +231,17 @@
         for zone, assessment in evidence.assessments[origin].items()
         if zone != origin and assessment.attempts >= MIN_ATTEMPTS
     }
-    # Most others, at least: one faulty path of many does not isolate a zone.
+    # Requires attempts to more than half of the others: one faulty path does not isolate a zone.
     if 2 * len(others) <= len(set(evidence.zones) - {origin}):
         return False
     if any(_is_healthy(evidence.assessments[origin][zone]) for zone in others):
         return False
     return any(
-        far != origin
+        other_origin != origin
         and zone in others
         and assessment.attempts >= MIN_ATTEMPTS
         and _is_healthy(assessment)
-        for far, targets in evidence.assessments.items()
+        for other_origin, targets in evidence.assessments.items()
         for zone, assessment in targets.items()
     )
 
--- a/mothstall/fleet/failover/transition.py
+++ b/mothstall/fleet/failover/transition.py
@@ -1,9 +1,9 @@
-"""How one proxy changes over to a plan, and away from one that is no longer confirmed. Pure.
+"""Transition of one proxy to a new plan, and fade-out of a plan without contact. Pure.
 
-Proxies begin at different moments within a stated time and change over in small steps, so that the
-fleet never moves at one instant; never to a plan older than one that was adopted. Without contact
-to the keepers the last plan holds for a stated time, then fades until the proxy routes by what it
-sees itself.
+Proxies start a transition at different times within a configured spread and change their weights in
+small steps, so that the fleet never moves at one instant. A plan that is older than the adopted one
+is ignored. Without contact to the keepers the last plan stays in force for a configured time, then
+fades out until the proxy routes by its own measurements alone.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 # Weights that differ by less from the ones applied last are not applied again.
 MIN_APPLIED_CHANGE = 0.02
-# Range of the hash that spreads the proxies' beginnings.
+# Range of the hash that spreads the proxies' start delays.
 _HASH_RANGE = 2**64
 
 
@@ -28,7 +28,7 @@
         plan_number: The plan that they come from; 0 between two plans.
         weights: Fraction of the proxy's traffic by the zone that serves it.
         overflow_fraction: Fraction for which no zone has capacity.
-        strength: How far the weights hold. 0: routing is free, as on an ordinary day; 1: they
+        strength: Influence of the weights. 0: routing is free, as in normal operation; 1: they
             decide which zone a request goes to first.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Change:
-    """A change from some weights to others that begins at a time."""
+    """A gradual change from one set of weights to another."""
 
     before: RoutingWeights = field(default_factory=RoutingWeights)
     after: RoutingWeights = field(default_factory=RoutingWeights)
@@ -62,7 +62,7 @@
 
 
 class PlanTransition:
-    """One proxy's change from plan to plan. Times are milliseconds of its monotonic clock."""
+    """Transitions of one proxy from plan to plan. Times are milliseconds of its monotonic clock."""
 
     def __init__(
         self,
@@ -78,12 +78,12 @@
 
         Args:
             proxy: Name of the proxy.
-            zone: The zone that it stands in.
-            spread_ms: Milliseconds within which all proxies change over.
-            hold_ms: Milliseconds for which a plan holds without contact.
-            fade_ms: Milliseconds in which it fades after that.
-            is_immediate: Takes the spread out, a guard; for tests and for the lab's ideal planner.
-            never_expires: Takes hold and fade out, a guard; for the same.
+            zone: The zone that it runs in.
+            spread_ms: Milliseconds within which all proxies complete a transition.
+            hold_ms: Milliseconds without contact for which a plan stays fully in force.
+            fade_ms: Milliseconds after that in which the plan fades out.
+            is_immediate: Disables the spread, for tests and for the lab's ideal planner.
+            never_expires: Disables the end of the hold and the fade-out, for the same uses.
         """
         self.proxy = proxy
         self.zone = zone
@@ -96,42 +96,42 @@
         self._change = _Change()
 
     def adopt(self, plan: FailoverPlan, now_ms: int) -> bool:
-        """Begin to change over to a plan.
+        """Start the transition to a plan.
 
         Returns:
-            Whether it is newer than the one that was adopted last; else nothing changes.
+            Whether it is newer than the one that was adopted last; otherwise nothing changes.
         """
         if plan.number <= self.plan_number:
             return False
-        before = self._blend(now_ms)
+        before = self._interpolate(now_ms)
         row = plan.weights.get(self.zone)
         if row:
             overflow_fraction = plan.overflow_fractions.get(self.zone, 0.0)
             after = RoutingWeights(plan.number, dict(row), overflow_fraction, 1.0)
         else:
-            # Free routing has no weights of its own: those of before lose strength instead.
+            # Free routing has no weights of its own: the previous weights lose strength instead.
             after = RoutingWeights(plan.number, before.weights, before.overflow_fraction, 0.0)
         if before.strength == 0.0:
-            # From free routing, those of the plan gain strength.
+            # From free routing, the weights of the plan gain strength.
             before = RoutingWeights(before.plan_number, after.weights, after.overflow_fraction, 0.0)
         self._change = _Change(before, after, now_ms + self._start_delay_ms(plan.number))
         self.plan_number = plan.number
         return True
 
-    def weights_at(self, now_ms: int, silent_ms: int) -> RoutingWeights:
-        """Return the weights that hold now.
+    def weights_at(self, now_ms: int, contact_age_ms: int) -> RoutingWeights:
+        """Return the weights that are in force.
 
         Args:
             now_ms: The time.
-            silent_ms: Milliseconds since the last contact with a keeper that knows a leader; below
-                0: there was none yet.
+            contact_age_ms: Milliseconds since the last contact with a keeper that has a leader;
+                negative before the first contact.
         """
-        current = self._blend(now_ms)
-        expired_ms = silent_ms - self.hold_ms
-        if self.never_expires or (silent_ms >= 0 and expired_ms <= 0):
+        current = self._interpolate(now_ms)
+        expired_ms = contact_age_ms - self.hold_ms
+        if self.never_expires or (contact_age_ms >= 0 and expired_ms <= 0):
             return current
         remaining = 0.0
-        if silent_ms >= 0:
+        if contact_age_ms >= 0:
             remaining = max(0.0, 1.0 - expired_ms / max(1, self.fade_ms))
         return RoutingWeights(
             current.plan_number,
@@ -147,8 +147,8 @@
         digest = xxhash.xxh3_64_intdigest(f"{self.proxy}\0{plan_number}".encode())
         return int(digest / _HASH_RANGE * self.spread_ms / 2)
 
-    def _blend(self, now_ms: int) -> RoutingWeights:
-        """Return the weights at a point of the change, which takes half the spread."""
+    def _interpolate(self, now_ms: int) -> RoutingWeights:
+        """Return the interpolated weights at a time; a transition takes half of the spread."""
         before = self._change.before
         after = self._change.after
         duration_ms = max(1, self.spread_ms // 2)
@@ -156,16 +156,16 @@
         if self.is_immediate:
             progress = 1.0
 
-        def mix(old: float, new: float) -> float:
+        def interpolate(old: float, new: float) -> float:
             return (1 - progress) * old + progress * new
 
         weights = {
-            zone: mix(before.weights.get(zone, 0.0), after.weights.get(zone, 0.0))
+            zone: interpolate(before.weights.get(zone, 0.0), after.weights.get(zone, 0.0))
             for zone in sorted({*before.weights, *after.weights})
         }
         return RoutingWeights(
             plan_number=after.plan_number if progress >= 1.0 else 0,
             weights={zone: weight for zone, weight in weights.items() if weight > 0},
-            overflow_fraction=mix(before.overflow_fraction, after.overflow_fraction),
-            strength=mix(before.strength, after.strength),
+            overflow_fraction=interpolate(before.overflow_fraction, after.overflow_fraction),
+            strength=interpolate(before.strength, after.strength),
         )
--- a/mothstall/fleet/failover/zone_counters.py
+++ b/mothstall/fleet/failover/zone_counters.py
@@ -1,4 +1,4 @@
-"""What one proxy saw of each zone since its last report. Pure."""
+"""Counts of one proxy's attempts to each zone since its last report. Pure."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 _FAILED = 2
 _CONNECT_FAILED = 3
 _REJECTED = 4
-_OUTCOMES = 5
+_OUTCOME_COUNT = 5
 
-_POSITIONS = {
+_OUTCOME_POSITIONS = {
     AttemptResult.ERROR: _FAILED,
     AttemptResult.TIMEOUT: _FAILED,
     AttemptResult.RESET: _FAILED,
@@ -36,7 +36,7 @@
 class ZoneCounters:
     """Counts attempts as they end.
 
-    An attempt that was cancelled, or never sent, says nothing of a zone and is not counted.
+    Attempts that were cancelled or never sent are not counted, as they don't show a zone's health.
     """
 
     def __init__(
@@ -50,15 +50,15 @@
 
         Args:
             proxy: Name of the proxy.
-            zone: The zone that it stands in.
+            zone: The zone that it runs in.
             classes: Names of the classes of requests.
-            latency_objectives_ns: Nanoseconds within which an answer is good, for each class.
+            latency_objectives_ns: For each class, nanoseconds within which a response is good.
         """
         self._proxy = proxy
         self._zone = zone
         self._classes = classes
         self._latency_objectives_ns = latency_objectives_ns
-        # By zone, for each class a row of counts.
+        # By zone, one row of counts for each class.
         self._counts: dict[str, list[list[int]]] = {}
         self._utilization: dict[str, _Utilization] = {}
         self._sequence_number = 0
@@ -78,26 +78,26 @@
             class_index: Index of the request's class.
             result: How it ended.
             latency_ns: Nanoseconds that the attempt took.
-            utilization: What the backend reported, 0 to 1; below 0 where it reported none.
+            utilization: Utilization that the backend reported, 0 to 1; negative if none.
         """
         rows = self._counts.get(zone)
         if rows is None:
             if len(self._counts) >= MAX_ZONES:
                 return
-            rows = [[0] * _OUTCOMES for _ in self._classes]
+            rows = [[0] * _OUTCOME_COUNT for _ in self._classes]
             self._counts[zone] = rows
         if result == AttemptResult.OK:
             is_late = latency_ns > self._latency_objectives_ns[class_index]
             rows[class_index][_LATE if is_late else _GOOD] += 1
-        elif result in _POSITIONS:
-            rows[class_index][_POSITIONS[result]] += 1
+        elif result in _OUTCOME_POSITIONS:
+            rows[class_index][_OUTCOME_POSITIONS[result]] += 1
         if utilization >= 0.0:
-            known = self._utilization.get(zone)
-            if known is None:
-                known = _Utilization()
-                self._utilization[zone] = known
-            known.total += utilization
-            known.count += 1
+            zone_utilization = self._utilization.get(zone)
+            if zone_utilization is None:
+                zone_utilization = _Utilization()
+                self._utilization[zone] = zone_utilization
+            zone_utilization.total += utilization
+            zone_utilization.count += 1
 
     def take_report(
         self,
@@ -107,18 +107,21 @@
         rejected: int,
         warm_weights: Mapping[str, float],
     ) -> TrafficReport:
-        """Return the counts since the last report, and start anew.
+        """Return the counts since the last report, and reset them.
 
         Args:
             interval_ms: Milliseconds since the last report.
             plan_number: See `TrafficReport`.
-            requests: Requests of clients in this time.
-            rejected: Those of them that were rejected.
+            requests: Client requests in this interval.
+            rejected: Rejected requests among them.
             warm_weights: See `TrafficReport`.
         """
         self._sequence_number += 1
         outcomes = {zone: self._outcomes_by_class(rows) for zone, rows in self._counts.items()}
-        utilization = {zone: known.total / known.count for zone, known in self._utilization.items()}
+        utilization = {
+            zone: zone_utilization.total / zone_utilization.count
+            for zone, zone_utilization in self._utilization.items()
+        }
         self._counts = {}
         self._utilization = {}
         return TrafficReport(
