--- a/mothstall/interface.py
+++ b/mothstall/interface.py
@@ -1,7 +1,7 @@
-"""What goes into a decision and what comes out: settings, events and actions.
+"""The interface of the policy: its settings, the events it takes and the actions it returns.
 
-Nothing here knows a wire. Times and durations are whole nanoseconds; classes, tenants and zones are
-indexes, in the order of the settings: their names never come this far.
+Nothing here depends on a transport. Times and durations are whole nanoseconds. Classes, tenants and
+zones are indexes into the settings; only the adapter handles their names.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Effect(IntEnum):
-    """What sending a request again would do, from harmless to harmful."""
+    """The effect of sending a request again, from harmless to harmful."""
 
     IDEMPOTENT = 0
     IDEMPOTENT_WITH_KEY = 1
@@ -21,7 +21,7 @@
 
 
 class KeyScope(IntEnum):
-    """Which backends recognize the key of a request that they have run before."""
+    """The backends that recognize the key of a request that one of them has run."""
 
     ALL = 0
     ZONE = 1
@@ -29,7 +29,7 @@
 
 
 class Health(IntEnum):
-    """What discovery says of a backend."""
+    """State of a backend in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -37,13 +37,13 @@
 
 
 class UpdateScope(IntEnum):
-    """What an update of the endpoint list holds.
+    """Content of an update of the endpoint list.
 
     Attributes:
-        CACHED: The complete list as it was known at the start; it may be old.
-        FULL: The complete list: what it does not name is gone.
-        FAILED: Nothing: a call failed, or a watch ended.
-        DELTA: Endpoints that changed.
+        CACHED: The complete list as cached at the start; it may be outdated.
+        FULL: The complete list; endpoints that are missing from it are gone.
+        FAILED: Empty: a call failed, or a watch ended.
+        DELTA: Only the endpoints that changed.
     """
 
     CACHED = 0
@@ -56,9 +56,9 @@
     """How an attempt or a load probe ended."""
 
     OK = 0
-    ERROR = 1  # answered with an error; may have run
+    ERROR = 1  # error response; may have run
     REJECTED = 2  # rejected unread; never ran
-    TIMEOUT = 3  # no answer in time; may have run
+    TIMEOUT = 3  # no response in time; may have run
     CONNECT_FAILED = 4  # never ran
     RESET = 5  # connection lost while in flight; may have run
     CANCELLED = 6  # cancelled; may have run
@@ -72,17 +72,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """Requests that are treated alike.
+    """A class of requests with common properties.
 
     Attributes:
-        objective_ns: Latency objective: a good answer that comes later counts less.
+        objective_ns: Latency objective: later responses have less value.
         deadline_ns: How long clients wait.
-        priority_weight: What a good answer in time is worth.
-        late_weight: The part of that which a late answer is worth, 0 to 1.
-        effect: What sending it again would do.
-        group: Where its key is recognized.
-        window_ns: For how long its key is recognized.
-        streaming: Its answers come in parts.
+        priority_weight: Value of a successful response within the objective.
+        late_weight: Value of a late response, as a fraction of `priority_weight`, 0 to 1.
+        effect: The effect of sending a request again.
+        group: The backends that recognize its key.
+        window_ns: How long backends recognize its key.
+        streaming: Whether its responses are sent in parts.
     """
 
     objective_ns: int
@@ -100,8 +100,8 @@
     """A customer of the service, with a quota.
 
     Attributes:
-        share: Its part of the traffic, as expected, 0 to 1.
-        quota_per_s: Requests a second over all proxies that it is entitled to.
+        share: Its expected fraction of the traffic, 0 to 1.
+        quota_per_s: Requests per second that it is entitled to, over all proxies.
     """
 
     share: float
@@ -114,30 +114,31 @@
 
     Attributes:
         classes: Classes of requests.
-        tenants: Tenants; none: traffic is told apart by class.
+        tenants: Tenants; if empty, traffic is distinguished by class.
         zone: The zone of this proxy.
-        position: This proxy's number among `proxies`; any number is taken.
-        proxies: How many proxies there are.
-        discovery_push: Lists are pushed: nothing has to be watched or polled.
-        poll_within_ns: After which time without any word from discovery a change binds.
-        drain_grace_ns: How long after a drain an attempt may still go there.
-        initial_warmth: Part of its capacity that a backend has at its start, 0 to 1.
+        position: Index of this proxy among `proxies`; any integer is accepted.
+        proxies: Number of proxies.
+        discovery_push: Whether lists are pushed, so that no watch or poll is needed.
+        poll_within_ns: Maximum time without contact with discovery; after it, a change applies to
+            this proxy even if it could not be read.
+        drain_grace_ns: How long after a drain attempts may still be sent to the backend.
+        initial_warmth: Fraction of its capacity that a backend has at its start, 0 to 1.
         slow_start_ns: How long a backend takes to warm up.
-        overload_multiple: Times its capacity that overload a backend that is warming up.
-        overload_window_ns: The time over which that is measured.
-        max_attempts: Attempts for one request, the first included.
-        may_hedge: Two attempts of one request may be in flight, where its class allows it.
-        may_cancel: Attempts may be cancelled.
-        may_probe: Load probes may be sent.
-        retry_after: Rejections may tell clients when to come back.
-        max_retry_after_ns: The longest time that they may tell.
-        connect_timeout_ns: How long a connection to a backend may take.
-        tick_ns: The granularity of the wire's clock.
-        cross_zone_fee: Points for a request that crosses zones.
-        probe_fee: Points for one probe a request.
-        warm_keys: Keys of requests tell which backends have their data at hand.
+        overload_multiple: The multiple of its capacity that overloads a warming backend.
+        overload_window_ns: The time over which that load is measured.
+        max_attempts: Maximum number of attempts of a request, including the first.
+        may_hedge: Whether two attempts of a request may be in flight, if its class permits it.
+        may_cancel: Whether attempts may be cancelled.
+        may_probe: Whether load probes may be sent.
+        retry_after: Whether rejections may tell clients when to retry.
+        max_retry_after_ns: Upper bound of that time.
+        connect_timeout_ns: How long connecting to a backend may take.
+        tick_ns: Resolution of the adapter's clock.
+        cross_zone_fee: Cost of a request to another zone, in points.
+        probe_fee: Cost of one probe per request, in points.
+        warm_keys: Whether a request key identifies backends that have its data cached.
         load_names: Names of the values in a load report, in order.
-        load_by_probes: Load is reported to probes alone.
+        load_by_probes: Whether load is reported only to probes.
     """
 
     classes: tuple[RequestClass, ...]
@@ -169,13 +170,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A backend as discovery lists it.
+    """An entry of the endpoint list.
 
     Attributes:
-        backend: Its number.
+        backend: Id of the backend.
         zone: Its zone.
         kind: Its hardware generation.
-        cell: The group of backends that share keys of requests.
+        cell: The group of backends that share request keys.
         health: Whether it is ready, draining or gone.
         weight: Its weight in the rotation.
         started_ns: When it started; 0: long ago.
@@ -195,13 +196,13 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """The endpoint list, or a change of it.
+    """The endpoint list, or a change to it.
 
     Attributes:
-        scope: What it holds.
-        version: Its version; an older one than that known is dropped.
+        scope: Whether `entries` is a complete list, a change or empty.
+        version: Its version; updates older than the current list are ignored.
         entries: The endpoints.
-        took_ns: Of a failed call: how long ago it began.
+        took_ns: Duration of a failed call.
     """
 
     scope: UpdateScope
@@ -212,16 +213,16 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request came.
+    """A client's request arrived.
 
     Attributes:
-        request: Its number, unique among open requests.
+        request: Its id, unique among open requests.
         class_index: Its class.
         tenant_index: Its tenant.
         key: A hash of its key; 0: none.
-        left_ns: How long its client still waits.
+        left_ns: Time until its client's deadline.
         cost_ns: Its expected work as declared; 0: not declared.
-        is_retry: Its client says that it sends it again.
+        is_retry: Whether its client declares it a retry.
     """
 
     request: int
@@ -235,7 +236,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The first bytes of an attempt's answer came."""
+    """The first bytes of an attempt's response arrived."""
 
     request: int
     attempt: int
@@ -244,16 +245,16 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt is over.
+    """An attempt ended.
 
     Attributes:
         request: The request; `attempt` counts its attempts from 0.
-        backend: Where it went.
+        backend: The backend that it was sent to.
         result: How it ended.
         latency_ns: How long it took.
-        finished: The client has its final answer by it.
-        load: What the backend reported of its load, by `Settings.load_names`.
-        may_retry: False: the first bytes of its body are gone, so that it cannot be sent again.
+        finished: Whether the client received its final response through it.
+        load: Load values that the backend reported, in the order of `Settings.load_names`.
+        may_retry: False if the start of the body is no longer buffered, which rules out a retry.
     """
 
     request: int
@@ -268,7 +269,7 @@
 
 @dataclass(slots=True)
 class AttemptAwaitsBody:
-    """The request's body is still on its way to the backend, which begins once it has all of it."""
+    """The request body is incomplete; the backend starts when it has received all of it."""
 
     request: int
     attempt: int
@@ -276,11 +277,11 @@
 
 @dataclass(slots=True)
 class AttemptWritten:
-    """An attempt that awaited its body is written completely.
+    """An attempt that awaited its body was written completely.
 
     Attributes:
         request: The request; `attempt` counts its attempts from 0.
-        left_ns: How long its client waits from now on.
+        left_ns: Time from now until its client's deadline.
     """
 
     request: int
@@ -290,21 +291,21 @@
 
 @dataclass(slots=True)
 class ResponseCut:
-    """A long answer broke off at the backend; its attempt had ended well with its first bytes."""
+    """A backend cut off a long response, whose attempt had succeeded with its first bytes."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class InheritedBackend:
-    """What another process knew of one backend since that backend's start.
+    """State that the previous process kept of one backend.
 
     Attributes:
-        backend: Its number; `started_ns` tells which start of it.
+        backend: Its id; `started_ns` identifies the incarnation.
         concurrency_limit: Its concurrency limit.
-        failure_score: Its run of failures.
-        ejected_until_ns: Until when it is ejected; 0: it is not.
-        ejection_ns: How long its next ejection lasts.
+        failure_score: Its failure score.
+        ejected_until_ns: End of its ejection; 0: not ejected.
+        ejection_ns: Duration of its next ejection.
     """
 
     backend: int
@@ -317,15 +318,15 @@
 
 @dataclass(slots=True)
 class InheritedState:
-    """What another process of this proxy knew, from which this one takes over all clients.
+    """State of the previous process of this proxy, whose clients this one takes over.
 
     Attributes:
-        usual_latency_ns: Mean latency of good answers.
-        capacity: Attempts that may be in flight.
-        warm_rate: Answers a second that a warm backend gives.
+        usual_latency_ns: Mean latency of successful responses.
+        capacity: Upper bound of attempts in flight.
+        warm_rate: Responses per second from a warm backend.
         retry_tokens: Retries that may be sent.
-        baselines: By class: mean latency, lowest mean, count of answers.
-        backends: What it knew of each backend.
+        baselines: By class: mean latency, lowest mean, number of responses.
+        backends: State of each backend.
     """
 
     usual_latency_ns: float
@@ -338,10 +339,10 @@
 
 @dataclass(slots=True)
 class SuccessorChanged:
-    """Another process of this proxy takes over, or is gone.
+    """Another process of this proxy takes over, or has ended.
 
     Attributes:
-        is_running: True: what is left here ends as it does. False: it is gone.
+        is_running: True: it serves new requests, and open ones finish here. False: it has ended.
     """
 
     is_running: bool
@@ -349,20 +350,20 @@
 
 @dataclass(slots=True)
 class HealthHint:
-    """The proxy that checks a backend for all says that it fails; what is seen here weighs more."""
+    """The proxy that checks a backend for all proxies reports a failure of it."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class ZoneWeights:
-    """Weights by zone, decided in common.
+    """Weights by zone from the region's plan.
 
     Attributes:
-        weights: The part of our traffic that goes to each zone.
-        rejected_part: The part that fits nowhere.
-        strength: How far all of it counts, 0 (not at all) to 1.
-        until_ns: Until when it holds.
+        weights: Fraction of this proxy's traffic for each zone.
+        rejected_part: Fraction of the traffic that exceeds all capacity and is rejected.
+        strength: Fraction of requests that follow the weights, 0 (none) to 1.
+        until_ns: When the weights expire.
     """
 
     weights: tuple[float, ...]
@@ -373,7 +374,7 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client of a request does not wait any more."""
+    """The client of a request has disconnected or given up."""
 
     request: int
 
@@ -387,7 +388,7 @@
 
 @dataclass(slots=True)
 class LoadProbeEnded:
-    """A load probe is over; `load` is what the backend reported, by `Settings.load_names`."""
+    """A load probe ended; `load` has the reported values in the order of `Settings.load_names`."""
 
     backend: int
     result: AttemptResult
@@ -410,10 +411,10 @@
 
     Attributes:
         request: The request.
-        backend: Where to send it.
-        timeout_ns: How long it may take; 0: until the client gives up.
-        write_by_ns: Its last byte goes out by then or never, as the window of a retry ends; 0: any
-            time.
+        backend: The backend to send it to.
+        timeout_ns: Timeout of the attempt; 0: until the client gives up.
+        write_by_ns: When the last byte must be written, as the window for a retry ends then; 0: no
+            limit.
     """
 
     request: int
@@ -432,7 +433,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Reject a request: its client may send it again, after `retry_after_ns` if not 0."""
+    """Reject a request; its client may retry it, after `retry_after_ns` if that is not 0."""
 
     request: int
     retry_after_ns: int
@@ -440,14 +441,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Answer a request with an error: it may have had an effect."""
+    """Respond to a request with an error; it may have had an effect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report `TimerFired` with this token at a time."""
+    """Send `TimerFired` with this token at the given time."""
 
     token: int
     at_ns: int
@@ -455,14 +456,14 @@
 
 @dataclass(slots=True)
 class ProbeLoad:
-    """Ask a backend for its load."""
+    """Send a load probe to a backend."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close idle connections to a backend that is not a member any more."""
+    """Close idle connections to a backend that is no longer a member."""
 
     backend: int
 
@@ -476,7 +477,7 @@
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Ask discovery for the list once."""
+    """Request the endpoint list from discovery once."""
 
 
 @dataclass(slots=True)
--- a/mothstall/policy/__init__.py
+++ b/mothstall/policy/__init__.py
@@ -1,9 +1,9 @@
-"""Every decision on requests: which backend gets one, when it is retried or rejected. Pure.
+"""Request decisions: backend selection, retries, hedging and rejection. No input or output.
 
-`Balancer` takes the events of `mothstall.interface` and returns its actions. The ordinary path
-follows "A Predictive-Adaptive Algorithm for a Web Switch" and stands in `priority_groups`; every
-other module is one departure from the paper, with what it guards against. `docs/design.md` tells
-why each of them is there.
+`Balancer` takes the events of `mothstall.interface` and returns its actions. `priority_groups`
+implements "A Predictive-Adaptive Algorithm for a Web Switch"; every other module adds one mechanism
+that the paper does not have, and names the fault that it guards against. `docs/design.md` gives the
+reason for each.
 """
 
 from mothstall.policy.balancer import Balancer
--- a/mothstall/policy/admission.py
+++ b/mothstall/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: quotas of tenants, and a fair queue for requests that wait briefly for capacity."""
+"""Admission control: tenant quotas, and a fair queue for requests that wait for capacity."""
 
 from __future__ import annotations
 
@@ -10,14 +10,12 @@
 from mothstall.policy.request import Request
 from mothstall.policy.traffic_profile import TrafficProfile, TrafficProfiles
 
-QUOTA_SLACK = (
-    1.35  # how far above the typical tenant's pace a tenant still counts as inside its quota
-)
-BURST_TOKENS = 2.0  # requests more that a burst may have where a proxy sees little traffic
+QUOTA_SLACK = 1.35  # a tenant is within its quota up to this multiple of the typical rate
+BURST_TOKENS = 2.0  # additional burst size where a proxy sees little traffic, in requests
 
 
 class Quotas:
-    """Which requests are beyond a quota, in this proxy's part of the traffic."""
+    """Token buckets that enforce this proxy's fraction of each tenant's quota."""
 
     def __init__(
         self, context: Context, endpoints: EndpointList, profiles: TrafficProfiles
@@ -28,9 +26,9 @@
         self._max_priority_weight = max(row.priority_weight for row in context.settings.classes)
 
     def exceeds(self, profile: TrafficProfile) -> bool:
-        """Count a request; return whether it is beyond its tenant's quota.
+        """Count a request; return whether it exceeds its tenant's quota.
 
-        Without tenants: whether its class has less than the greatest priority weight.
+        Without tenants, return whether its class has less than the greatest priority weight.
         """
         settings = self._context.settings
         if not settings.tenants:
@@ -49,13 +47,13 @@
 
 
 class FairQueue:
-    """Requests that wait for capacity: the profile furthest behind its weight goes first.
+    """Requests that wait for capacity; the profile with the least service for its weight is first.
 
-    Start-time fair queueing (Goyal, Vin and Cheng, 1997), with a cost of one a request.
+    Start-time fair queueing (Goyal, Vin and Cheng, 1997), where every request costs one.
 
     Attributes:
-        count: Requests that wait.
-        queued: Profiles with requests that wait, or waited a moment ago, by index.
+        count: Number of queued requests.
+        queued: By index, profiles that have queued requests or had some in the current slot.
     """
 
     def __init__(self) -> None:
@@ -64,31 +62,31 @@
         self._virtual_time = 0.0
 
     def put(self, request: Request, until_ns: int) -> None:
-        """Queue a request until a time."""
+        """Queue a request; `until_ns` is when its wait times out."""
         request.profile.queue.append(request)
         self.queued[request.profile.index] = request.profile
         request.queued_until_ns = until_ns
         self.count += 1
 
     def remove(self, request: Request) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         request.queued_until_ns = 0
         self.count -= 1
         request.profile.queue.remove(request)
 
     def is_next(self, profile: TrafficProfile) -> bool:
-        """Bring an idle profile up to date; return whether it goes before all that wait."""
+        """Advance an idle profile's virtual time; return whether it precedes the queued ones."""
         profile.virtual_finish = max(profile.virtual_finish, self._virtual_time)
         if not self.count:
             return True
         return profile.virtual_finish <= min(row.virtual_finish for row in self._waiting())
 
     def in_order(self) -> list[TrafficProfile]:
-        """Return the profiles with requests that wait, furthest behind its weight first."""
+        """Return the profiles with queued requests, in order of virtual finish time."""
         return sorted(self._waiting(), key=lambda row: (row.virtual_finish, row.index))
 
     def admit(self, request: Request) -> None:
-        """Count a request that gets capacity; retries do not count again."""
+        """Charge a request that gets capacity to its profile; its retries are not charged."""
         profile = request.profile
         self._virtual_time = max(self._virtual_time, profile.virtual_finish)
         if not request.attempts:
@@ -96,7 +94,7 @@
             profile.served_in_slot += 1
 
     def end_slot(self) -> None:
-        """Forget profiles whose requests do not wait any more."""
+        """Drop profiles that have no queued requests."""
         self.queued = {index: row for index, row in self.queued.items() if row.queue}
 
     def _waiting(self) -> Iterable[TrafficProfile]:
--- a/mothstall/policy/attempt_outcomes.py
+++ b/mothstall/policy/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: of its backend, the fleet's congestion, and its class."""
+"""Updates backend health, congestion estimates and class statistics when an attempt ends."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from mothstall.policy.retries import RetryBudget
 from mothstall.policy.traffic_profile import TrafficProfiles
 
-LONG_SILENCE_RATIO = 1.5  # times the usual latency after which silence tells of its backend
+LONG_SILENCE_RATIO = 1.5  # of the usual latency: a longer wait counts against the backend
 
 
 class AttemptOutcomes:
-    """Hands what an attempt's end teaches to the parts of the balancer that learn from it."""
+    """Reports the outcome of each attempt to the parts of the balancer that depend on it."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._retry_budget = retry_budget
 
     def learn(self, attempt: Attempt, request: Request, event: io.AttemptEnded) -> None:
-        """Take in how an attempt ended: progress, congestion, or a fault of its backend."""
+        """Record the outcome of an attempt: progress, congestion, or a fault of its backend."""
         backend = attempt.backend
         if not attempt.awaits_body:
             self._limits.leave(backend)
@@ -109,7 +109,11 @@
         )
 
     def _learn_silence(self, attempt: Attempt, request: Request) -> None:
-        """Guards against requests with little time left: short silence tells nothing of anyone."""
+        """Record an attempt that ended without a response.
+
+        Guards against blaming a backend for a request that had little time left: a wait that is not
+        longer than usual is ignored.
+        """
         backend = attempt.backend
         age_ns = self._context.now_ns - attempt.sent_ns
         usual_ns = self._latency.usual_ns
@@ -126,6 +130,6 @@
         )
         slow_down(backend)
         if backend.last_progress_ns < attempt.sent_ns:
-            # The longer than usual, the surer; less, where the class is silent wherever it goes.
+            # The score grows with the wait, but is low for a class without responses anywhere.
             is_shared = self._latency.shared_lateness[request.class_index] >= SHARED_ENOUGH
             self._outliers.count_failure(backend, certainty if is_shared else OWN_SILENCE_SCORE)
--- a/mothstall/policy/backend.py
+++ b/mothstall/policy/backend.py
@@ -1,4 +1,4 @@
-"""What this proxy has seen of one backend since that backend last started."""
+"""State that this proxy keeps of one backend since that backend last started."""
 
 from __future__ import annotations
 
@@ -8,21 +8,18 @@
 from mothstall.interface import NS
 from mothstall.policy import hashing
 
-INITIAL_LIMIT = (
-    4.0  # attempts in flight at a backend at first: enough to learn, too few to overload
-)
-WARMING_LIMIT = 1.0  # the same for a backend that is warming up
-MIN_EJECTION_NS = NS // 2  # the first ejection; doubled by each one that follows
+INITIAL_LIMIT = 4.0  # attempts in flight at first: enough to measure, too few to overload
+WARMING_LIMIT = 1.0  # initial concurrency limit of a backend that is warming up
+MIN_EJECTION_NS = NS // 2  # duration of the first ejection; each further one doubles it
 MIN_WEIGHT = 1e-3
 MAX_WEIGHT = 1e3
-NOT_MEASURED = -1.0  # of a throughput or a report: there is none yet
+NOT_MEASURED = -1.0  # value of a throughput or a load report that does not exist yet
 
 
 def usable_weight(weight: float) -> float:
-    """Return a listed weight within bounds.
+    """Return a listed weight clamped to the allowed range; 1 if it is not positive or NaN.
 
-    Guards against listed weights that are zero, no number, or so small that no turn would ever
-    come.
+    Guards against listed weights so small that the backend would never get a turn.
     """
     return min(max(weight, MIN_WEIGHT), MAX_WEIGHT) if weight > 0 else 1.0
 
@@ -33,23 +30,23 @@
     end_ns: int
     span_ns: int
     arrivals: int
-    is_burst: bool  # its rate was above the mean of the slots that count
+    is_burst: bool  # its arrival rate was above the mean over the observation time
 
 
 class Throughput:
-    """The paper's measurements of one backend, made by `priority_groups` at the end of a slot.
+    """The paper's measurements of one backend, updated by `priority_groups` at the end of a slot.
 
     Attributes:
-        filtered: The paper's first estimate (5), in answers a second; below 0: nothing measured.
-        corrected: The paper's second estimate (8), in answers a second.
-        measured: X of the slot before, in answers a second.
-        utilization: U of the slot before, 0 to 1.
-        burstiness: b of the slots that count (2), 0 to 1.
-        slot_marks: The slots that count.
+        filtered: The paper's first estimate (5), in responses per second; negative: not measured.
+        corrected: The paper's second estimate (8), in responses per second.
+        measured: X of the previous slot, in responses per second.
+        utilization: U of the previous slot, 0 to 1.
+        burstiness: b (2) over the observation time, 0 to 1.
+        slot_marks: The slots within the observation time.
         arrivals: Attempts sent in this slot.
-        completions: Good answers in this slot.
-        busy_ns: Time of this slot in which something was in flight, up to `Backend.busy_since_ns`.
-        reported_utilization: As the backend reported it last; below 0: it never did.
+        completions: Successful responses in this slot.
+        busy_ns: Time in this slot with attempts in flight, up to `Backend.busy_since_ns`.
+        reported_utilization: The value that the backend last reported; negative: none yet.
     """
 
     __slots__ = (
@@ -78,19 +75,19 @@
         self.reported_utilization = NOT_MEASURED
 
     def forget_estimates(self) -> None:
-        """Start anew with the next measurement."""
+        """Discard the estimates; the next measurement replaces them."""
         self.filtered = NOT_MEASURED
         self.corrected = NOT_MEASURED
 
 
 class ConcurrencyState:
-    """How many attempts this proxy may have in flight at one backend; changed by `concurrency`.
+    """The limit on attempts in flight to one backend; changed by `concurrency`.
 
     Attributes:
         limit: The concurrency limit, in attempts.
-        cut_at_ns: When the limit was last cut: only attempts sent after that may cut it again.
-        resting_until_ns: No attempt before then, as the backend has just rejected one.
-        rest_multiplier: Doubled by each rejection, back to 1 with the next good answer.
+        cut_at_ns: When the limit was last reduced; only attempts sent later may reduce it again.
+        resting_until_ns: End of the backoff after a rejection; no attempt is sent before.
+        rest_multiplier: Backoff multiplier; doubles with each rejection, 1 after a success.
     """
 
     __slots__ = ("cut_at_ns", "limit", "rest_multiplier", "resting_until_ns")
@@ -106,10 +103,10 @@
     """Failures of one backend and its ejection; changed by `outliers`.
 
     Attributes:
-        failure_score: The run of failures, halved by each good answer between.
-        ejected_until_ns: 0: not ejected. Once the time has come a half-open probe may go there.
-        ejection_ns: How long the next ejection lasts.
-        is_probing: A half-open probe is in flight.
+        failure_score: Sum of recent failures; each successful response halves it.
+        ejected_until_ns: When a half-open probe may be sent; 0: not ejected.
+        ejection_ns: Duration of the next ejection.
+        is_probing: Whether a half-open probe is in flight.
     """
 
     __slots__ = ("ejected_until_ns", "ejection_ns", "failure_score", "is_probing")
@@ -122,12 +119,12 @@
 
 
 class SlowStartState:
-    """What a backend that is warming up may get from this proxy; changed by `slow_start`.
+    """Token bucket of a backend that is warming up; changed by `slow_start`.
 
     Attributes:
-        tokens: Attempts that may go there now.
-        refilled_at_ns: Up to when tokens have been counted.
-        is_used: An attempt has gone there, so that a connection is likely open.
+        tokens: Attempts that may be sent to it now.
+        refilled_at_ns: When tokens were last added.
+        is_used: Whether an attempt has been sent to it, so that a connection is probably open.
     """
 
     __slots__ = ("is_used", "refilled_at_ns", "tokens")
@@ -156,25 +153,25 @@
 
 
 class Backend:
-    """One listed backend; a new start under the same id is a new `Backend`.
+    """One listed backend; a restart under the same id makes a new `Backend`.
 
     Attributes:
         id: As listed; `zone`, `cell` and `machine_kind` (hardware generation) too.
-        weight: Its listed weight within bounds.
+        weight: Its listed weight, clamped to the allowed range.
         started_ns: When it started; 0: long ago.
         ring_position: Hash of its id, then the id: its place on the hash ring.
-        turn_credit: Part of a turn gathered so far (deficit round robin).
-        in_priority_group: Which of the paper's two groups it is in, while it is a member.
+        turn_credit: Deficit counter of the weighted round robin; a turn costs 1.
+        in_priority_group: Whether it is in the paper's priority group, while it is a member.
         is_member: Whether it is in this proxy's subset.
-        in_flight: Attempts of this proxy that are in flight there.
-        busy_since_ns: Since when at least one has been.
-        last_progress_ns: When it last gave a good answer; at first, when it was listed.
-        slowness: Latency of its last answers over the baseline; 1: as usual.
+        in_flight: Number of attempts from this proxy in flight.
+        busy_since_ns: Since when at least one attempt has been in flight.
+        last_progress_ns: Time of its last successful response; initially, when it was listed.
+        slowness: Ratio of its recent latency to the baseline; 1: as usual.
         throughput: The paper's measurements.
         concurrency: Its concurrency limit.
         outlier: Its failures and ejection.
-        slow_start: What it may get while it is warming up.
-        queue_report: The queue that a load probe reported.
+        slow_start: Its token bucket while it is warming up.
+        queue_report: The queue length that a load probe reported.
     """
 
     __slots__ = (
--- a/mothstall/policy/balancer.py
+++ b/mothstall/policy/balancer.py
@@ -1,4 +1,4 @@
-"""One instance of the decisions: events in, actions out."""
+"""The balancer: takes events and returns actions."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Balancer:
-    """Composes the parts of the policy; it knows nothing but events, settings and a seed.
+    """Composes the parts of the policy; its only inputs are settings, a seed and events.
 
     The same events at the same times give the same actions. Nothing here reads a clock.
 
@@ -39,17 +39,17 @@
         polling: When to open a watch at discovery.
         profiles: Traffic by tenant or class.
         groups: The paper's two groups of members, and the slots.
-        subset: Which backends are members.
-        latency: What answers tell of latency.
-        limits: Concurrency limits: the capacity of this proxy, and each backend's.
+        subset: Selection of the member backends.
+        latency: Latency statistics of responses.
+        limits: Concurrency limits: the capacity of this proxy, and each backend's limit.
         outliers: Ejection of backends that fail.
-        slow_start: Attempts for backends that are warming up.
-        load_probes: Queues that backends report to probes.
-        zone_weights: Parts of the traffic by zone, as decided in common.
+        slow_start: Rate limits of backends that are warming up.
+        load_probes: Queue lengths that backends report to probes.
+        zone_weights: Fractions of the traffic by zone, from the region's plan.
         queue: Requests that wait for capacity.
-        quotas: Which requests are beyond a quota.
+        quotas: Token buckets of the tenants' quotas.
         retry_budget: Retries and hedged requests that may be sent.
-        rotation: Whose turn it is.
+        rotation: Weighted round robin over the members.
         requests: Open requests.
     """
 
@@ -131,11 +131,11 @@
         }
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
-        """Take in events, in order, and return what has to be done, in order.
+        """Process events in order; return the resulting actions in order.
 
         Args:
-            now: Nanoseconds of a clock that does not run backwards.
-            events: What has happened since the last call.
+            now: Nanoseconds of a monotonic clock.
+            events: Events since the last call.
         """
         context = self.context
         context.actions = []
@@ -152,11 +152,11 @@
         return context.actions
 
     def out_of_rotation(self) -> int:
-        """Return how many listed backends are ejected, or half-open after it; changes nothing."""
+        """Return the number of listed backends that are ejected or half-open; changes nothing."""
         return self.outliers.ejected_count()
 
     def memory(self) -> io.InheritedState:
-        """Return what another process of this proxy can go on with; changes nothing."""
+        """Return the state that a successor process can start from; changes nothing."""
         known = [
             io.InheritedBackend(
                 backend.id,
@@ -202,7 +202,7 @@
         self.context.timers.schedule(end_ns, self._close_slot)
 
     def update_rates(self, span_ns: int) -> None:
-        """Update all that is counted by slot, at the end of one of `span_ns`."""
+        """Update all per-slot statistics at the end of a slot of `span_ns`."""
         sent_rate = self.subset.sent_in_slot * io.NS / span_ns
         self.profiles.close_slot(span_ns)
         self.latency.end_slot(span_ns)
@@ -222,7 +222,7 @@
         elif not update.entries:
             self.polling.started_empty()
         if update.version < self.endpoints.version:
-            return  # an update that is older must not bring back what has been removed
+            return  # an older update must not restore a removed backend
         self.endpoints.version = update.version
         if update.scope != UpdateScope.DELTA:
             for backend in self.endpoints.not_named(update.entries):
@@ -246,7 +246,7 @@
             self.endpoints.change(listed, entry)
             return
         if listed:
-            self._remove(listed)  # a new start under the same id is a new backend that warms up
+            self._remove(listed)  # a restart under the same id is a new backend that warms up
         if is_ready:
             self._add(entry)
 
@@ -264,7 +264,7 @@
         self.outliers.forget(backend)
         self.groups.remove(backend)
 
-    # What others tell
+    # Information from other processes
 
     def _on_answer_cut(self, event: io.ResponseCut) -> None:
         if backend := self.endpoints.by_id.get(event.backend):
@@ -283,7 +283,7 @@
         self.retry_budget.tokens = 0.0
 
     def _on_predecessor(self, event: io.InheritedState) -> None:
-        """Guards against two processes that count as two proxies: one continues the other."""
+        """Continue from the predecessor's state: the two processes count as one proxy, not two."""
         self.latency.usual_ns = event.usual_latency_ns
         self.slow_start.warm_rate = event.warm_rate
         self.slow_start.recent_warm_rate = event.warm_rate
@@ -302,7 +302,7 @@
             backend, known.failure_score, known.ejected_until_ns, known.ejection_ns
         )
         backend.concurrency.limit = known.concurrency_limit
-        # What was served here before is not the traffic of all clients.
+        # This process's earlier throughput covered only a fraction of the proxy's clients.
         estimate = warm_rate or -1.0
         backend.throughput.filtered = estimate
         backend.throughput.corrected = estimate
--- a/mothstall/policy/concurrency.py
+++ b/mothstall/policy/concurrency.py
@@ -1,8 +1,8 @@
-"""Concurrency limits: of this proxy in all (its capacity), and of each backend, by late answers.
+"""Adaptive concurrency limits, for this proxy as a whole (its capacity) and for each backend.
 
 Capacity is the number of attempts that this proxy may have in flight. It grows while it is used and
-answers come early, and shrinks with answers that show congestion; all proxies see lateness alike,
-so that their capacities add up to what the fleet can carry.
+responses are in time, and shrinks with responses that show congestion. All proxies see the same
+latencies, so that the sum of their capacities converges to what the fleet can carry.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 from mothstall.policy.request import Attempt, Request
 from mothstall.policy.slow_start import SlowStart
 
-LIMIT_CUT = 0.8  # a late answer cuts its backend's limit to this part
-CAPACITY_LOSS = 0.2  # of an attempt, for each answer that shows congestion
-CAPACITY_GAIN = 0.1  # of an attempt, for each that does not: it settles at a third of them late
-SPARE_LOSS = 0.3  # the same for what requests beyond a quota may use of it
+LIMIT_CUT = 0.8  # a late response multiplies its backend's limit by this
+CAPACITY_LOSS = 0.2  # decrease, in attempts, for each response that shows congestion
+CAPACITY_GAIN = 0.1  # increase for each other one; stable when a third shows congestion
+SPARE_LOSS = 0.3  # the same for `spare_capacity`
 SPARE_GAIN = 0.1
-OPENING_GAIN = 1.0  # of both until the first congestion
-USED_RATIO = 2.0  # capacity grows up to so many times what is in flight
-TOO_LATE_FACTOR = 4.0  # an answer after its objective takes so many times as much
-CONGESTED_AT = 1 / 3  # part of late answers where capacity settles
-MIN_SPARE_RATIO = 0.5  # least spare capacity, for each backend over all proxies
-MAX_REST_MULTIPLIER = 32.0  # rests double up to this
-MIN_REST = 0.5  # a rest lasts between this and `MIN_REST + 1` times the usual latency
+OPENING_GAIN = 1.0  # increase of both capacities until the first congestion
+USED_RATIO = 2.0  # capacity grows up to this multiple of the attempts in flight
+TOO_LATE_FACTOR = 4.0  # weight of a congested response that missed its objective
+CONGESTED_AT = 1 / 3  # fraction of congested responses at which the capacity is stable
+MIN_SPARE_RATIO = 0.5  # minimum spare capacity of all proxies together, per backend
+MAX_REST_MULTIPLIER = 32.0  # upper bound of the exponential backoff
+MIN_REST = 0.5  # first backoff: this to `MIN_REST + 1` times the usual latency
 
 
 class ConcurrencyLimits:
-    """This proxy's capacity, and what answers teach of it and of each backend's limit.
+    """Adjusts this proxy's capacity and each backend's limit by the outcome of attempts.
 
     Attributes:
-        in_flight: Attempts that are in flight; those whose body is still awaited are not.
-        capacity: How many may be.
-        spare_capacity: The part of that which requests beyond a quota may use.
-        is_opening: Until the first answer that shows congestion, capacity grows fast.
+        in_flight: Number of attempts in flight, without those that wait for the request body.
+        capacity: Upper bound of `in_flight`.
+        spare_capacity: The same bound for requests that exceed a quota.
+        is_opening: No response has shown congestion yet, so that capacity grows fast.
     """
 
     def __init__(
@@ -63,16 +63,16 @@
         self.is_opening = True
 
     def initial_capacity(self) -> float:
-        """Return the first capacity: a few attempts a backend, over all proxies together."""
+        """Return the first capacity: a few attempts per backend, divided among all proxies."""
         even = INITIAL_LIMIT * len(self._endpoints) / self._context.settings.proxies
         return max(self._endpoints.backends_per_proxy, even)
 
     def grow_by_backend(self) -> None:
-        """Follow the list: a backend that comes brings what one that leaves would take."""
+        """Raise the capacity for an added backend, as a removed one lowers it."""
         self.capacity *= 1.0 + 1.0 / max(1, len(self._endpoints))
 
     def shrink_by_backend(self) -> None:
-        """Guards against the capacity of the complete fleet falling on what is left of it."""
+        """Guards against the remaining backends receiving the load of the complete fleet."""
         left = self.capacity * (1.0 - 1.0 / len(self._endpoints))
         self.capacity = max(self._endpoints.backends_per_proxy, left)
 
@@ -86,14 +86,14 @@
         self.in_flight += 1
 
     def leave(self, backend: Backend) -> None:
-        """Count an attempt as not in flight any more."""
+        """Count an attempt as no longer in flight."""
         backend.in_flight -= 1
         self.in_flight -= 1
         if not backend.in_flight:
             busy_since_ns = max(backend.busy_since_ns, self._groups.slots.started_ns)
             backend.throughput.busy_ns += self._context.now_ns - busy_since_ns
 
-    # What answers teach
+    # Attempt outcomes
 
     def learn(
         self,
@@ -104,14 +104,14 @@
         is_congested: bool,
         weight: float = 1.0,
     ) -> None:
-        """Take in an answer, or the silence that an attempt ended in.
+        """Adjust capacity and the backend's limit after a response or a timeout.
 
         Args:
             attempt: The attempt that ended.
             request: Its request.
-            is_late: Whether it came late by its class's objective.
+            is_late: Whether it was late by its class's objective.
             is_congested: Whether it shows congestion of the fleet.
-            weight: How sure that is, 0 to 1.
+            weight: Confidence in `is_congested`, 0 to 1.
         """
         backend = attempt.backend
         state = backend.concurrency
@@ -130,7 +130,11 @@
             state.limit += 1.0 / state.limit
 
     def _tells_of_fleet(self, attempt: Attempt) -> bool:
-        """Whether a backend tells of the fleet: a warming or unhealthy one only if most are."""
+        """Whether an outcome is evidence about the fleet.
+
+        It is not at a warming backend, nor at an unhealthy one unless at least half as many
+        backends as there are members are unhealthy.
+        """
         backend = attempt.backend
         if self._slow_start.warmth(backend) < 1:
             return False
@@ -140,14 +144,14 @@
         return not is_unhealthy or 2 * self._outliers.unhealthy_count >= len(self._groups.members)
 
     def learn_fleet(self, *, is_late: bool, is_congested: bool, weight: float) -> None:
-        """Update the capacity, and the spare part of it for what is beyond a quota."""
+        """Update the capacity and the spare capacity."""
         settings = self._context.settings
-        # One attempt for each backend, over all proxies, is no congestion: less would leave them
-        # idle.
+        # The capacities of all proxies must add up to one attempt per backend at least, or
+        # backends would be idle.
         least = len(self._endpoints) / settings.proxies
         step = math.sqrt(self._endpoints.backends_per_proxy)
         if settings.tenants:
-            # What is beyond a tenant's quota is worth next to nothing and gives way early.
+            # Requests beyond a tenant's quota have almost no value: mere lateness restricts them.
             gives_way = is_late
             grows_fast = self.is_opening and self._endpoints.is_sparse
         else:
@@ -167,9 +171,10 @@
             self.capacity += step * (OPENING_GAIN if self.is_opening else CAPACITY_GAIN)
 
     def learn_rejection(self, backend: Backend) -> None:
-        """Take in that a backend rejected an attempt unread.
+        """Back off from a backend that rejected an attempt unread.
 
-        Guards against storms of rejections: a full backend rests for about one service time.
+        Guards against storms of rejections: a full backend gets no attempt for about one service
+        time.
         """
         context = self._context
         state = backend.concurrency
@@ -180,9 +185,9 @@
         state.rest_multiplier = min(2 * state.rest_multiplier, MAX_REST_MULTIPLIER)
 
     def silence_weight(self) -> float:
-        """Return how sure silence shows congestion.
+        """Return the confidence that a missing response shows congestion.
 
-        Guards against overload that shows only in time running out, and lost answers that pass for
-        it.
+        Guards against overload that shows only as timeouts, and against lost responses that look
+        like overload.
         """
         return min(1.0, self._latency.congestion / CONGESTED_AT) ** 2
--- a/mothstall/policy/context.py
+++ b/mothstall/policy/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a balancer share: settings, clock, random numbers, timers and actions."""
+"""State that all parts of a balancer share: settings, clock, random numbers, timers, actions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 
 class Context:
-    """Shared by the parts of one `Balancer`, which alone moves the clock.
-
-    Attributes: settings: Classes, tenants, rules and limits, as given at the start. rng: The only
-    source of randomness; every draw counts, so that equal events give equal actions. now_ns: Time
-    of the events in hand; below 0 until the first ones. actions: What the events in hand have led
-    to so far, in order. timers: Calls that are due later. ring_offset: Where on the hash ring this
-    proxy's subset begins, from 0 to 1.
+    """Shared by the parts of one `Balancer`, which alone advances the clock.
+
+    Attributes:
+        settings: Classes, tenants, rules and limits, as given at the start.
+        rng: The only source of randomness; the order of its draws must not change between runs.
+        now_ns: Time of the current batch of events; negative before the first batch.
+        actions: Actions of the current batch so far, in order.
+        timers: Scheduled calls.
+        ring_offset: Where on the hash ring this proxy's subset begins, from 0 to 1.
     """
 
     __slots__ = ("actions", "now_ns", "ring_offset", "rng", "settings", "timers")
--- a/mothstall/policy/load_probes.py
+++ b/mothstall/policy/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes to backends that report their queues to probes alone, as far as these are free."""
+"""Load probes to backends that report their queue length only to probes, within a cost budget."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from mothstall.policy.latency import USUAL_GAIN
 from mothstall.policy.slow_start import SlowStart
 
-MAX_PROBE_POINTS = 0.015  # what probes may cost in all, in points of service
-MIN_INTERVAL_NS = NS // 20  # a backend is not probed again sooner
-REPORT_FADE_NS = 2 * NS  # the time after which a report does not count any more
-LONG_QUEUE_RATIO = 0.7  # a turn is missed above so much of the mean reported queue, plus a constant
+MAX_PROBE_POINTS = 0.015  # cost budget of probes per attempt, in points of service
+MIN_INTERVAL_NS = NS // 20  # minimum time between two probes of a backend
+REPORT_FADE_NS = 2 * NS  # age at which a report has no weight left
+LONG_QUEUE_RATIO = 0.7  # of the mean reported queue, plus the offset: longer queues miss turns
 LONG_QUEUE_OFFSET = 0.5
-MAX_QUEUE = 1e6  # longer ones are no reports
-MAX_CREDIT = 2.0  # probes that may go at once
+MAX_QUEUE = 1e6  # reports of longer queues are ignored
+MAX_CREDIT = 2.0  # bound of the saved credit, in probes
 
 
 class LoadProbes:
-    """Probes that may go, and the queues that they reported.
+    """Sends load probes and keeps the queue lengths that they reported.
 
     Attributes:
-        is_on: Probes are allowed, and load is reported to probes alone.
+        is_on: Probes are allowed, and backends report load only to probes.
     """
 
     def __init__(self, context: Context, endpoints: EndpointList, slow_start: SlowStart) -> None:
@@ -35,14 +35,14 @@
         self._mean_queue = 0.0
 
     def reported(self, load: tuple[float, ...], name: str) -> float:
-        """Return this value of a load report; below 0 where it has none that can be used."""
+        """Return the named value of a load report, or `NOT_MEASURED` if it has none."""
         names = self._context.settings.load_names
         if name in names and len(load) == len(names):
             return float(load[names.index(name)])
         return NOT_MEASURED
 
     def probe_next(self, group: list[Backend], turn: int) -> None:
-        """Probe those whose turns come after `turn`, as often as the fee leaves worthwhile."""
+        """Probe the backends whose turns come after `turn`, as far as the cost budget allows."""
         fee = max(self._context.settings.probe_fee, MAX_PROBE_POINTS)
         self._credit = min(MAX_CREDIT, self._credit + MAX_PROBE_POINTS / fee)
         if self._credit < 1.0:
@@ -54,7 +54,7 @@
                 self._context.actions.append(io.ProbeLoad(backend.id))
 
     def _may_probe(self, backend: Backend) -> bool:
-        """Whether a probe is of use; to a warming backend it would cost a handshake more."""
+        """Whether to probe; a warming backend without a connection would pay for a handshake."""
         report = backend.queue_report
         if report.is_requested or backend.outlier.ejected_until_ns:
             return False
@@ -63,7 +63,7 @@
         return self._context.now_ns - report.reported_at_ns >= MIN_INTERVAL_NS
 
     def ended(self, event: io.LoadProbeEnded) -> None:
-        """Take in the end of a probe."""
+        """Record the result of a probe."""
         backend = self._endpoints.by_id.get(event.backend)
         if backend is None:
             return
@@ -76,9 +76,9 @@
             self._mean_queue += USUAL_GAIN * (report.length - self._mean_queue)
 
     def has_long_queue(self, backend: Backend) -> bool:
-        """Return whether the report that a backend has given, fading, is well above the mean.
+        """Return whether a backend's reported queue, weighted by its age, is well above the mean.
 
-        Guards against congestion by others, as far as probes tell of it.
+        Guards against congestion caused by other proxies, where probes report it.
         """
         report = backend.queue_report
         age_ns = self._context.now_ns - report.reported_at_ns
--- a/mothstall/policy/outliers.py
+++ b/mothstall/policy/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: runs of failures eject a backend; a half-open probe brings it back."""
+"""Outlier detection: repeated failures eject a backend; a half-open probe readmits it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
 
-EJECTION_SCORE = 2.0  # run of failures that ejects; a failed connect alone counts as much
-FAILURE_SCORE = 1.0  # of an error or a reset connection
-SHARED_ERROR_FACTOR = 0.7  # an answer that is an error weighs less than a reset
-OWN_SILENCE_SCORE = 0.4  # of silence towards a class that is silent wherever it goes
-KEPT_AFTER_SUCCESS = 0.5  # part of a run of failures that a good answer leaves
-NO_FAILURE_BELOW = 0.2  # a run of failures up to here counts as none after a good answer
-MAX_HINTED_SCORE = EJECTION_SCORE / 2  # what health hints of others add up to at most
-MAX_EJECTION_NS = 8 * NS  # ejections double up to this
-MIN_JITTER = 0.8  # an ejection lasts between this and `MIN_JITTER + JITTER_RANGE` times its time
+EJECTION_SCORE = 2.0  # failure score that ejects; one failed connect reaches it
+FAILURE_SCORE = 1.0  # score of a reset connection or a response cut short
+SHARED_ERROR_FACTOR = 0.7  # score of an error response, which weighs less than a reset
+OWN_SILENCE_SCORE = 0.4  # score of a timeout of a class that gets no response anywhere
+KEPT_AFTER_SUCCESS = 0.5  # factor of the failure score after a successful response
+NO_FAILURE_BELOW = 0.2  # a successful response resets scores up to this to 0
+MAX_HINTED_SCORE = EJECTION_SCORE / 2  # upper bound of the score that health hints alone can reach
+MAX_EJECTION_NS = 8 * NS  # upper bound of the doubling ejection time
+MIN_JITTER = 0.8  # random factor of an ejection: from this to `MIN_JITTER + JITTER_RANGE`
 JITTER_RANGE = 0.4
 
 
@@ -25,8 +25,8 @@
     """Ejects backends that fail.
 
     Attributes:
-        unhealthy_count: Listed backends with a run of failures.
-        on_member_ejected: Called when a member is ejected, so that another can take its place.
+        unhealthy_count: Number of listed backends with a failure score above 0.
+        on_member_ejected: Called when a member is ejected, to choose a replacement.
     """
 
     def __init__(
@@ -38,14 +38,13 @@
         self.unhealthy_count = 0
 
     def ejected_count(self) -> int:
-        """Return how many listed backends are ejected, or half-open after it."""
+        """Return the number of listed backends that are ejected or half-open."""
         return sum(b.outlier.ejected_until_ns > 0 for b in self._endpoints.by_id.values())
 
     def count_failure(self, backend: Backend, score: float) -> None:
-        """Add to a backend's run of failures.
+        """Add to a backend's failure score, and eject it when the score is high enough.
 
-        Guards against a dead, unreachable or failing backend: a run of failures ejects it for a
-            while.
+        Guards against backends that are dead, unreachable or failing.
         """
         state = backend.outlier
         if not state.failure_score and self._endpoints.lists(backend):
@@ -61,12 +60,12 @@
             self._on_member_ejected()
 
     def count_hint(self, backend: Backend) -> None:
-        """Take in a health hint: half of an ejection at most; a failure seen here decides."""
+        """Record a health hint; hints raise the score to half of what ejects, and no further."""
         if backend.outlier.failure_score < MAX_HINTED_SCORE:
             self.count_failure(backend, MAX_HINTED_SCORE - backend.outlier.failure_score)
 
     def count_success(self, backend: Backend) -> None:
-        """Take in a good answer: it halves a run of failures, and ends an ejection."""
+        """Record a successful response: it halves the failure score and ends an ejection."""
         state = backend.outlier
         before = state.failure_score
         state.failure_score = before * KEPT_AFTER_SUCCESS if before > NO_FAILURE_BELOW else 0.0
@@ -76,14 +75,14 @@
         state.ejection_ns = max(MIN_EJECTION_NS, state.ejection_ns // 2)
 
     def forget(self, backend: Backend) -> None:
-        """Take note that a backend is not listed any more."""
+        """Record that a backend is no longer listed."""
         if backend.outlier.failure_score > 0:
             self.unhealthy_count -= 1
 
     def restore(
         self, backend: Backend, failure_score: float, ejected_until_ns: int, ejection_ns: int
     ) -> None:
-        """Go on with what another process of this proxy knew of a backend."""
+        """Restore the state that the previous process of this proxy kept of a backend."""
         state = backend.outlier
         self.unhealthy_count += (failure_score > 0) - (state.failure_score > 0)
         state.failure_score = failure_score
--- a/mothstall/policy/polling.py
+++ b/mothstall/policy/polling.py
@@ -1,4 +1,4 @@
-"""When to open a watch at discovery: at once, and after a failure in turn with other proxies."""
+"""Schedules watches at discovery: staggered by proxy at the start and after a failure."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from mothstall.interface import NS
 from mothstall.policy.context import Context
 
-PROXY_INTERVAL_NS = NS // 10  # between the calls of two proxies that follow one another
-MAX_INTERVAL_NS = 11 * NS // 4  # between two calls of one proxy, however many proxies there are
+PROXY_INTERVAL_NS = NS // 10  # between the calls of two proxies with consecutive positions
+MAX_INTERVAL_NS = 11 * NS // 4  # between two calls of one proxy, for any number of proxies
 MAX_SILENCE_NS = (
     13 * NS // 4
-)  # from a failed call's begin to the next; 2.25 s are left for its answer
-MAX_FIRST_DELAY_NS = 21 * NS // 4  # from the start to the first call
-MAX_FAILURES = 3  # counted in a row; with each the interval doubles, up to its maximum
-_FINE_STEPS = 8  # a call that would come too late comes earlier by eighths of the interval
+)  # from a failed call's start to the next; leaves 2.25 s for its response
+MAX_FIRST_DELAY_NS = 21 * NS // 4  # upper bound from the start to the first call
+MAX_FAILURES = 3  # consecutive failures that count; each doubles the interval, up to its maximum
+_FINE_STEPS = 8  # a call that would be too late moves to an earlier eighth of the interval
 
 
 class DiscoveryPolling:
-    """Opens watches at discovery, such that nothing is missed for long and proxies do not meet."""
+    """Opens watches at discovery, without long gaps and without simultaneous calls of proxies."""
 
     def __init__(self, context: Context) -> None:
         settings = context.settings
@@ -25,7 +25,7 @@
         self._is_watching = False
         self._failures = 0
         self._due_ns = 0
-        self._slot_ns = 0  # a time at which it is this proxy's turn
+        self._slot_ns = 0  # a time at which this proxy may call; later ones follow at the interval
         self._max_interval_ns = min(
             MAX_INTERVAL_NS, max(PROXY_INTERVAL_NS, settings.poll_within_ns // 2)
         )
@@ -44,23 +44,23 @@
         self._context.timers.schedule(self._slot_ns, self._check)
 
     def failed(self, call_ns: int) -> None:
-        """Take note of a call that failed, `call_ns` after it began."""
+        """Schedule a retry after a call that failed `call_ns` after it began."""
         self._is_watching = False
         self._failures = min(MAX_FAILURES, self._failures + 1)
         self._schedule_in_turn(self._context.now_ns - call_ns + MAX_SILENCE_NS)
 
     def succeeded(self) -> None:
-        """Take note of an update on an open watch."""
+        """Record an update on an open watch."""
         self._is_watching = True
         self._failures = 0
 
     def started_empty(self) -> None:
-        """Poll soon, as not even a cached list is known."""
+        """Schedule an early call, because there is no cached list."""
         if not self._context.settings.discovery_push:
             self._schedule_in_turn(self._context.now_ns + int(NS * self._context.ring_offset))
 
     def _check(self) -> None:
-        """Open a watch if none is open. Guards against silence: a call without any answer."""
+        """Open a watch if none is open, and check again later in case the call gets no response."""
         now_ns = self._context.now_ns
         if now_ns >= self._due_ns and not self._is_watching:
             self._context.actions.append(io.WatchEndpoints(True))
@@ -68,9 +68,9 @@
             self._context.timers.schedule(self._due_ns, self._check)
 
     def _schedule_in_turn(self, latest_ns: int) -> None:
-        """Schedule a call at this proxy's next turn, by `latest_ns` at the latest.
+        """Schedule a call at this proxy's next turn, no later than `latest_ns`.
 
-        Guards against calls that meet at discovery's return: turns, by position, interleave.
+        Guards against simultaneous calls when discovery recovers: turns are staggered by position.
         """
         now_ns = self._context.now_ns
         interval_ns = min(
--- a/mothstall/policy/priority_groups.py
+++ b/mothstall/policy/priority_groups.py
@@ -1,12 +1,12 @@
-"""The paper's mechanism: two groups of backends, and one move at most at the end of each slot.
+"""The paper's mechanism: two groups of backends, and at most one move at the end of each slot.
 
 "A Predictive-Adaptive Algorithm for a Web Switch": the priority group P serves the profile with
 priority, the best-effort group B all others, each in round robin. At the end of a slot the
-throughput of every backend is predicted from what was measured, (2) and (5) to (8); if one side's
-latency is over its objective, the backend of the largest distance moves to it, (9) and (10). The
-numbers are the paper's formulas; (3) and (4) are in `slots`.
+throughput of every backend is predicted from its measurements, (2) and (5) to (8); if the latency
+of one side exceeds its objective, the backend of the largest distance moves to that side, (9) and
+(10). The numbers are the paper's formulas; (3) and (4) are in `slots`.
 
-Where the paper is open, `docs/design.md` tells what was settled.
+`docs/design.md` describes the choices that the paper leaves open.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from mothstall.policy.slots import FIRST_SLOT_NS, OBSERVATION_NS, SlotClock
 from mothstall.policy.traffic_profile import TrafficProfiles
 
-MIN_LATENCY_SAMPLES = 10  # requests that a side's latency must rest on before a backend moves by it
-GIVE_BACK_BELOW = 0.5  # latency over objective of P below which it may give a backend back
+MIN_LATENCY_SAMPLES = 10  # requests that a side needs in a slot for its latency to cause a move
+GIVE_BACK_BELOW = 0.5  # ratio of latency to objective of P below which a backend may return to B
 
 
 class Side(IntEnum):
@@ -34,7 +34,7 @@
 
 
 class SlotLatency:
-    """Latency over objective of one side's requests in this slot, open ones at their age."""
+    """Mean ratio of latency to objective of one side in this slot; open requests count by age."""
 
     def __init__(self) -> None:
         self.total_ratio = 0.0
@@ -44,17 +44,17 @@
         self._arrivals_over_objectives = 0.0  # sum of arrival / objective over open requests
 
     def open(self, request: Request) -> None:
-        """Count a request from its arrival on."""
+        """Add a request that arrived."""
         self.open_count += 1
         self._inverse_objectives += 1.0 / request.objective_ns
         self._arrivals_over_objectives += request.arrived_ns / request.objective_ns
 
     def restart(self, request: Request, now_ns: int) -> None:
-        """Count an open request's time from now on."""
+        """Measure an open request's age from now on."""
         self._arrivals_over_objectives += (now_ns - request.arrived_ns) / request.objective_ns
 
     def close(self, request: Request, spent_ns: int) -> None:
-        """Count a request that ends after `spent_ns`."""
+        """Replace an open request by its final latency."""
         self.open_count -= 1
         self._inverse_objectives -= 1.0 / request.objective_ns
         self._arrivals_over_objectives -= request.arrived_ns / request.objective_ns
@@ -62,10 +62,10 @@
         self.count += 1
 
     def end_slot(self, now_ns: int) -> float:
-        """Return the slot's mean, and begin the next one.
+        """Return the slot's mean ratio and start the next slot.
 
-        Guards against moves on a single late answer: what is too little to judge by is carried on,
-        and 0 returned.
+        Guards against a move caused by a single late response: with too few requests, returns 0 and
+        carries them over to the next slot.
         """
         seen = self.count + self.open_count
         if seen < MIN_LATENCY_SAMPLES:
@@ -81,12 +81,12 @@
     """The members of this proxy's subset in their two groups, and the rotation through each.
 
     Attributes:
-        members: The subset, in no order that means anything.
+        members: The subset, unordered.
         by_side: The two groups, by `Side`.
-        next_turn: For each side, the index in its group whose turn is next.
-        latency: For each side, the latency of its requests in this slot.
-        latency_ratio: For each side, the mean latency over objective of the slot before.
-        slots: When slots end.
+        next_turn: By side, the index of the group member whose turn is next.
+        latency: By side, latency of its requests in this slot.
+        latency_ratio: By side, mean ratio of latency to objective in the previous slot.
+        slots: The clock of the slots.
     """
 
     def __init__(self, context: Context, profiles: TrafficProfiles) -> None:
@@ -102,7 +102,7 @@
     # Membership
 
     def set_members(self, chosen: list[Backend]) -> None:
-        """Make `chosen` the members; where half or more are new, the groups are made anew."""
+        """Make `chosen` the members; if at least half are new, split them into groups again."""
         joining = [backend for backend in chosen if not backend.is_member]
         keep = set(chosen)
         for backend in [member for member in self.members if member not in keep]:
@@ -126,7 +126,7 @@
         self._randomize_turn(side)
 
     def _join_worse_side(self, joining: list[Backend]) -> None:
-        """Add newcomers to the side that is worse off, at its mean estimates."""
+        """Add new members to the side with the higher latency ratio, with its mean estimates."""
         is_priority_worse = self.latency_ratio[Side.PRIORITY] > self.latency_ratio[Side.BEST_EFFORT]
         side = int(is_priority_worse or self._profiles.is_single)
         peers = [peer.throughput for peer in self.by_side[side] if peer.throughput.filtered >= 0]
@@ -138,7 +138,7 @@
             self._join(backend, side)
 
     def split(self) -> None:
-        """Make the groups anew: P gets its profile's part of the members, by ring position."""
+        """Form the groups: P gets members, by ring position, in proportion to its traffic."""
         order = sorted(self.members, key=lambda backend: backend.ring_position)
         part = self._profiles.priority_part()
         left_to_others = 0 if self._profiles.is_single else 1
@@ -156,7 +156,7 @@
         self._randomize_turn(side)
 
     def _randomize_turn(self, side: int) -> None:
-        """Guards against rotations of many proxies that march in step."""
+        """Guards against rotations of many proxies that run in lockstep."""
         self.next_turn[side] = self._random_turn(self.by_side[side])
 
     def _random_turn(self, group: list[Backend]) -> int:
@@ -165,7 +165,7 @@
     # The end of a slot
 
     def measure_members(self) -> int:
-        """End the slot and measure every member; return how long the slot was, in nanoseconds."""
+        """End the slot and measure every member; return the slot's length in nanoseconds."""
         now_ns = self._context.now_ns
         span_ns = max(1, now_ns - self.slots.started_ns)
         self.slots.end_slot(now_ns)
@@ -179,7 +179,7 @@
         return max(values), min(values)
 
     def rebalance(self) -> None:
-        """Move one backend at most to the side that needs it; after the first slot, split anew."""
+        """Move at most one backend to the side that needs it; split after the first slot."""
         now_ns = self._context.now_ns
         if self.slots.is_first and now_ns - self.slots.started_ns == FIRST_SLOT_NS:
             self.split()
@@ -191,7 +191,7 @@
             self.move_to(Side.BEST_EFFORT)
 
     def move_to(self, side: int) -> None:
-        """(9) and (10): the backend of the largest distance on the other side joins this one."""
+        """(9) and (10): move the backend of the largest distance to this side from the other."""
         source = self.by_side[1 - side]
         if len(source) < 2:
             return
@@ -202,7 +202,7 @@
 
     @staticmethod
     def _distance(backend: Backend) -> tuple[float, int]:
-        """(10): the distance of the two estimates from zero; of equal ones the first id counts."""
+        """(10): the distance of the two estimates from zero; the lower id wins a tie."""
         estimates = backend.throughput
         distance = math.hypot(max(0.0, estimates.filtered), max(0.0, estimates.corrected))
         return distance, -backend.id
@@ -239,7 +239,7 @@
         state.busy_ns = 0
 
     def _measure_burstiness(self, backend: Backend, span_ns: int) -> float:
-        """(2): the part of the slots that count in which the arrival rate was above its mean."""
+        """(2): the fraction of slots in T whose arrival rate was above the mean."""
         now_ns = self._context.now_ns
         arrivals = backend.throughput.arrivals
         marks = backend.throughput.slot_marks
--- a/mothstall/policy/request.py
+++ b/mothstall/policy/request.py
@@ -11,13 +11,14 @@
     """One forwarding of a request to one backend.
 
     Attributes:
-        backend: Where it went.
-        sent_ns: When; of an attempt whose body was held up, when the last byte was written.
-        is_half_open_probe: It is the one attempt that an ejected backend gets.
-        is_open: Its end has not been seen yet.
-        never_ran: It is known not to have had an effect.
-        was_rejected: The backend rejected it unread.
-        awaits_body: The request's body is still on its way, so that the backend has not begun.
+        backend: The backend that it was sent to.
+        sent_ns: When it was sent; with a delayed body, when the last byte was written.
+        is_half_open_probe: Whether it is the single attempt that an ejected backend gets.
+        is_open: Whether it has not ended yet.
+        never_ran: Whether it certainly had no effect.
+        was_rejected: Whether the backend rejected it unread.
+        awaits_body: Whether part of the request body is still missing, so that the backend has
+            not started.
     """
 
     __slots__ = (
@@ -43,16 +44,24 @@
 class Request:
     """A client's request, from its arrival to the end of its last attempt.
 
-    Attributes: id: As the shell numbers it. class_index: Its class, in the order of the settings;
-    `request_class` is that class. profile: The traffic profile that it belongs to. is_priority:
-    Whether it is served by the priority group. arrived_ns: When it came; with a long body, when
-    that was forwarded. deadline_ns: When its client stops waiting. objective_ns: The latency
-    objective of its class, at least 1. cost_ns: Its expected work as the client declared it; 0: not
-    declared. attempts: All that were made, in order. open_attempts: How many of them are in flight.
-    is_done: Its final answer is decided. has_response_started: The first bytes of an answer have
-    come. exceeds_quota: It is beyond its tenant's quota, or of less than the greatest priority
-    weight. queued_until_ns: Until when it waits for capacity; 0: it does not wait. ran_on: Where
-    the first attempt that may have had an effect went. ran_at_ns: When that was sent.
+    Attributes:
+        id: The number that the adapter assigned.
+        class_index: Index of its class in the settings; `request_class` is that class.
+        profile: The traffic profile that it belongs to.
+        is_priority: Whether the priority group serves it.
+        arrived_ns: When it arrived; with a delayed body, when the body was forwarded.
+        deadline_ns: When its client stops waiting.
+        objective_ns: The latency objective of its class, at least 1.
+        cost_ns: Its expected work as the client declared it; 0: not declared.
+        attempts: All its attempts, in order.
+        open_attempts: Number of attempts that have not ended.
+        is_done: Whether its final response is decided.
+        has_response_started: Whether the first bytes of a response have arrived.
+        exceeds_quota: Whether it exceeds its tenant's quota or, without tenants, its class has
+            less than the greatest priority weight.
+        queued_until_ns: When its wait for capacity times out; 0: not queued.
+        ran_on: The backend of the first attempt that may have had an effect.
+        ran_at_ns: When that attempt was sent.
     """
 
     __slots__ = (
--- a/mothstall/policy/request_lifecycle.py
+++ b/mothstall/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The way of a request: admitted, queued or rejected; sent, hedged, retried; and ended, once."""
+"""The life cycle of a request: admission, queueing, attempts, hedges, retries, final response."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from mothstall.policy.traffic_profile import TrafficProfiles
 from mothstall.policy.zone_weights import ZoneWeights
 
-QUEUE_PART = 0.25  # part of the latency objective for which a request may wait for capacity
-RETRY_AFTER_DIVISOR = 4  # a rejected client is asked to wait this part of the latency objective
-MIN_TIME_PART = 1 / 2  # of the usual latency: with less time left nothing is sent
-HEDGE_AFTER = 3.0  # times the usual latency of silence after which a request is hedged
-HEDGE_OWN_SILENCE_AFTER = 2.0  # the same for a class that is silent wherever it goes
+QUEUE_PART = 0.25  # of the latency objective: how long a request may wait for capacity
+RETRY_AFTER_DIVISOR = 4  # a rejected client is told to wait the latency objective divided by this
+MIN_TIME_PART = 1 / 2  # of the usual latency: no attempt is sent with less time left
+HEDGE_AFTER = 3.0  # a request is hedged after this multiple of the usual latency without a response
+HEDGE_OWN_SILENCE_AFTER = 2.0  # the same for a class that gets no response at any backend
 MIN_HEDGE_PART = 1 / 8  # of the latency objective: no request is hedged sooner
-HALF_OPEN_TIMEOUT = 4  # times the usual latency that a half-open probe may take
-NUDGE_NS = NS // 100  # while requests wait, capacity is looked for at least so often
+HALF_OPEN_TIMEOUT = 4  # timeout of a half-open probe, as a multiple of the usual latency
+NUDGE_NS = NS // 100  # while requests are queued, capacity is checked at this interval at least
 
 
 class RequestLifecycle:
@@ -74,7 +74,7 @@
     # Arrival
 
     def arrive(self, event: io.RequestArrived) -> None:
-        """Take in a request: it is sent, queued or rejected at once."""
+        """Accept a request, and send, queue or reject it."""
         settings = self._context.settings
         if event.request in self.open or event.class_index >= len(settings.classes):
             return
@@ -108,7 +108,7 @@
         return left_ns >= self._latency.usual_ns * MIN_TIME_PART
 
     def _wait_for_capacity(self, request: Request) -> None:
-        """Wait briefly where capacity is near; else reject at once, not late."""
+        """Queue the request if capacity is likely soon; otherwise reject it immediately."""
         now_ns = self._context.now_ns
         profile = request.profile
         left_ns = request.deadline_ns - now_ns
@@ -122,12 +122,12 @@
         self._context.timers.schedule(until_ns, partial(self._end_wait, request, until_ns))
 
     def _end_wait(self, request: Request, until_ns: int) -> None:
-        """Guards against the end of an earlier wait, while this one lasts."""
+        """Reject a request whose wait timed out. Guards against the timer of an earlier wait."""
         if request.queued_until_ns == until_ns:
             self._give_up(request)
 
     def serve_queue(self) -> None:
-        """Give capacity that has come free to the profile furthest behind its weight."""
+        """Send queued requests in fair order, as long as there is capacity."""
         while self._queue.count:
             found = self._next_to_serve()
             if found is None:
@@ -135,7 +135,7 @@
             request, backend = found
             self._queue.remove(request)
             self._admit(request, backend)
-        # Guards against nudges that breed: at most one is due, and it does nothing by itself.
+        # Guards against timers that multiply: at most one is due, and its call does nothing.
         now_ns = self._context.now_ns
         if self._queue.count and self._next_nudge_ns <= now_ns:
             self._next_nudge_ns = now_ns + max(self._context.settings.tick_ns, NUDGE_NS)
@@ -198,9 +198,9 @@
         self._context.timers.schedule(now_ns + int(wait_ns), partial(self._hedge, request))
 
     def _hedge(self, request: Request) -> None:
-        """Send a hedged request, only away from silence.
+        """Send a hedged request if the missing response points to a fault of the backend.
 
-        For answers that are merely late, hedged requests make all of them late.
+        Hedging requests that are merely late would add load and delay all responses.
         """
         if request.is_done or request.has_response_started or request.open_attempts != 1:
             return
@@ -216,7 +216,7 @@
             self._send(request, backend)
 
     def _is_suspect(self, attempt: Attempt, request: Request) -> bool:
-        """Whether silence tells of a fault: one silent attempt alone may just be heavy."""
+        """Whether a missing response points to a fault; one alone may be an expensive request."""
         backend = attempt.backend
         if backend.outlier.ejected_until_ns:
             return True
@@ -227,12 +227,12 @@
         return backend.in_flight >= 2 or bool(backend.outlier.failure_score)
 
     def start_response(self, event: io.ResponseStarted) -> None:
-        """Take note that the first bytes of an answer have come."""
+        """Record that the first bytes of a response arrived."""
         if request := self.open.get(event.request):
             request.has_response_started = True
 
     def hold_up(self, event: io.AttemptAwaitsBody) -> None:
-        """Count an attempt as not in flight while the request's body is still on its way.
+        """Stop counting an attempt as in flight while its request body is incomplete.
 
         Guards against slow clients that make a backend look hung.
         """
@@ -242,7 +242,7 @@
             self._limits.leave(attempt.backend)
 
     def finish_writing(self, event: io.AttemptWritten) -> None:
-        """Count an attempt as in flight from now on, and its request's time too."""
+        """Count an attempt whose body is complete as in flight; its latency starts now."""
         request = self.open.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -269,7 +269,7 @@
     # Ends
 
     def end_attempt(self, event: io.AttemptEnded) -> None:
-        """Take in the end of an attempt: its request ends with it, is retried, or given up."""
+        """Process the end of an attempt: finish, retry or give up its request."""
         attempt = self._open_attempt(event.request, event.attempt)
         if attempt is None:
             return
@@ -294,7 +294,7 @@
                 self._give_up(request)
 
     def _forget_effect(self, attempt: Attempt, request: Request, result: AttemptResult) -> None:
-        """An attempt never ran: the first of the others that may have is the one that counts."""
+        """Mark an attempt that never ran; `ran_on` becomes the first other that may have run."""
         attempt.never_ran = True
         attempt.was_rejected = result == AttemptResult.REJECTED
         ran = next((row for row in request.attempts if not row.never_ran), None)
@@ -302,7 +302,7 @@
         request.ran_at_ns = ran.sent_ns if ran else 0
 
     def _retry(self, request: Request, result: AttemptResult) -> None:
-        """Send a retry where the class allows it, the time suffices and the budget pays for it."""
+        """Retry if class, remaining time and retry budget allow it; otherwise queue or give up."""
         is_free = result in io.NEVER_RAN
         settings = self._context.settings
         if len(request.attempts) >= settings.max_attempts or not self._has_time(request):
@@ -322,18 +322,18 @@
             self._give_up(request)
 
     def _gets_one_turn(self, request: Request) -> bool:
-        """Whether it is beyond its tenant's quota, where proxies are many: no second turn."""
+        """Whether a request gets no retry: it exceeds its tenant's quota, and backends are few."""
         has_tenants = bool(self._context.settings.tenants)
         return request.exceeds_quota and has_tenants and self._endpoints.is_sparse
 
     def client_left(self, event: io.ClientLeft) -> None:
-        """End a request whose client does not wait any more."""
+        """Finish a request whose client has disconnected or given up."""
         request = self.open.get(event.request)
         if request and not request.is_done:
             self._finish(request, self._context.now_ns - request.arrived_ns)
 
     def _give_up(self, request: Request) -> None:
-        """Reject where trying again is harmless, else fail; at once, and counted as late."""
+        """Reject the request if a client may retry it, else fail it; either counts as late."""
         settings = self._context.settings
         action: io.Action
         if may_promise_no_effect(request):
@@ -362,4 +362,4 @@
 
 
 def _do_nothing() -> None:
-    """What a nudge does: the queue is served after every batch of events."""
+    """Timer call without effect: every batch of events serves the queue."""
--- a/mothstall/policy/retries.py
+++ b/mothstall/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the budget that they draw on, and where one may go without a second effect."""
+"""Retries: their budget, and the backends where a retry cannot repeat an effect."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from mothstall.policy.context import Context
 from mothstall.policy.request import Request
 
-EARNED_PER_ANSWER = 0.2  # of a retry, for each good answer
-MAX_BUDGET = 30.0  # retries that are saved up at most
-MIN_BUDGET = 2.0  # the least bound, however few backends there are for each proxy
-BUDGET_PER_BACKEND = 10.0  # over all proxies together
+EARNED_PER_ANSWER = 0.2  # retry tokens per successful response
+MAX_BUDGET = 30.0  # upper bound of saved tokens
+MIN_BUDGET = 2.0  # lower bound of the maximum, for any ratio of backends to proxies
+BUDGET_PER_BACKEND = 10.0  # maximum of all proxies together, per backend
 
 
 class RetryBudget:
-    """Retries and hedged requests that may be sent; they are earned by good answers.
+    """Token budget of retries and hedged requests, refilled by successful responses.
 
     Attributes:
         tokens: Retries that may be sent now.
-        max_tokens: How many can be saved up.
+        max_tokens: Upper bound of `tokens`.
     """
 
     def __init__(self) -> None:
@@ -26,13 +26,13 @@
         self.max_tokens = MAX_BUDGET
 
     def begin(self, context: Context, backend_count: int) -> None:
-        """Set bounds by the first list; proxies draw budgets, so that not all begin alike."""
+        """Set the bound by the first list; the first budget is random, so that proxies differ."""
         per_proxy = BUDGET_PER_BACKEND * backend_count / context.settings.proxies
         self.max_tokens = max(MIN_BUDGET, min(MAX_BUDGET, per_proxy))
         self.tokens = self.max_tokens * context.rng.random()
 
     def earn(self) -> None:
-        """Count a good answer."""
+        """Add the tokens that a successful response earns."""
         self.tokens = min(self.max_tokens, self.tokens + EARNED_PER_ANSWER)
 
     def has_token(self) -> bool:
@@ -40,16 +40,16 @@
         return self.tokens >= 1.0
 
     def spend(self) -> None:
-        """Count a retry."""
+        """Remove the token of a retry."""
         self.tokens -= 1.0
 
 
 def may_run_at(request: Request, backend: Backend, now_ns: int) -> bool:
-    """Return whether an attempt at this backend has no second effect.
+    """Return whether an attempt at this backend cannot repeat an effect.
 
-    Where no attempt may have had an effect yet, and for idempotent requests, it never has. Else a
-    non-idempotent request gets no further attempt, and one that is idempotent by its key only
-    inside its window, at backends that know the keys of the first.
+    It cannot if no earlier attempt may have had an effect, or if the request is idempotent.
+    Otherwise a non-idempotent request gets no further attempt, and a request that is idempotent by
+    its key only within its window, at backends that recognize the key of the first attempt.
     """
     ran_on = request.ran_on
     request_class = request.request_class
@@ -66,7 +66,7 @@
 
 
 def may_promise_no_effect(request: Request) -> bool:
-    """Return whether a client may safely send this request again after a rejection."""
+    """Return whether a client can safely send this request again after a rejection."""
     request_class = request.request_class
     if request.ran_on is None or request_class.effect == Effect.IDEMPOTENT:
         return True
@@ -75,7 +75,7 @@
 
 
 def window_end_ns(request: Request) -> int:
-    """Return until when an attempt may be written; 0: at any time."""
+    """Return when the writing of an attempt must be complete; 0: no limit."""
     if request.ran_on and request.request_class.effect == Effect.IDEMPOTENT_WITH_KEY:
         return request.ran_at_ns + request.request_class.window_ns
     return 0
--- a/mothstall/policy/rotation.py
+++ b/mothstall/policy/rotation.py
@@ -1,9 +1,9 @@
-"""Whose turn it is: weighted round robin through a request's group, with turns that are missed.
+"""Weighted round robin over the members of a request's group; unsuitable backends are skipped.
 
-Each time the rotation comes to a backend that may take its turn, it gathers its weight over the
-greatest listed one; with a complete turn gathered it takes the request (deficit round robin,
-Shreedhar and Varghese, 1995). Equal weights give the plain rotation of the paper. A backend that is
-unhealthy, full or slow misses its turn; a group without anybody left borrows from the other.
+Each time the rotation reaches an eligible backend, its credit grows by its weight over the greatest
+listed weight; with a credit of 1 it gets the request (deficit round robin, Shreedhar and Varghese,
+1995). Equal weights give the plain rotation of the paper. A backend that is unhealthy, full or slow
+misses its turn; if no member of a group is eligible, the other group is searched.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 from mothstall.policy.slow_start import SlowStart
 from mothstall.policy.zone_weights import ZoneWeights
 
-MAX_SPREAD = 1.0  # a turn is missed above so much of the mean in flight a member, plus a constant
+MAX_SPREAD = 1.0  # of the mean attempts in flight per member, plus the offset: more miss a turn
 SPREAD_OFFSET = 0.5
-SLOWNESS_POWER = -6  # a slow member keeps turns by this power of its slowness over the usual noise
-BURST_ROOTS = 2.0  # square roots of a small capacity that a burst may go over it
-CONNECT_PATIENCE_PART = 1 / 4  # of the connect time-out, added to the patience with silence
+SLOWNESS_POWER = -6  # a turn is kept with this power of slowness over noise as probability
+BURST_ROOTS = 2.0  # a burst may exceed a small capacity by this multiple of its square root
+CONNECT_PATIENCE_PART = 1 / 4  # of the connect timeout: added to the stall timeout
 
 
 class SkipReason(Enum):
     """Why a backend misses its turn."""
 
-    NONE = "none"  # it does not
+    NONE = "none"  # does not miss it
     FULL = "full"  # no capacity now
     UNHEALTHY = "unhealthy"
     SLOW = "slow"
 
 
 class _Search:
-    """What a search for a backend has come across so far."""
+    """Intermediate results of a search for a backend."""
 
     __slots__ = ("found_full", "slow_turn", "tried", "unhealthy")
 
     def __init__(self, request: Request) -> None:
         self.tried = [row.backend for row in request.attempts if not row.was_rejected]
         self.found_full = False
-        self.slow_turn: tuple[int, int] | None = None  # side and index of the first slow one
+        self.slow_turn: tuple[int, int] | None = None  # side and index of the first slow backend
         self.unhealthy: list[Backend] = []
 
 
@@ -77,17 +77,17 @@
         self._mildest_effect = min(row.effect for row in context.settings.classes)
 
     def pick(self, request: Request) -> Backend | None:
-        """Return the backend that gets the request's next attempt; None: nobody may have it now."""
+        """Return the backend for the request's next attempt; None: no backend may get it now."""
         if not self._has_capacity(request):
             return None
         search = _Search(request)
         for side, zones in self._zone_weights.search_order(int(request.is_priority)):
             if search.found_full and not zones and self._zone_weights.follows_plan:
-                break  # no capacity in a plan's zones: then nowhere else
+                break  # the plan's zones are full: do not overflow to other zones
             turn = self._search_group(request, search, side, zones)
             if turn >= 0:
                 return self._take_turn(side, turn)
-        if search.slow_turn:  # all miss their turns: then the first of them does not
+        if search.slow_turn:  # only slow backends are left: take the first
             return self._take_turn(*search.slow_turn)
         return self._least_unhealthy(request, search)
 
@@ -96,8 +96,8 @@
         in_flight: float = limits.in_flight
         burst = 0.0
         if self._endpoints.is_sparse:
-            # Guards against whole numbers in a small capacity: chance keeps what is over them, and
-            # makes bursts.
+            # Guards against rounding down a small capacity: the random draw admits its fractional
+            # part on average, and an allowance on top permits random bursts.
             in_flight += self._context.rng.random()
             burst = BURST_ROOTS * math.sqrt(limits.capacity)
         if request.exceeds_quota:
@@ -105,7 +105,7 @@
         return in_flight < limits.capacity + burst
 
     def _search_group(self, request: Request, search: _Search, side: int, zones: set[int]) -> int:
-        """Return the index of the first member whose turn is due, or nearest to it; else -1."""
+        """Return the first member with a full turn, or the closest to one, by index; else -1."""
         group = self._groups.by_side[side]
         start = self._groups.next_turn[side]
         now_ns = self._context.now_ns
@@ -143,10 +143,10 @@
         return backend
 
     def _least_unhealthy(self, request: Request, search: _Search) -> Backend | None:
-        """The least unhealthy one gets a request's first attempt, where all members are unhealthy.
+        """Return the least unhealthy member for a first attempt, if all members are unhealthy.
 
-        Guards against a last unhealthy or warming one taking all that others rejected: no retry
-        goes to the unhealthy, and no attempt beyond the tokens of a warming one.
+        Guards against the last unhealthy or warming backend receiving all requests that others
+        rejected: unhealthy ones get no retries, and warming ones no attempts beyond their tokens.
         """
         able = [backend for backend in search.unhealthy if self._is_warm_enough(backend)]
         if search.found_full or request.attempts or not able:
@@ -167,8 +167,8 @@
         warmth = self._slow_start.warmth(backend)
         if backend.in_flight and self._is_stalled(backend, request, warmth):
             return SkipReason.UNHEALTHY
-        # Guards against half-open probes beyond the tokens: rejected ones would follow each other
-        # at once.
+        # Guards against half-open probes beyond the tokens: without this, rejected probes follow
+        # each other immediately.
         if warmth < 1 and not self._slow_start.has_token(backend, warmth):
             return SkipReason.FULL
         if outlier.ejected_until_ns:
@@ -182,21 +182,25 @@
         return SkipReason.NONE
 
     def _must_stay_ejected(self, backend: Backend, request: Request) -> bool:
-        """Guards against a return on a guess: one half-open probe at a time, of mild effect."""
+        """Whether an ejected backend must not get this request.
+
+        It gets a single half-open probe at a time, after the ejection time, and only from the
+        classes of the safest effect.
+        """
         if backend.outlier.is_probing or request.request_class.effect > self._mildest_effect:
             return True
         until_ns = max(backend.outlier.ejected_until_ns, backend.concurrency.resting_until_ns)
         return self._context.now_ns < until_ns
 
     def _is_stalled(self, backend: Backend, request: Request, warmth: float) -> bool:
-        """Guards against hangs: attempts in flight, and no answer for much longer than usual."""
+        """Guards against hung backends: attempts in flight, and no response for unusually long."""
         usual_ns = self._latency.usual_ns
         silence_ns = self._context.now_ns - max(backend.last_progress_ns, backend.busy_since_ns)
         patience_ns = usual_ns * (1 + 2 / backend.in_flight) / warmth
         patience_ns /= min(self._latency.shared_lateness)
         patience_ns += self._context.settings.connect_timeout_ns * CONNECT_PATIENCE_PART
         if request.request_class.effect == Effect.NON_IDEMPOTENT:
-            patience_ns /= 2  # a non-idempotent request wants a backend with recent answers
+            patience_ns /= 2  # a non-idempotent request requires more recent responses
         return usual_ns > 0 and silence_ns > patience_ns
 
     def _is_full(self, backend: Backend, warmth: float) -> bool:
@@ -208,7 +212,7 @@
         return backend.in_flight > MAX_SPREAD * mean_in_flight * warmth + SPREAD_OFFSET
 
     def _is_slow(self, backend: Backend) -> bool:
-        """Guards against congestion by others where our own answers are few."""
+        """Guards against congestion caused by other proxies, where this one has few responses."""
         slowness = backend.slowness / (1.0 + self._latency.noise)
         return slowness > 1 and self._context.rng.random() > slowness**SLOWNESS_POWER
 
--- a/mothstall/policy/slots.py
+++ b/mothstall/policy/slots.py
@@ -1,4 +1,4 @@
-"""Slots: the paper's observation time, cut into parts whose number follows burstiness (3), (4)."""
+"""Slots: divisions of the paper's observation time T, whose number follows burstiness (3), (4)."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from mothstall.interface import NS
 
 OBSERVATION_NS = 10 * NS  # the paper's observation time T
-MIN_SLOT_NS = NS // 4  # shorter slots would see no requests
-MAX_SLOT_NS = 5 * NS // 2  # longer slots would react too late
+MIN_SLOT_NS = NS // 4  # shorter slots would contain too few requests
+MAX_SLOT_NS = 5 * NS // 2  # longer slots would react too slowly
 FIRST_SLOT_NS = OBSERVATION_NS // 10
 
 
 class SlotClock:
-    """When slots end, and how long the next one is.
+    """Computes the length of the slots.
 
     Attributes:
         slots_per_period: The paper's e_k: the number of slots in T.
-        lowest_burstiness: The least burstiness of the slot before.
-        started_ns: When the slot in hand began.
-        ended: Ends of the slots of the last T.
+        lowest_burstiness: The lowest burstiness of all members in the previous slot.
+        started_ns: When the current slot began.
+        ended: End times of the slots within the last T.
     """
 
     def __init__(self) -> None:
@@ -30,24 +30,24 @@
 
     @property
     def is_first(self) -> bool:
-        """Whether one slot alone has ended within T."""
+        """Whether exactly one slot has ended within T."""
         return len(self.ended) == 1
 
     def end_slot(self, now_ns: int) -> None:
-        """Count a slot that ends now."""
+        """Record the end of a slot."""
         self.ended.append(now_ns)
         while self.ended[0] <= now_ns - OBSERVATION_NS:
             self.ended.popleft()
 
     def begin_slot(self, now_ns: int, highest: float, lowest: float) -> int:
-        """Begin the next slot by the burstiness of all members; return when it ends, by (3)."""
+        """Begin the next slot, given the range of burstiness; return its end, by (3)."""
         self.slots_per_period = self.next_slots_per_period(highest, lowest)
         self.lowest_burstiness = lowest
         self.started_ns = now_ns
         return now_ns + int(OBSERVATION_NS / self.slots_per_period)
 
     def next_slots_per_period(self, highest: float, lowest: float) -> float:
-        """Return the next number of slots in T by (4), within the bounds of a slot."""
+        """Return the next number of slots in T by (4), within the bounds of a slot's length."""
         if not highest:
             factor = 1.0 / max(1, len(self.ended))
         elif highest > self.lowest_burstiness:
--- a/mothstall/policy/slow_start.py
+++ b/mothstall/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: what a backend that is warming up may get from this proxy.
+"""Slow start: limits the rate of attempts from this proxy to backends that are warming up.
 
-All proxies together have to stay below what pushes a warming backend over. What a warm backend
-serves for this proxy is its part of a backend's capacity; a warming one gets a fixed part of that,
-by the least warmth that the settings promise, one attempt at a time.
+All proxies together must stay below the rate that overloads a warming backend. The rate at which a
+warm backend serves this proxy measures the proxy's fraction of a backend's capacity; a warming one
+gets a fixed fraction of that rate, scaled by the warmth that the settings guarantee, and no bursts.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
 
-OVERLOAD_PART = 0.45  # used of the rate that pushes a warming backend over
-MAX_RECENT_RATIO = 1.25  # bound of the rate of warm backends, by that of the latest answers
-MIN_SAMPLES = 10  # answers that weigh as much as all that was known of the latest rate
-MAX_TOKENS = 1.0  # tokens lapse beyond one: attempts are dealt out evenly
-FIRST_ATTEMPT_TOKENS = 1.5  # the first attempt also costs the backend a handshake
+OVERLOAD_PART = 0.45  # used fraction of the rate that overloads a warming backend
+MAX_RECENT_RATIO = 1.25  # upper bound of `warm_rate`, as a multiple of `recent_warm_rate`
+MIN_SAMPLES = 10  # responses in a slot that weigh as much as the previous estimate
+MAX_TOKENS = 1.0  # bucket size; a single token spreads attempts evenly
+FIRST_ATTEMPT_TOKENS = 1.5  # cost of the first attempt, which includes a handshake
 _HASH_RANGE = 2**64
 
 
 class SlowStart:
-    """Deals out attempts to backends that are warming up.
+    """Token buckets for backends that are warming up.
 
     Attributes:
-        warm_rate: Answers a second that a warm member gives to this proxy.
-        recent_warm_rate: The same by the latest answers.
-        has_successor: Another process of this proxy takes over and spends the tokens.
+        warm_rate: Responses per second of a warm member to this proxy.
+        recent_warm_rate: The same over a shorter time.
+        has_successor: Whether another process of this proxy takes over and uses the tokens.
     """
 
     def __init__(self, context: Context, endpoints: EndpointList) -> None:
@@ -40,11 +40,11 @@
         self._began_ns = 0
 
     def begin(self) -> None:
-        """Take note of when this process began."""
+        """Record the start time of this process."""
         self._began_ns = self._context.now_ns
 
     def warmth(self, backend: Backend) -> float:
-        """Return the part of its capacity that the settings promise of a backend, up to 1."""
+        """Return the fraction of its capacity that a backend has by the settings, up to 1."""
         settings = self._context.settings
         if not backend.started_ns:
             return 1.0
@@ -55,30 +55,31 @@
         return settings.initial_warmth + warmed
 
     def first_tokens(self, entry: io.Endpoint, subset_size: int) -> float:
-        """Return the tokens that a new backend begins with: the time until its first attempt.
+        """Return the initial tokens of a new backend, which set the time until its first attempt.
 
-        Guards against parts drawn freely, or begun anew by a new process: all proxies have a place
-        each in one row, by a hash of the backend's start and their offset on the ring.
+        Guards against clusters of first attempts, which independent random draws would cause: the
+        hash of the backend's start and the ring offsets of the proxies spread them evenly.
         """
         context = self._context
         widening = max(1.0, len(self._endpoints) / max(1, subset_size))
         draw = context.rng.random() / context.settings.proxies
         place = hashing.stable_hash(entry.backend + entry.started_ns) / _HASH_RANGE
         turn = (place - context.ring_offset * widening + draw) % 1.0
-        # A process younger than the backend begins with nothing: its last self may just have sent.
+        # A process younger than the backend starts without tokens: the previous process of this
+        # proxy may have sent an attempt just before.
         return turn * (entry.started_ns >= self._began_ns)
 
     def has_token(self, backend: Backend, warmth: float) -> bool:
-        """Count the tokens of a warming backend up to now; return whether an attempt may go there.
+        """Refill the tokens of a warming backend; return whether an attempt may be sent to it.
 
-        Guards against overload of a warming backend: attempts are dealt out evenly, and lapse if
-            unused.
+        Guards against overload of a warming backend: attempts are evenly spaced, and unused tokens
+        do not accumulate.
         """
         settings = self._context.settings
         state = backend.slow_start
         now_ns = self._context.now_ns
         rate = 0.0
-        # Guards against two processes of one proxy that each spend all tokens.
+        # Guards against two processes of one proxy that use the same tokens twice.
         if not self.has_successor:
             rate = OVERLOAD_PART * settings.overload_multiple * self.warm_rate * warmth
         span_ns = min(now_ns - state.refilled_at_ns, settings.overload_window_ns)
@@ -88,7 +89,7 @@
 
     @staticmethod
     def count_attempt(backend: Backend) -> None:
-        """Take note of an attempt that goes to a backend, warm or not."""
+        """Charge an attempt to a backend, warm or not."""
         state = backend.slow_start
         state.tokens -= 1.0 if state.is_used else FIRST_ATTEMPT_TOKENS
         state.is_used = True
@@ -98,8 +99,8 @@
 
         Args:
             members: The subset.
-            span_ns: How long the slot was.
-            sent_rate: Attempts a second that this proxy sent in it.
+            span_ns: Length of the slot.
+            sent_rate: Attempts per second that this proxy sent in the slot.
         """
         warm = [
             member.throughput
@@ -111,12 +112,12 @@
             mean = sum(state.filtered for state in warm) / len(warm)
             self.warm_rate = min(mean, MAX_RECENT_RATIO * self.recent_warm_rate)
         elif members:
-            # Guards against a fleet cold as a whole: what its own tokens let through must not
-            # shrink it.
+            # Guards against a fleet without warm backends: a rate limited by the tokens themselves
+            # must not lower the estimate.
             self.warm_rate = max(self.warm_rate, sent_rate / len(members))
 
     def _update_recent_rate(self, measured: list[float], span_ns: int) -> None:
-        """Guards against a mean of 10 s where many start at once, and all get less of others."""
+        """Guards against a 10 s mean that lags when many backends start and warm ones get less."""
         answers = sum(measured) * span_ns / NS
         gain = answers / (answers + MIN_SAMPLES) if self.recent_warm_rate else 1.0
         rate = answers * NS / span_ns / len(measured)
--- a/mothstall/policy/subset.py
+++ b/mothstall/policy/subset.py
@@ -1,8 +1,8 @@
-"""Subsetting: the part of the list that this proxy sends to and can keep measured.
+"""Subsetting: the listed backends that this proxy sends to and has enough traffic to measure.
 
-Hundreds of proxies with little traffic each would all hold connections to all backends, and learn
-of each fault alone. So each takes a run of the hash ring; runs of all proxies cover the ring
-evenly.
+Hundreds of proxies with little traffic each would otherwise all hold connections to all backends,
+and each would have to detect every fault by itself. Each proxy uses a contiguous section of the
+hash ring; the sections of all proxies cover the ring evenly.
 """
 
 from __future__ import annotations
@@ -19,22 +19,20 @@
 from mothstall.policy.zone_weights import ZoneWeights
 
 MIN_MEMBERS = 3
-CONNECTIONS_PER_BACKEND = 6.0  # that all proxies together keep open to a backend
-RATE_PER_MEMBER = (
-    6.0  # requests a second of this proxy for which one more member is worth measuring
-)
-SHRINK_BELOW = 0.7  # the subset gets smaller once it would be under this part of its size
-MAX_WIDENING = 2  # times its size that it takes in where members are ejected or warming up
-MIN_SAMPLES = 10  # attempts in a slot from which on its rate counts at once
-_RATE_GAIN_PER_PERIOD = 3  # time constants of the request rate in the observation time
+CONNECTIONS_PER_BACKEND = 6.0  # proxies that have a given backend in their subsets
+RATE_PER_MEMBER = 6.0  # requests per second of this proxy for each member
+SHRINK_BELOW = 0.7  # the subset shrinks once its wanted size is below this fraction of its size
+MAX_WIDENING = 2  # upper bound of members over `size`, where some are ejected or warming up
+MIN_SAMPLES = 10  # attempts in a slot from which a higher rate applies without smoothing
+_RATE_GAIN_PER_PERIOD = 3  # time constants of the smoothed request rate per observation time
 
 
 class Subset:
     """Chooses the members and hands them to the priority groups.
 
     Attributes:
-        size: Healthy and warm members wanted.
-        request_rate: Attempts a second of this proxy, filtered.
+        size: Wanted number of healthy and warm members.
+        request_rate: Smoothed attempts per second of this proxy.
         sent_in_slot: Attempts sent in this slot.
     """
 
@@ -56,16 +54,16 @@
         self.sent_in_slot = 0
 
     def refresh(self) -> None:
-        """Choose the members anew, by the list, the request rate and the health of those chosen.
+        """Select the members again, by the list, the request rate and the health of backends.
 
-        Guards against every proxy holding connections to all backends, and learning each fault
-        alone.
+        Guards against every proxy holding connections to all backends, and detecting each fault by
+        itself.
         """
         self._resize()
         self._groups.set_members(self._select())
 
     def refresh_if_partial(self) -> None:
-        """Choose the members anew, if there are others to choose."""
+        """Select the members again, if some listed backend is not a member."""
         if len(self._groups.members) < len(self._endpoints):
             self.refresh()
 
@@ -79,7 +77,7 @@
             self.size = math.ceil(size)
 
     def _select(self) -> list[Backend]:
-        """A run of the ring from this proxy's offset on, until enough of it is healthy and warm."""
+        """Return a section of the ring, from this proxy's offset, with enough serving backends."""
         ring = self._endpoints.ring
         if excluded := self._zone_weights.excluded_zones():
             ring = [backend for backend in ring if backend.zone not in excluded] or ring
@@ -96,10 +94,9 @@
         return chosen
 
     def count_attempt(self) -> None:
-        """Take note of an attempt.
+        """Count an attempt.
 
-        Guards against a proxy whose traffic rises, which overloads its few members until the slot
-        ends.
+        Guards against a sudden rise of traffic that overloads the few members until the slot ends.
         """
         self.sent_in_slot += 1
         if self.sent_in_slot <= 2 * len(self._groups.members) + MIN_SAMPLES:
--- a/mothstall/policy/traffic_profile.py
+++ b/mothstall/policy/traffic_profile.py
@@ -1,6 +1,6 @@
-"""Traffic by profile: how much each asks for, which one has priority, and this proxy's part of all.
+"""Traffic profiles: request rates, choice of the priority profile, this proxy's traffic fraction.
 
-A profile is the traffic of one tenant where the settings name tenants, else of one class.
+A profile is the traffic of one tenant if the settings name tenants, else of one class.
 """
 
 from __future__ import annotations
@@ -16,26 +16,32 @@
 if TYPE_CHECKING:
     from mothstall.policy.request import Request
 
-MIN_WEIGHT = 1e-6  # of a profile in the fair queue; also the least quota that is divided by
-MIN_TRAFFIC_PART = 1e-3  # parts of the traffic below this count as this one: a claim stays finite
-PRIORITY_MARGIN = 1.25  # another profile gets priority once it claims so many times as much
-PRIOR_REQUESTS = 6.0  # requests that an even part weighs in a profile's pace
-MANY_PROFILES = 1000  # active profiles from which on one is forgotten early
-FORGOTTEN_EARLY = 0.5  # requests of late below which a profile is forgotten where there are many
-FORGOTTEN = 1e-16  # the same else, and only as a part of all requests where those are fewer than 1
-_RATE_GAIN = 0.5  # weight of the last slot in a profile's rate
+MIN_WEIGHT = 1e-6  # of a profile in the fair queue; also the lower bound of a quota used as divisor
+MIN_TRAFFIC_PART = 1e-3  # lower bound of a traffic fraction, so that a claim stays finite
+PRIORITY_MARGIN = 1.25  # a new priority profile must claim this multiple of the current one
+PRIOR_REQUESTS = 6.0  # weight of the prior, an even split over the proxies, in requests
+MANY_PROFILES = 1000  # number of active profiles above which the early threshold applies
+FORGOTTEN_EARLY = 0.5  # decayed count below which a profile becomes inactive, if there are many
+FORGOTTEN = 1e-16  # the same otherwise; both scale with the total while that is below 1
+_RATE_GAIN = 0.5  # smoothing factor of a profile's rate, per slot
 
 
 class TrafficProfile:
     """The requests of one tenant, or of one class.
 
-    Attributes: index: Its place in the settings. weight: Its weight in the fair queue. quota:
-    Requests a second that it is entitled to; without tenants the class's priority weight. queue:
-    Its requests that wait for capacity, in order of arrival. served_in_slot: Requests admitted in
-    this slot. virtual_finish: Its tag in the fair queue. rate: Requests admitted a second,
-    filtered. arrivals: Requests of late, fading. completions: Good answers of late, fading.
-    quota_tokens: Requests that it may send now inside its quota. quota_refilled_at_ns: Up to when
-    these tokens have been counted.
+    Attributes:
+        index: Its index in the settings.
+        weight: Its weight in the fair queue.
+        quota: Requests per second that it is entitled to; without tenants the class's priority
+            weight.
+        queue: Its requests that wait for capacity, in order of arrival.
+        served_in_slot: Requests admitted in this slot.
+        virtual_finish: Its virtual finish time in the fair queue.
+        rate: Smoothed rate of admitted requests per second.
+        arrivals: Exponentially decayed count of requests.
+        completions: Exponentially decayed count of successful responses.
+        quota_tokens: Requests that it may send now within its quota.
+        quota_refilled_at_ns: When these tokens were last refilled.
     """
 
     __slots__ = (
@@ -67,22 +73,22 @@
 
 
 class TrafficProfiles:
-    """All profiles, of which only those that sent requests lately are gone through.
+    """All profiles; the work per slot depends on the active ones only.
 
     Attributes:
         all: By index.
-        by_quota: Indexes, greatest quota first; `quota_rank` is each profile's place in that order.
-        active: Those that sent requests lately, by index; all others have rates and counts of 0.
-        arrivals: Requests of late of all profiles, fading.
+        by_quota: Indexes by descending quota; `quota_rank` is each profile's rank in that order.
+        active: Profiles with recent requests, by index; all others have rates and counts of 0.
+        arrivals: Exponentially decayed count of requests of all profiles.
         priority: Index of the profile that the priority group serves.
-        is_single: There is one profile, so that all members serve it.
-        traffic_part: This proxy's part of all traffic, as its typical profile shows.
+        is_single: Whether there is only one profile, which all members serve.
+        traffic_part: This proxy's fraction of all traffic, estimated by the median profile.
     """
 
     def __init__(self, context: Context) -> None:
         self._context = context
         settings = context.settings
-        # Guards against starting sums that all proxies spend at once: they are drawn at random.
+        # Guards against initial tokens that all proxies use at once: they are drawn at random.
         quota_tokens = context.rng.random()
         rows = [(tenant.share, tenant.quota_per_s) for tenant in settings.tenants]
         if not rows:
@@ -105,29 +111,29 @@
         self.traffic_part = 1.0 / settings.proxies
 
     def of_request(self, index: int) -> TrafficProfile:
-        """Return the profile of a request's tenant or class; an unknown one counts as the first."""
+        """Return the profile of a tenant or class; an unknown index gets the first profile."""
         return self.all[index if index < len(self.all) else 0]
 
     def count_arrival(self, profile: TrafficProfile) -> None:
-        """Take note of a request."""
+        """Count a request."""
         profile.arrivals += 1
         self.arrivals += 1
         self.active[profile.index] = profile
 
     def count_completion(self, profile: TrafficProfile) -> None:
-        """Take note of a good answer."""
+        """Count a successful response."""
         profile.completions += 1.0
         self.active[profile.index] = profile
 
     def priority_part(self) -> float:
-        """Return the priority profile's part of this proxy's requests, 0 to 1."""
+        """Return the priority profile's fraction of this proxy's requests, 0 to 1."""
         profile = self.all[self.priority]
         if self.arrivals > 0:
             return profile.arrivals / self.arrivals
         return profile.weight / self.total_weight
 
     def claim(self, index: int) -> float:
-        """Return quota over part of the traffic; without tenants, the class's priority weight."""
+        """Return quota over traffic fraction; without tenants, the class's priority weight."""
         profile = self.all[index]
         if not self._context.settings.tenants:
             return profile.quota
@@ -135,11 +141,11 @@
         return profile.quota / max(part, MIN_TRAFFIC_PART)
 
     def close_slot(self, span_ns: int) -> None:
-        """Update rates, fading counts and the typical pace at the end of a slot of `span_ns`."""
+        """Update rates, decayed counts and `traffic_part` at the end of a slot of `span_ns`."""
         keep = math.exp(-span_ns / (3 * OBSERVATION_NS))
         threshold = FORGOTTEN_EARLY if len(self.active) > MANY_PROFILES else FORGOTTEN
         threshold *= min(1.0, self.arrivals)
-        # Guards against a slot's end that takes longer with each profile, though few of them are
+        # Guards against a slot's end that takes time for each profile, although few of them are
         # active.
         profiles = [self.active[index] for index in sorted(self.active)]
         self.active = {}
@@ -168,9 +174,9 @@
     def choose_priority(self, *, is_first_slot: bool) -> None:
         """Give priority to the profile with the greatest claim.
 
-        Guards against a near tie that swaps the priority profile back and forth.
+        Guards against priority that alternates between profiles with nearly equal claims.
         """
-        # Of those with a thousandth of the traffic at most, the first by quota claims most.
+        # Of the profiles below `MIN_TRAFFIC_PART`, the one with the greatest quota claims most.
         large = {
             index
             for index, profile in self.active.items()
@@ -182,11 +188,11 @@
             self.priority = best
 
     def _typical_pace(self) -> float:
-        """Return the lower median, over all profiles, of completions over expected ones.
+        """Return the lower median, over all profiles, of completions over expected completions.
 
-        Guards against retries of clients (completions alone count) and against few requests (an
-        even part weighs `PRIOR_REQUESTS`). Linear in the active profiles, logarithmic in all of
-        them: paces of those that are not active ascend along `by_quota`, so that they are searched.
+        Guards against client retries (only completions count) and against small samples (the prior
+        weighs `PRIOR_REQUESTS`). Takes linear time in the active profiles (and a sort), logarithmic
+        in all: the relative rates of inactive profiles ascend along `by_quota` and are searched.
         """
         even = PRIOR_REQUESTS * self._context.settings.proxies
         observed_ns = self._observed_ns
--- a/mothstall/policy/zone_weights.py
+++ b/mothstall/policy/zone_weights.py
@@ -1,4 +1,4 @@
-"""The order in which groups and zones are searched: by common weights, else near first."""
+"""The order in which groups and zones are searched: by the plan's weights, else own zone first."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
 
-NEAR_FEE = 0.05  # the fee for crossing zones from which on our own zone always takes turns first
-MAX_REJECTIONS_DUE = 8.0  # rejections that a plan has due before any request is rejected for it
-MAX_TURNS_DUE = 2.0  # turns that a zone may be behind or ahead by
+NEAR_FEE = 0.05  # cross-zone fee from which the own zone always comes first
+MAX_REJECTIONS_DUE = 8.0  # accrued rejections from which any request may be rejected
+MAX_TURNS_DUE = 2.0  # bound of a zone's deficit or surplus of turns
 
-SearchOrder = list[tuple[int, set[int]]]  # a side and its zones; no zones: all of them
+SearchOrder = list[tuple[int, set[int]]]  # sides, each with its zones; an empty set means all zones
 
 
 class ZoneWeights:
-    """Weights by zone as decided in common, and the turns that each zone is behind by them.
+    """Weights by zone from the region's plan, and each zone's deficit of turns.
 
     Attributes:
-        weights: The weights that hold until their time is over.
-        follows_plan: The request in hand follows them.
+        weights: The current weights; they expire at `until_ns`.
+        follows_plan: Whether the current request follows the weights.
     """
 
     def __init__(self, context: Context, endpoints: EndpointList) -> None:
@@ -26,8 +26,8 @@
         self._endpoints = endpoints
         self.weights = io.ZoneWeights((), 0.0, 0.0, 0)
         self._turns_due = [0.0]  # by zone
-        self._follow_credit = 0.0  # part of a request gathered that has to follow the weights
-        self._near_credit = 0.0  # the same, to prefer the own zone
+        self._follow_credit = 0.0  # a request follows the weights at a credit of 1
+        self._near_credit = 0.0  # the same, for requests that prefer the own zone
         self._rejections_due = 0.0
         own_zone = context.settings.zone
         self._anywhere: list[SearchOrder] = []
@@ -41,39 +41,39 @@
 
     @property
     def follows_plan(self) -> bool:
-        """Whether the request in hand follows the weights."""
+        """Whether the current request follows the weights."""
         return self._follow_credit >= 1.0
 
     def update(self, weights: io.ZoneWeights) -> None:
-        """Take in new weights."""
+        """Replace the weights."""
         self.weights = weights
         self._turns_due = [0.0 for _ in weights.weights]
 
     def is_active(self) -> bool:
-        """Return whether weights hold now; what a backend itself shows goes first."""
+        """Return whether the weights apply now; a backend's own health overrides them."""
         return self.weights.strength > 0 and self._context.now_ns < self.weights.until_ns
 
     def excluded_zones(self) -> set[int]:
-        """Return zones without a part of the traffic, from which no members are chosen."""
+        """Return zones without traffic by the plan; no members are selected from them."""
         if not (self._endpoints.is_sparse and self.is_active()):
             return set()
         return {zone for zone, part in enumerate(self.weights.weights) if not part}
 
     def search_order(self, own_side: int) -> SearchOrder:
-        """Return sides and zones in the order in which a request of a side searches them."""
+        """Return sides and zones in the search order for a request of the given side."""
         self._follow_credit = (
             self._follow_credit % 1.0 + self.weights.strength if self.is_active() else 0.0
         )
         if self.follows_plan:
             return self._planned_order(own_side)
-        # Guards against hot zones: few members of many proxies cannot keep to a zone and cover all
-        # evenly.
+        # Guards against hot zones: the small subsets of many proxies cannot both stay in one zone
+        # and cover all backends evenly.
         near_part = min(1.0, self._context.settings.cross_zone_fee / NEAR_FEE)
         self._near_credit = self._near_credit % 1.0 + near_part * (not self._endpoints.is_sparse)
         return (self._near_first if self._near_credit >= 1.0 else self._anywhere)[own_side]
 
     def _planned_order(self, own_side: int) -> SearchOrder:
-        """The zone that is most behind its part, then all with a part, then all others."""
+        """Return the zone with the greatest deficit, then all zones with traffic, then the rest."""
         with_part = {zone for zone, part in enumerate(self.weights.weights) if part > 0}
         own_zone = self._context.settings.zone
         first = max(with_part, key=self._turns_due.__getitem__, default=own_zone)
@@ -83,7 +83,7 @@
         return order
 
     def count_attempt(self, zone: int) -> None:
-        """Take note of an attempt that goes to a zone."""
+        """Update the deficits after an attempt to a zone."""
         if zone >= len(self._turns_due) or not self.is_active():
             return
         parts = self.weights.weights
@@ -93,9 +93,9 @@
         self._turns_due[zone] = max(-MAX_TURNS_DUE, self._turns_due[zone] - sum(parts))
 
     def must_reject(self, *, exceeds_quota: bool) -> bool:
-        """Count a request; return whether it is rejected, as its part of the traffic fits nowhere.
+        """Count a request; return whether to reject it for traffic that exceeds all capacity.
 
-        What is beyond a quota, or of less than the greatest priority weight, goes first.
+        Requests beyond a quota, or below the greatest priority weight, are rejected first.
         """
         rejected_part = self.weights.rejected_part * self.is_active()
         self._rejections_due = min(MAX_REJECTIONS_DUE + 1.0, self._rejections_due + rejected_part)
--- a/mothstall/settings.py
+++ b/mothstall/settings.py
@@ -1,7 +1,7 @@
-"""The settings of an instance, from the simulator's text or nested JSON, in the interface's terms.
+"""Parses the settings of an instance, from the simulator's text or from nested JSON.
 
-This is the one place where the keys of the settings, which operators' pages name, meet the names of
-`interface.Settings`, and where each setting has its default.
+Only this module maps the keys of the settings, which are documented for operators, to the
+attributes of `interface.Settings`, and defines the defaults.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SettingsError(MothstallError, ValueError):
-    """A required key is missing or holds something unreadable; the message names it."""
+    """A setting is missing or invalid; the message names its key."""
 
 
 T = TypeVar("T")
@@ -26,16 +26,17 @@
 }
 _GROUPS = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 _FLAGS = {"true": True, "false": False}
-_SOURCES = {"answers": False, "probe": True, "none": False}  # whether load is told to probes alone
+# Whether load is reported only to probes, by the values of `telemetry.source`.
+_SOURCES = {"answers": False, "probe": True, "none": False}
 
 
 MAX_NUMBER = 1e12
 MAX_FEE = 1e6  # points
-MIN_TIMER_NS = 1_000_000  # shorter timers would keep the event loop to themselves
+MIN_TIMER_NS = 1_000_000  # shorter timers would monopolize the event loop
 
 
 def _number(text: str) -> float:
-    """Zero or more; ValueError also for what is no number, or infinite."""
+    """Parse a finite, non-negative number; ValueError for anything else."""
     number = float(text)
     if not 0 <= number < MAX_NUMBER:
         raise ValueError(text)
@@ -57,10 +58,10 @@
 
 
 def count(text: str) -> int:
-    """Return a whole number, zero or more.
+    """Parse a non-negative integer.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The text is not one.
     """
     number = int(text)
     if number < 0:
@@ -76,10 +77,10 @@
 
 
 def timer_ns(text: str) -> int:
-    """Return a duration in nanoseconds that a timer can be set by.
+    """Parse a duration in nanoseconds that is long enough for a timer.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The text is not one.
     """
     duration_ns = count(text)
     if duration_ns < MIN_TIMER_NS:
@@ -104,7 +105,7 @@
 
 
 def parse(text: str) -> Settings:
-    """Return the settings that `path=value` lines mean.
+    """Parse settings from `path=value` lines.
 
     Raises:
         SettingsError: A key is missing or unreadable.
@@ -118,7 +119,7 @@
 
 
 def from_json(tree: Mapping[str, object]) -> Settings:
-    """Return the settings that nested JSON means; it has the same names and units.
+    """Convert settings from nested JSON, which has the same names and units.
 
     Raises:
         SettingsError: A key is missing or unreadable.
@@ -139,7 +140,7 @@
             _flatten(f"{path}.{i}", item, into)
     elif isinstance(value, list):
         into[path] = ",".join(str(item).replace(",", "_") for item in value)
-        if not value:  # an empty list of objects looks the same
+        if not value:  # it may stand for an empty list of objects
             into[f"{path}.count"] = "0"
     elif isinstance(value, bool):
         into[path] = "true" if value else "false"
@@ -220,7 +221,7 @@
 def further_setting(
     tree: Mapping[str, object], path: str, default: int, read: Callable[[str], int] = count
 ) -> int:
-    """Return a whole number that only the proxy on sockets has use for."""
+    """Return an integer setting that only the network proxy uses, not the policy."""
     values: dict[str, str] = {}
     head = path.partition(".")[0]
     _flatten(head, tree.get(head), values)
--- a/mothstall/simhost/__init__.py
+++ b/mothstall/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts many instances of the decision module behind the simulator's wire."""
+"""Hosts instances of the policy behind the simulator's wire protocol."""
--- a/mothstall/simhost/__main__.py
+++ b/mothstall/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Standard input to standard output: a reply for every batch, until the input ends."""
+"""Reads batches from standard input and writes a reply for each to standard output."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; return the exit code."""
+    """Reply to batches until the input ends; return the exit code."""
     gc.freeze()
     gc.set_threshold(50_000, 50, 50)
     host = Host()
@@ -25,7 +25,7 @@
         print(f"mothstall: bad input: {why}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("mothstall: the reader of the replies went away", file=sys.stderr)
+        print("mothstall: standard output was closed by its reader", file=sys.stderr)
         return 3
     return 0
 
--- a/mothstall/simhost/host.py
+++ b/mothstall/simhost/host.py
@@ -1,4 +1,4 @@
-"""One table of instances; each sees its own events only."""
+"""The host of the instances; each instance receives only its own events."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def leavers_first(events: list[Event]) -> list[Event]:
-    """Return a batch in which a client's end goes before what would begin an attempt for it.
+    """Return a batch with the departures of clients first.
 
     Guards against a retry for a client that left in the batch in which its attempt ended, and
-    against a
-    first attempt for one that came and left in one batch: the policy does not see that one at all.
+    against a first attempt for a client that left in the batch of its arrival: both events of such
+    a client are removed.
     """
     left = {event.request for event in events if type(event) is ClientLeft}
     if not left:
@@ -32,17 +32,17 @@
 
 
 class Host:
-    """Many instances behind one pair of streams.
+    """Hosts many instances behind one pair of streams.
 
     Attributes:
-        instances: By the number that the simulator gave them.
+        instances: Balancers by the instance number of the simulator.
     """
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
 
     def batch(self, now: int, records: list[codec.Record]) -> bytes:
-        """Return the reply frame for one batch; an instance that breaks is reported and dropped."""
+        """Return the reply frame for a batch; an instance that fails is reported and dropped."""
         faults: list[tuple[int, str]] = []
         pending = self._take_in(records, faults)
         actions: list[tuple[int, Action]] = []
@@ -50,7 +50,7 @@
             try:
                 made = self.instances[number].handle(now, leavers_first(events))
                 actions.extend((number, action) for action in made)
-            except Exception as why:  # noqa: BLE001 # a broken instance must not take others with it
+            except Exception as why:  # noqa: BLE001 # a failed instance must not affect others
                 place = traceback.extract_tb(why.__traceback__)[-1]
                 fault = f"{type(why).__name__}: {why} at {place.name}:{place.lineno}"
                 faults.append((number, fault))
@@ -60,7 +60,7 @@
     def _take_in(
         self, records: list[codec.Record], faults: list[tuple[int, str]]
     ) -> dict[int, list[Event]]:
-        """Start and end instances; return the events of each that is left, in order."""
+        """Start and end instances; return the events of each remaining one, in order."""
         pending: dict[int, list[Event]] = {}
         for number, event in records:
             if isinstance(event, codec.InstanceEnded):
--- a/mothstall/simwire/__init__.py
+++ b/mothstall/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: its frames (`codec`)."""
+"""The simulator's wire protocol (`codec`)."""
--- a/mothstall/simwire/codec.py
+++ b/mothstall/simwire/codec.py
@@ -1,6 +1,6 @@
-"""Frames of the simulator's wire: batches of events in, replies of actions out.
+"""Frames of the simulator's wire protocol: batches of events in, replies with actions out.
 
-A record carries no length of its own, so an unknown code cannot be skipped: it is an error.
+Records have no length field, so that an unknown code cannot be skipped and is an error.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
 
 
 class WireError(MothstallError):
-    """The input is not what the wire allows; the message says where."""
+    """The input violates the protocol; the message describes where."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """A new instance begins.
+    """A new instance starts.
 
     Attributes:
         seed: Its only source of randomness.
@@ -60,12 +60,12 @@
 
 @dataclass(slots=True)
 class InstanceEnded:
-    """An instance ends, with all that it knew."""
+    """An instance ends, and its state is discarded."""
 
 
-# What a record holds; None: a message of another instance, which is skipped.
+# Content of a record; None: a message from another instance, which is skipped.
 RecordEvent = Event | InstanceStarted | InstanceEnded | None
-# The instance that a record is for, and what it holds.
+# The instance that a record belongs to, and its content.
 Record = tuple[int, RecordEvent]
 
 
@@ -113,7 +113,7 @@
 _HEALTH = {int(h): h for h in Health}
 _SCOPE = {int(s): s for s in UpdateScope}
 
-# Layouts of what follows the code of a record; strings and lists follow their lengths.
+# Layouts of record fields after the code; strings and lists are preceded by their lengths.
 _U16 = struct.Struct(">H")
 _U32 = struct.Struct(">I")
 _CLOCK = struct.Struct(">Q")
@@ -127,7 +127,7 @@
 _ATTEMPT_ENDED = struct.Struct(">HQBIHQBB")
 _REQUEST_ARRIVED = struct.Struct(">HQBHQQQB")
 _LOADS = [struct.Struct(f">{count}f") for count in range(256)]
-_HAS_COST = 1  # bits of the last byte of an arrived request
+_HAS_COST = 1  # flag bits in the last byte of a REQUEST_ARRIVED record
 _IS_RETRY = 2
 
 _ABOUT_BACKEND = struct.Struct(">BHI")
@@ -139,12 +139,12 @@
 _CANCEL_ATTEMPT = struct.Struct(">BHQB")
 _TEXT = struct.Struct(">BHH")
 
-MIN_FRAME_BYTES = 8  # a batch holds its clock at least
+MIN_FRAME_BYTES = 8  # a batch contains at least its clock
 MAX_TEXT_BYTES = 60_000
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """Return the next frame's body, or None where the input ends between two frames."""
+    """Return the next frame's body, or None if the input ends between two frames."""
     head = _read_upto(stream, 4)
     if not head:
         return None
@@ -178,10 +178,10 @@
 
 
 def decode(body: bytes) -> tuple[int, list[Record]]:
-    """Return the clock and the records of a batch's body, in their order.
+    """Return the clock and the records of a batch's body, in order.
 
     Raises:
-        WireError: A record is cut short, or has a code or a value that the wire does not know.
+        WireError: A record is truncated or has an unknown code or value.
     """
     try:
         return _decode(body)
@@ -203,8 +203,8 @@
     return now, records
 
 
-# Each decoder takes a body and where a record's fields begin, and returns the instance, what the
-# record holds, and where the next record begins.
+# A decoder takes a body and the offset of a record's fields, and returns the instance, the content
+# of the record, and the offset of the next record.
 _Decoded = tuple[int, RecordEvent, int]
 
 
@@ -285,7 +285,7 @@
 
 
 def _peer_message(body: bytes, at: int) -> _Decoded:
-    """Instances share nothing: a message of another one is skipped."""
+    """Skip a message from another instance: instances share nothing."""
     instance, _sender, length = _PEER_MESSAGE.unpack_from(body, at)
     end = at + _PEER_MESSAGE.size + length
     if end > len(body):
@@ -318,8 +318,8 @@
     """Return a reply frame.
 
     Args:
-        actions: The instance that each action is of, and the action, in order.
-        faults: Instances that broke, and why.
+        actions: Pairs of an instance and its action, in order.
+        faults: Pairs of a failed instance and the error message.
     """
     records = [_ENCODERS[type(action)](instance, action) for instance, action in actions]
     records += [_encode_text(ActionCode.FAULT, instance, text) for instance, text in faults]
