--- a/mothstall/config.py
+++ b/mothstall/config.py
@@ -218,10 +218,10 @@
     raw = _value(tree, "settings", dict)
     try:
         parsed = settings.from_json(raw)
-        idle_ns = settings.further_setting(
+        idle_ns = settings.integer_setting(
             raw, "limits.keepalive-ns", DEFAULT_IDLE_NS, settings.timer_ns
         )
-        slack_ns = settings.further_setting(
+        slack_ns = settings.integer_setting(
             raw, "contract.answer-slack-ns", DEFAULT_ANSWER_SLACK_NS
         )
     except settings.SettingsError as why:
--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -110,7 +110,7 @@
 
     def memory(self) -> io.InheritedState:
         """Return what a process that takes over has to know."""
-        return self._balancer.memory()
+        return self._balancer.export_state()
 
     def stop_by(self, latest_ns: int) -> None:
         """Answer all that is open, and all that still comes, by `latest_ns`.
--- a/mothstall/policy/admission.py
+++ b/mothstall/policy/admission.py
@@ -33,12 +33,12 @@
         settings = self._context.settings
         if not settings.tenants:
             return profile.quota < self._max_priority_weight
-        part = max(QUOTA_SLACK * self._profiles.traffic_part, 1.0 / settings.proxies)
-        rate = part * profile.quota
+        fraction = max(QUOTA_SLACK * self._profiles.traffic_fraction, 1.0 / settings.proxies)
+        rate = fraction * profile.quota
         now_ns = self._context.now_ns
-        gathered = profile.quota_tokens + (now_ns - profile.quota_refilled_at_ns) * rate / NS
+        refilled = profile.quota_tokens + (now_ns - profile.quota_refilled_at_ns) * rate / NS
         max_tokens = max(1.0 + BURST_TOKENS * self._endpoints.is_sparse, rate)
-        profile.quota_tokens = min(max_tokens, gathered)
+        profile.quota_tokens = min(max_tokens, refilled)
         profile.quota_refilled_at_ns = now_ns
         if profile.quota_tokens < 1.0:
             return True
--- a/mothstall/policy/backend.py
+++ b/mothstall/policy/backend.py
@@ -16,7 +16,7 @@
 NOT_MEASURED = -1.0  # value of a throughput or a load report that does not exist yet
 
 
-def usable_weight(weight: float) -> float:
+def clamped_weight(weight: float) -> float:
     """Return a listed weight clamped to the allowed range; 1 if it is not positive or NaN.
 
     Guards against listed weights so small that the backend would never get a turn.
@@ -24,7 +24,7 @@
     return min(max(weight, MIN_WEIGHT), MAX_WEIGHT) if weight > 0 else 1.0
 
 
-class SlotMark(NamedTuple):
+class SlotRecord(NamedTuple):
     """The arrivals of one slot at one backend."""
 
     end_ns: int
@@ -42,7 +42,7 @@
         measured: X of the previous slot, in responses per second.
         utilization: U of the previous slot, 0 to 1.
         burstiness: b (2) over the observation time, 0 to 1.
-        slot_marks: The slots within the observation time.
+        slot_records: The slots within the observation time.
         arrivals: Attempts sent in this slot.
         completions: Successful responses in this slot.
         busy_ns: Time in this slot with attempts in flight, up to `Backend.busy_since_ns`.
@@ -58,7 +58,7 @@
         "filtered",
         "measured",
         "reported_utilization",
-        "slot_marks",
+        "slot_records",
         "utilization",
     )
 
@@ -68,7 +68,7 @@
         self.measured = 0.0
         self.utilization = 0.0
         self.burstiness = 0.0
-        self.slot_marks: list[SlotMark] = []
+        self.slot_records: list[SlotRecord] = []
         self.arrivals = 0
         self.completions = 0
         self.busy_ns = 0
@@ -85,18 +85,18 @@
 
     Attributes:
         limit: The concurrency limit, in attempts.
-        cut_at_ns: When the limit was last reduced; only attempts sent later may reduce it again.
-        resting_until_ns: End of the backoff after a rejection; no attempt is sent before.
-        rest_multiplier: Backoff multiplier; doubles with each rejection, 1 after a success.
+        reduced_at_ns: When the limit was last reduced; only later attempts may reduce it again.
+        backoff_until_ns: End of the backoff after a rejection; no attempt is sent before.
+        backoff_multiplier: Backoff multiplier; doubles with each rejection, 1 after a success.
     """
 
-    __slots__ = ("cut_at_ns", "limit", "rest_multiplier", "resting_until_ns")
+    __slots__ = ("backoff_multiplier", "backoff_until_ns", "limit", "reduced_at_ns")
 
     def __init__(self, limit: float) -> None:
         self.limit = limit
-        self.cut_at_ns = 0
-        self.resting_until_ns = 0
-        self.rest_multiplier = 1.0
+        self.reduced_at_ns = 0
+        self.backoff_until_ns = 0
+        self.backoff_multiplier = 1.0
 
 
 class OutlierState:
@@ -136,12 +136,12 @@
 
 
 class QueueReport:
-    """The queue that a load probe reported last; changed by `load_probes`.
+    """The queue length that a load probe last reported; changed by `load_probes`.
 
     Attributes:
-        length: Requests waiting there, scaled to the greatest listed weight.
-        reported_at_ns: Below 0: never.
-        is_requested: A load probe is in flight.
+        length: Queued requests, scaled to the greatest listed weight.
+        reported_at_ns: Time of the report; negative: none yet.
+        is_requested: Whether a load probe is in flight.
     """
 
     __slots__ = ("is_requested", "length", "reported_at_ns")
@@ -201,7 +201,7 @@
         self.zone = entry.zone
         self.cell = entry.cell
         self.machine_kind = entry.kind
-        self.weight = usable_weight(entry.weight)
+        self.weight = clamped_weight(entry.weight)
         self.started_ns = entry.started_ns
         self.ring_position = (hashing.stable_hash(entry.backend), entry.backend)
         self.turn_credit = 1.0
--- a/mothstall/policy/balancer.py
+++ b/mothstall/policy/balancer.py
@@ -13,7 +13,7 @@
 from mothstall.policy.concurrency import ConcurrencyLimits
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
-from mothstall.policy.latency import ClassBaseline, LatencyModel, fade_slowness
+from mothstall.policy.latency import ClassBaseline, LatencyModel, decay_slowness
 from mothstall.policy.load_probes import LoadProbes
 from mothstall.policy.outliers import FAILURE_SCORE, OutlierDetector
 from mothstall.policy.polling import DiscoveryPolling
@@ -118,14 +118,14 @@
             io.RequestArrived: self.requests.arrive,
             io.ClientLeft: self.requests.client_left,
             io.ResponseStarted: self.requests.start_response,
-            io.AttemptAwaitsBody: self.requests.hold_up,
+            io.AttemptAwaitsBody: self.requests.await_body,
             io.AttemptWritten: self.requests.finish_writing,
-            io.LoadProbeEnded: self.load_probes.ended,
+            io.LoadProbeEnded: self.load_probes.probe_ended,
             io.EndpointUpdate: self._on_endpoints,
             io.TimerFired: self._on_timer,
             io.InheritedState: self._on_predecessor,
             io.SuccessorChanged: self._on_successor,
-            io.ResponseCut: self._on_answer_cut,
+            io.ResponseCut: self._on_response_cut,
             io.HealthHint: self._on_health_hint,
             io.ZoneWeights: self._on_zone_weights,
         }
@@ -155,7 +155,7 @@
         """Return the number of listed backends that are ejected or half-open; changes nothing."""
         return self.outliers.ejected_count()
 
-    def memory(self) -> io.InheritedState:
+    def export_state(self) -> io.InheritedState:
         """Return the state that a successor process can start from; changes nothing."""
         known = [
             io.InheritedBackend(
@@ -193,7 +193,7 @@
         """The paper's computation phase, at the end of a slot."""
         span_ns = self.groups.measure_members()
         for backend in self.groups.members:
-            fade_slowness(backend, span_ns)
+            decay_slowness(backend, span_ns)
         highest, lowest = self.groups.burstiness_range()
         self.update_rates(span_ns)
         self.subset.refresh()
@@ -220,17 +220,17 @@
         if update.scope != UpdateScope.CACHED:
             self.polling.succeeded()
         elif not update.entries:
-            self.polling.started_empty()
+            self.polling.started_without_list()
         if update.version < self.endpoints.version:
             return  # an older update must not restore a removed backend
         self.endpoints.version = update.version
         if update.scope != UpdateScope.DELTA:
-            for backend in self.endpoints.not_named(update.entries):
+            for backend in self.endpoints.missing_from(update.entries):
                 self._remove(backend)
         is_first = not self.endpoints.by_id
         is_small = self.endpoints.is_small_change(update)
         for entry in update.entries:
-            self._take_in(entry)
+            self._apply_entry(entry)
             if is_small:
                 self.endpoints.place_on_ring(entry.backend)
         self.endpoints.finish_update(is_ring_sorted=is_small)
@@ -239,7 +239,7 @@
             self.retry_budget.begin(self.context, len(self.endpoints))
             self.limits.capacity = self.limits.initial_capacity()
 
-    def _take_in(self, entry: io.Endpoint) -> None:
+    def _apply_entry(self, entry: io.Endpoint) -> None:
         listed = self.endpoints.by_id.get(entry.backend)
         is_ready = entry.health == Health.READY
         if listed and is_ready and listed.started_ns == entry.started_ns:
@@ -266,7 +266,7 @@
 
     # Information from other processes
 
-    def _on_answer_cut(self, event: io.ResponseCut) -> None:
+    def _on_response_cut(self, event: io.ResponseCut) -> None:
         if backend := self.endpoints.by_id.get(event.backend):
             self.outliers.count_failure(backend, FAILURE_SCORE)
 
@@ -287,7 +287,7 @@
         self.latency.usual_ns = event.usual_latency_ns
         self.slow_start.warm_rate = event.warm_rate
         self.slow_start.recent_warm_rate = event.warm_rate
-        self.limits.is_opening = False
+        self.limits.is_ramping_up = False
         self.limits.capacity = max(self.limits.capacity, event.capacity)
         self.retry_budget.tokens = min(self.retry_budget.max_tokens, event.retry_tokens)
         if len(event.baselines) == len(self.latency.baselines):
--- a/mothstall/policy/concurrency.py
+++ b/mothstall/policy/concurrency.py
@@ -12,24 +12,24 @@
 from mothstall.policy.backend import INITIAL_LIMIT, Backend
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
-from mothstall.policy.latency import SHARED_ENOUGH, LatencyModel
+from mothstall.policy.latency import MIN_SHARED_FRACTION, LatencyModel
 from mothstall.policy.outliers import MAX_EJECTION_NS, OutlierDetector
 from mothstall.policy.priority_groups import PriorityGroups
 from mothstall.policy.request import Attempt, Request
 from mothstall.policy.slow_start import SlowStart
 
-LIMIT_CUT = 0.8  # a late response multiplies its backend's limit by this
-CAPACITY_LOSS = 0.2  # decrease, in attempts, for each response that shows congestion
-CAPACITY_GAIN = 0.1  # increase for each other one; stable when a third shows congestion
-SPARE_LOSS = 0.3  # the same for `spare_capacity`
-SPARE_GAIN = 0.1
-OPENING_GAIN = 1.0  # increase of both capacities until the first congestion
-USED_RATIO = 2.0  # capacity grows up to this multiple of the attempts in flight
-TOO_LATE_FACTOR = 4.0  # weight of a congested response that missed its objective
-CONGESTED_AT = 1 / 3  # fraction of congested responses at which the capacity is stable
+LIMIT_DECREASE = 0.8  # a late response multiplies its backend's limit by this
+CAPACITY_DECREASE = 0.2  # decrease, in attempts, for each response that shows congestion
+CAPACITY_INCREASE = 0.1  # increase for each other one; stable when a third shows congestion
+SPARE_DECREASE = 0.3  # the same for `spare_capacity`
+SPARE_INCREASE = 0.1
+RAMP_UP_INCREASE = 1.0  # increase of both capacities until the first congestion
+MAX_CAPACITY_RATIO = 2.0  # capacity grows up to this multiple of the attempts in flight
+MISSED_OBJECTIVE_FACTOR = 4.0  # weight of a congested outcome after the objective
+STABLE_CONGESTION = 1 / 3  # fraction of congested responses at which the capacity is stable
 MIN_SPARE_RATIO = 0.5  # minimum spare capacity of all proxies together, per backend
-MAX_REST_MULTIPLIER = 32.0  # upper bound of the exponential backoff
-MIN_REST = 0.5  # first backoff: this to `MIN_REST + 1` times the usual latency
+MAX_BACKOFF_MULTIPLIER = 32.0  # upper bound; the multiplier doubles with each rejection
+MIN_BACKOFF = 0.5  # first backoff: this to `MIN_BACKOFF + 1` times the usual latency
 
 
 class ConcurrencyLimits:
@@ -39,7 +39,7 @@
         in_flight: Number of attempts in flight, without those that wait for the request body.
         capacity: Upper bound of `in_flight`.
         spare_capacity: The same bound for requests that exceed a quota.
-        is_opening: No response has shown congestion yet, so that capacity grows fast.
+        is_ramping_up: No response has shown congestion yet, so that capacity grows fast.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.in_flight = 0
         self.capacity = 0.0
         self.spare_capacity = math.inf
-        self.is_opening = True
+        self.is_ramping_up = True
 
     def initial_capacity(self) -> float:
         """Return the first capacity: a few attempts per backend, divided among all proxies."""
@@ -72,20 +72,23 @@
         self.capacity *= 1.0 + 1.0 / max(1, len(self._endpoints))
 
     def shrink_by_backend(self) -> None:
-        """Guards against the remaining backends receiving the load of the complete fleet."""
-        left = self.capacity * (1.0 - 1.0 / len(self._endpoints))
-        self.capacity = max(self._endpoints.backends_per_proxy, left)
+        """Lower the capacity for a removed backend.
+
+        Guards against the remaining backends receiving the load of the complete fleet.
+        """
+        remaining = self.capacity * (1.0 - 1.0 / len(self._endpoints))
+        self.capacity = max(self._endpoints.backends_per_proxy, remaining)
 
     # Attempts
 
-    def enter(self, backend: Backend) -> None:
+    def add_in_flight(self, backend: Backend) -> None:
         """Count an attempt as in flight."""
         if not backend.in_flight:
             backend.busy_since_ns = self._context.now_ns
         backend.in_flight += 1
         self.in_flight += 1
 
-    def leave(self, backend: Backend) -> None:
+    def remove_in_flight(self, backend: Backend) -> None:
         """Count an attempt as no longer in flight."""
         backend.in_flight -= 1
         self.in_flight -= 1
@@ -95,7 +98,7 @@
 
     # Attempt outcomes
 
-    def learn(
+    def record_outcome(
         self,
         attempt: Attempt,
         request: Request,
@@ -117,19 +120,19 @@
         state = backend.concurrency
         used = backend.in_flight + 1.0
         weight *= self._latency.shared_lateness[request.class_index]
-        if self._tells_of_fleet(attempt):
+        if self._is_fleet_evidence(attempt):
             age_ns = self._context.now_ns - attempt.sent_ns
-            factor = TOO_LATE_FACTOR if age_ns > request.objective_ns else 1.0
-            self.learn_fleet(is_late=is_late, is_congested=is_congested, weight=weight * factor)
+            factor = MISSED_OBJECTIVE_FACTOR if age_ns > request.objective_ns else 1.0
+            self.update_capacity(is_late=is_late, is_congested=is_congested, weight=weight * factor)
         if is_late:
-            is_new = attempt.sent_ns >= state.cut_at_ns
-            if is_new and used > state.limit / 2 and weight >= SHARED_ENOUGH:
-                state.limit = max(1.0, state.limit * LIMIT_CUT)
-                state.cut_at_ns = self._context.now_ns
+            is_new = attempt.sent_ns >= state.reduced_at_ns
+            if is_new and used > state.limit / 2 and weight >= MIN_SHARED_FRACTION:
+                state.limit = max(1.0, state.limit * LIMIT_DECREASE)
+                state.reduced_at_ns = self._context.now_ns
         elif used > state.limit - 1:
             state.limit += 1.0 / state.limit
 
-    def _tells_of_fleet(self, attempt: Attempt) -> bool:
+    def _is_fleet_evidence(self, attempt: Attempt) -> bool:
         """Whether an outcome is evidence about the fleet.
 
         It is not at a warming backend, nor at an unhealthy one unless at least half as many
@@ -143,7 +146,7 @@
         )
         return not is_unhealthy or 2 * self._outliers.unhealthy_count >= len(self._groups.members)
 
-    def learn_fleet(self, *, is_late: bool, is_congested: bool, weight: float) -> None:
+    def update_capacity(self, *, is_late: bool, is_congested: bool, weight: float) -> None:
         """Update the capacity and the spare capacity."""
         settings = self._context.settings
         # The capacities of all proxies must add up to one attempt per backend at least, or
@@ -152,25 +155,25 @@
         step = math.sqrt(self._endpoints.backends_per_proxy)
         if settings.tenants:
             # Requests beyond a tenant's quota have almost no value: mere lateness restricts them.
-            gives_way = is_late
-            grows_fast = self.is_opening and self._endpoints.is_sparse
+            is_reduced = is_late
+            grows_fast = self.is_ramping_up and self._endpoints.is_sparse
         else:
-            gives_way = is_congested
-            grows_fast = self.is_opening
-        if gives_way:
-            change = -SPARE_LOSS * min(1.0, weight)
+            is_reduced = is_congested
+            grows_fast = self.is_ramping_up
+        if is_reduced:
+            change = -SPARE_DECREASE * min(1.0, weight)
         else:
-            change = OPENING_GAIN if grows_fast else SPARE_GAIN
+            change = RAMP_UP_INCREASE if grows_fast else SPARE_INCREASE
         spare = min(self.spare_capacity, self.capacity) + change * step
         self.spare_capacity = max(least * MIN_SPARE_RATIO, spare)
         if is_congested:
-            left = self.capacity - weight * step * CAPACITY_LOSS
-            self.capacity = max(self._endpoints.backends_per_proxy, least, left)
-            self.is_opening = False
-        elif self.capacity < USED_RATIO * (self.in_flight + 1) + self.initial_capacity():
-            self.capacity += step * (OPENING_GAIN if self.is_opening else CAPACITY_GAIN)
+            remaining = self.capacity - weight * step * CAPACITY_DECREASE
+            self.capacity = max(self._endpoints.backends_per_proxy, least, remaining)
+            self.is_ramping_up = False
+        elif self.capacity < MAX_CAPACITY_RATIO * (self.in_flight + 1) + self.initial_capacity():
+            self.capacity += step * (RAMP_UP_INCREASE if self.is_ramping_up else CAPACITY_INCREASE)
 
-    def learn_rejection(self, backend: Backend) -> None:
+    def record_rejection(self, backend: Backend) -> None:
         """Back off from a backend that rejected an attempt unread.
 
         Guards against storms of rejections: a full backend gets no attempt for about one service
@@ -178,16 +181,16 @@
         """
         context = self._context
         state = backend.concurrency
-        state.limit = max(1.0, min(state.limit, backend.in_flight + 1.0) * LIMIT_CUT)
+        state.limit = max(1.0, min(state.limit, backend.in_flight + 1.0) * LIMIT_DECREASE)
         usual_ns = max(self._latency.usual_ns, context.settings.tick_ns)
-        rest_ns = (MIN_REST + context.rng.random()) * state.rest_multiplier * usual_ns
-        state.resting_until_ns = context.now_ns + min(int(rest_ns), MAX_EJECTION_NS)
-        state.rest_multiplier = min(2 * state.rest_multiplier, MAX_REST_MULTIPLIER)
+        backoff_ns = (MIN_BACKOFF + context.rng.random()) * state.backoff_multiplier * usual_ns
+        state.backoff_until_ns = context.now_ns + min(int(backoff_ns), MAX_EJECTION_NS)
+        state.backoff_multiplier = min(2 * state.backoff_multiplier, MAX_BACKOFF_MULTIPLIER)
 
-    def silence_weight(self) -> float:
+    def no_response_weight(self) -> float:
         """Return the confidence that a missing response shows congestion.
 
         Guards against overload that shows only as timeouts, and against lost responses that look
         like overload.
         """
-        return min(1.0, self._latency.congestion / CONGESTED_AT) ** 2
+        return min(1.0, self._latency.congestion / STABLE_CONGESTION) ** 2
--- a/mothstall/policy/endpoints.py
+++ b/mothstall/policy/endpoints.py
@@ -7,7 +7,7 @@
 
 from mothstall import interface as io
 from mothstall.policy import hashing
-from mothstall.policy.backend import Backend, usable_weight
+from mothstall.policy.backend import Backend, clamped_weight
 from mothstall.policy.context import Context
 
 SPARSE_BELOW = 2.0  # backends per proxy below which a proxy has too few responses from each
@@ -45,7 +45,7 @@
         """Return whether this backend is listed, and has not restarted since."""
         return self.by_id.get(backend.id) is backend
 
-    def not_named(self, entries: list[io.Endpoint]) -> list[Backend]:
+    def missing_from(self, entries: list[io.Endpoint]) -> list[Backend]:
         """Return the backends that are missing from a complete list."""
         named = {entry.backend for entry in entries}
         return [backend for backend in self.by_id.values() if backend.id not in named]
@@ -71,7 +71,7 @@
         self.weights[backend.weight] -= 1
         backend.zone = entry.zone
         backend.cell = entry.cell
-        backend.weight = usable_weight(entry.weight)
+        backend.weight = clamped_weight(entry.weight)
         self.weights[backend.weight] += 1
 
     def place_on_ring(self, backend_id: int) -> None:
--- a/mothstall/policy/latency.py
+++ b/mothstall/policy/latency.py
@@ -17,7 +17,7 @@
 
 USUAL_GAIN = 0.05  # smoothing factor of the usual latency, per response
 COST_GAIN = 0.02  # smoothing factor of the regression on cost and of the ratios by machine kind
-LATE = 0.45  # a response is late above this fraction of its objective
+LATE_FRACTION = 0.45  # a response is late above this fraction of its objective
 MAX_BASELINE_RATIO = 3.0  # a response is late above this multiple of its class's baseline
 CONGESTED_RATIO = 1.6  # no response below this multiple of its class's baseline shows congestion
 IDLE_IN_FLIGHT = 2.0  # attempts per backend, of all proxies, up to which the fleet is idle
@@ -25,9 +25,9 @@
 BASELINE_RISE = 0.002  # relative rise of the lowest mean per second
 MIN_SAMPLES = 10  # minimum number of responses behind a class's recent latency
 SHARED_TOLERANCE = 0.2  # tolerated difference between classes, as a fraction of the usual latency
-SHARED_ENOUGH = 0.5  # below this shared fraction, lateness or errors are specific to their class
+MIN_SHARED_FRACTION = 0.5  # lateness or errors shared to less than this belong to one class
 SLOWNESS_GAIN = 0.3  # smoothing factor of a backend's slowness, per response
-SLOWNESS_FADE_NS = 8 * NS  # time constant of the decay of slowness
+SLOWNESS_DECAY_NS = 8 * NS  # time constant of the decay of slowness
 MAX_SLOWNESS = 4.0  # times the baseline; also the value of a timeout or a rejection
 INITIAL_NOISE = 0.25  # initial relative deviation of a single response
 MIN_KIND_RATIO = 0.1  # lower bound of the ratio of a machine kind, which is divided by
@@ -77,14 +77,12 @@
         self.kind_ratios: dict[int, float] = {}
         self._samples = [0] * count
         self._lowest_recent_ns = [0.0] * count
-        self._error_rates = [
-            0.0
-        ] * count  # by class, the fraction of recent responses that are errors
+        self._error_rates = [0.0] * count  # by class, the recent fraction of errors
         self._mean_costs = [0.0] * count  # by class, as declared
         self._cost_variance = 0.0
         self._cost_covariance = 0.0  # of cost and latency
 
-    def count_cost(self, class_index: int, cost_ns: int) -> None:
+    def record_cost(self, class_index: int, cost_ns: int) -> None:
         """Record the cost that a request declares."""
         mean = self._mean_costs[class_index]
         if mean:
@@ -106,7 +104,7 @@
             baseline.lowest_ns *= rise
         self._lowest_recent_ns = [lowest * rise for lowest in self._lowest_recent_ns]
 
-    def compare_classes(self, class_index: int, latency_ns: int) -> None:
+    def update_shared_lateness(self, class_index: int, latency_ns: int) -> None:
         """Update the fraction of each class's lateness that all classes share, as in congestion.
 
         Guards against a class that is slow or gets no response at every backend, and so looks like
@@ -131,17 +129,17 @@
             (least + tolerance) / (own + tolerance) if own >= 0 else 1.0 for own in excess
         ]
 
-    def shared_error_part(self, class_index: int, error: float) -> float:
+    def shared_error_fraction(self, class_index: int, error: float) -> float:
         """Record an error (1) or a success (0); return the fraction of errors that classes share.
 
         Guards against a class that fails at every backend and would eject them one by one.
         """
         self._error_rates[class_index] += USUAL_GAIN * (error - self._error_rates[class_index])
         least = min(self._error_rates) + SHARED_TOLERANCE
-        part = least / (self._error_rates[class_index] + SHARED_TOLERANCE)
-        return part if part < SHARED_ENOUGH else 1.0
+        fraction = least / (self._error_rates[class_index] + SHARED_TOLERANCE)
+        return fraction if fraction < MIN_SHARED_FRACTION else 1.0
 
-    def at_mean_cost(self, request: Request, latency_ns: int) -> float:
+    def latency_at_mean_cost(self, request: Request, latency_ns: int) -> float:
         """Return the latency adjusted to the mean cost of the request's class.
 
         Guards against expensive requests that look like congestion, where costs are declared.
@@ -155,8 +153,8 @@
             self._cost_variance += excess * excess
         # Until measured, latency is assumed to grow by the declared cost: a slope of 1.
         self._cost_covariance = self._cost_covariance or self._cost_variance
-        off_mean_ns = latency_ns - self.recent_ns[request.class_index]
-        self._cost_covariance += COST_GAIN * (excess * off_mean_ns - self._cost_covariance)
+        deviation_ns = latency_ns - self.recent_ns[request.class_index]
+        self._cost_covariance += COST_GAIN * (excess * deviation_ns - self._cost_covariance)
         slope = 1.0
         if self._cost_variance:
             slope = max(0.0, self._cost_covariance / self._cost_variance)
@@ -179,7 +177,7 @@
         lowest_ns = lowest_ns or baseline.mean_ns
         if self._endpoints.is_sparse:
             # Guards against congestion since the start, whose latencies are no baseline.
-            return min(lowest_ns, LATE * request.objective_ns)
+            return min(lowest_ns, LATE_FRACTION * request.objective_ns)
         return lowest_ns
 
     def update_slowness(self, backend: Backend, latency_ns: float, baseline_ns: float) -> None:
@@ -200,11 +198,11 @@
         self.congestion += USUAL_GAIN * (is_congested - self.congestion)
 
 
-def slow_down(backend: Backend) -> None:
+def record_max_slowness(backend: Backend) -> None:
     """Count a timeout or a rejection as a response of the greatest slowness."""
     backend.slowness += SLOWNESS_GAIN * (MAX_SLOWNESS - backend.slowness)
 
 
-def fade_slowness(backend: Backend, span_ns: int) -> None:
+def decay_slowness(backend: Backend, span_ns: int) -> None:
     """Decay slowness over a slot of `span_ns`."""
-    backend.slowness = 1.0 + (backend.slowness - 1.0) * math.exp(-span_ns / SLOWNESS_FADE_NS)
+    backend.slowness = 1.0 + (backend.slowness - 1.0) * math.exp(-span_ns / SLOWNESS_DECAY_NS)
--- a/mothstall/policy/load_probes.py
+++ b/mothstall/policy/load_probes.py
@@ -12,7 +12,7 @@
 
 MAX_PROBE_POINTS = 0.015  # cost budget of probes per attempt, in points of service
 MIN_INTERVAL_NS = NS // 20  # minimum time between two probes of a backend
-REPORT_FADE_NS = 2 * NS  # age at which a report has no weight left
+REPORT_MAX_AGE_NS = 2 * NS  # age at which a report has no weight left
 LONG_QUEUE_RATIO = 0.7  # of the mean reported queue, plus the offset: longer queues miss turns
 LONG_QUEUE_OFFSET = 0.5
 MAX_QUEUE = 1e6  # reports of longer queues are ignored
@@ -34,7 +34,7 @@
         self._credit = 0.0
         self._mean_queue = 0.0
 
-    def reported(self, load: tuple[float, ...], name: str) -> float:
+    def load_value(self, load: tuple[float, ...], name: str) -> float:
         """Return the named value of a load report, or `NOT_MEASURED` if it has none."""
         names = self._context.settings.load_names
         if name in names and len(load) == len(names):
@@ -62,14 +62,14 @@
             return False
         return self._context.now_ns - report.reported_at_ns >= MIN_INTERVAL_NS
 
-    def ended(self, event: io.LoadProbeEnded) -> None:
+    def probe_ended(self, event: io.LoadProbeEnded) -> None:
         """Record the result of a probe."""
         backend = self._endpoints.by_id.get(event.backend)
         if backend is None:
             return
         report = backend.queue_report
         report.is_requested = False
-        length = self.reported(event.load, "queue")
+        length = self.load_value(event.load, "queue")
         if event.result == AttemptResult.OK and 0 <= length < MAX_QUEUE:
             report.length = length * self._endpoints.max_weight / backend.weight
             report.reported_at_ns = self._context.now_ns
@@ -82,5 +82,5 @@
         """
         report = backend.queue_report
         age_ns = self._context.now_ns - report.reported_at_ns
-        freshness = max(0.0, 1.0 - age_ns / REPORT_FADE_NS)
+        freshness = max(0.0, 1.0 - age_ns / REPORT_MAX_AGE_NS)
         return report.length * freshness > LONG_QUEUE_RATIO * self._mean_queue + LONG_QUEUE_OFFSET
--- a/mothstall/policy/outliers.py
+++ b/mothstall/policy/outliers.py
@@ -12,9 +12,9 @@
 EJECTION_SCORE = 2.0  # failure score that ejects; one failed connect reaches it
 FAILURE_SCORE = 1.0  # score of a reset connection or a response cut short
 SHARED_ERROR_FACTOR = 0.7  # score of an error response, which weighs less than a reset
-OWN_SILENCE_SCORE = 0.4  # score of a timeout of a class that gets no response anywhere
-KEPT_AFTER_SUCCESS = 0.5  # factor of the failure score after a successful response
-NO_FAILURE_BELOW = 0.2  # a successful response resets scores up to this to 0
+CLASS_TIMEOUT_SCORE = 0.4  # score of a timeout of a class that gets no response anywhere
+SUCCESS_FACTOR = 0.5  # factor of the failure score after a successful response
+NEGLIGIBLE_SCORE = 0.2  # a successful response resets scores up to this to 0
 MAX_HINTED_SCORE = EJECTION_SCORE / 2  # upper bound of the score that health hints alone can reach
 MAX_EJECTION_NS = 8 * NS  # upper bound of the doubling ejection time
 MIN_JITTER = 0.8  # random factor of an ejection: from this to `MIN_JITTER + JITTER_RANGE`
@@ -68,7 +68,7 @@
         """Record a successful response: it halves the failure score and ends an ejection."""
         state = backend.outlier
         before = state.failure_score
-        state.failure_score = before * KEPT_AFTER_SUCCESS if before > NO_FAILURE_BELOW else 0.0
+        state.failure_score = before * SUCCESS_FACTOR if before > NEGLIGIBLE_SCORE else 0.0
         if before > state.failure_score == 0.0 and self._endpoints.lists(backend):
             self.unhealthy_count -= 1
         state.ejected_until_ns = 0
--- a/mothstall/policy/polling.py
+++ b/mothstall/policy/polling.py
@@ -8,12 +8,10 @@
 
 PROXY_INTERVAL_NS = NS // 10  # between the calls of two proxies with consecutive positions
 MAX_INTERVAL_NS = 11 * NS // 4  # between two calls of one proxy, for any number of proxies
-MAX_SILENCE_NS = (
-    13 * NS // 4
-)  # from a failed call's start to the next; leaves 2.25 s for its response
+MAX_RETRY_DELAY_NS = 13 * NS // 4  # from a failed call's start; leaves the retry 2.25 s to respond
 MAX_FIRST_DELAY_NS = 21 * NS // 4  # upper bound from the start to the first call
 MAX_FAILURES = 3  # consecutive failures that count; each doubles the interval, up to its maximum
-_FINE_STEPS = 8  # a call that would be too late moves to an earlier eighth of the interval
+_INTERVAL_STEPS = 8  # a call that would be too late moves to an earlier eighth of the interval
 
 
 class DiscoveryPolling:
@@ -25,7 +23,7 @@
         self._is_watching = False
         self._failures = 0
         self._due_ns = 0
-        self._slot_ns = 0  # a time at which this proxy may call; later ones follow at the interval
+        self._turn_ns = 0  # a time at which this proxy may call; later ones follow at the interval
         self._max_interval_ns = min(
             MAX_INTERVAL_NS, max(PROXY_INTERVAL_NS, settings.poll_within_ns // 2)
         )
@@ -40,21 +38,21 @@
             MAX_FIRST_DELAY_NS,
             PROXY_INTERVAL_NS * settings.proxies,
         )
-        self._slot_ns = self._context.now_ns + int(spread_ns * self._context.ring_offset)
-        self._context.timers.schedule(self._slot_ns, self._check)
+        self._turn_ns = self._context.now_ns + int(spread_ns * self._context.ring_offset)
+        self._context.timers.schedule(self._turn_ns, self._check)
 
     def failed(self, call_ns: int) -> None:
         """Schedule a retry after a call that failed `call_ns` after it began."""
         self._is_watching = False
         self._failures = min(MAX_FAILURES, self._failures + 1)
-        self._schedule_in_turn(self._context.now_ns - call_ns + MAX_SILENCE_NS)
+        self._schedule_in_turn(self._context.now_ns - call_ns + MAX_RETRY_DELAY_NS)
 
     def succeeded(self) -> None:
         """Record an update on an open watch."""
         self._is_watching = True
         self._failures = 0
 
-    def started_empty(self) -> None:
+    def started_without_list(self) -> None:
         """Schedule an early call, because there is no cached list."""
         if not self._context.settings.discovery_push:
             self._schedule_in_turn(self._context.now_ns + int(NS * self._context.ring_offset))
@@ -80,7 +78,7 @@
                 MAX_INTERVAL_NS >> (MAX_FAILURES - self._failures),
             ),
         )
-        in_turn_ns = now_ns + interval_ns - (now_ns - self._slot_ns) % interval_ns
-        early_ns = latest_ns - (latest_ns - self._slot_ns) % (interval_ns // _FINE_STEPS)
+        in_turn_ns = now_ns + interval_ns - (now_ns - self._turn_ns) % interval_ns
+        early_ns = latest_ns - (latest_ns - self._turn_ns) % (interval_ns // _INTERVAL_STEPS)
         self._due_ns = min(in_turn_ns, max(now_ns, early_ns))
         self._context.timers.schedule(self._due_ns, self._check)
--- a/mothstall/policy/priority_groups.py
+++ b/mothstall/policy/priority_groups.py
@@ -16,14 +16,14 @@
 
 from mothstall import interface as io
 from mothstall.interface import NS
-from mothstall.policy.backend import Backend, SlotMark
+from mothstall.policy.backend import Backend, SlotRecord
 from mothstall.policy.context import Context
 from mothstall.policy.request import Request
 from mothstall.policy.slots import FIRST_SLOT_NS, OBSERVATION_NS, SlotClock
 from mothstall.policy.traffic_profile import TrafficProfiles
 
 MIN_LATENCY_SAMPLES = 10  # requests that a side needs in a slot for its latency to cause a move
-GIVE_BACK_BELOW = 0.5  # ratio of latency to objective of P below which a backend may return to B
+RETURN_BELOW = 0.5  # ratio of latency to objective of P below which a backend may return to B
 
 
 class Side(IntEnum):
@@ -140,7 +140,7 @@
     def split(self) -> None:
         """Form the groups: P gets members, by ring position, in proportion to its traffic."""
         order = sorted(self.members, key=lambda backend: backend.ring_position)
-        part = self._profiles.priority_part()
+        part = self._profiles.priority_fraction()
         left_to_others = 0 if self._profiles.is_single else 1
         count = min(max(1, round(part * len(order))), len(order) - left_to_others)
         for index, backend in enumerate(order):
@@ -187,7 +187,7 @@
         best_effort, priority = self.latency_ratio
         if priority > 1.0:
             self.move_to(Side.PRIORITY)
-        elif priority < GIVE_BACK_BELOW and best_effort > 1.0:
+        elif priority < RETURN_BELOW and best_effort > 1.0:
             self.move_to(Side.BEST_EFFORT)
 
     def move_to(self, side: int) -> None:
@@ -242,11 +242,13 @@
         """(2): the fraction of slots in T whose arrival rate was above the mean."""
         now_ns = self._context.now_ns
         arrivals = backend.throughput.arrivals
-        marks = backend.throughput.slot_marks
-        marks.append(SlotMark(now_ns, span_ns, arrivals, is_burst=False))
-        while marks[0].end_ns <= now_ns - OBSERVATION_NS:
-            marks.pop(0)
-        mean_rate = sum(mark.arrivals for mark in marks) / sum(mark.span_ns for mark in marks)
+        records = backend.throughput.slot_records
+        records.append(SlotRecord(now_ns, span_ns, arrivals, is_burst=False))
+        while records[0].end_ns <= now_ns - OBSERVATION_NS:
+            records.pop(0)
+        mean_rate = sum(record.arrivals for record in records) / sum(
+            record.span_ns for record in records
+        )
         is_burst = arrivals / span_ns > mean_rate
-        marks[-1] = SlotMark(now_ns, span_ns, arrivals, is_burst)
-        return sum(mark.is_burst for mark in marks) / len(marks)
+        records[-1] = SlotRecord(now_ns, span_ns, arrivals, is_burst)
+        return sum(record.is_burst for record in records) / len(records)
--- a/mothstall/policy/request_lifecycle.py
+++ b/mothstall/policy/request_lifecycle.py
@@ -12,24 +12,24 @@
 from mothstall.policy.concurrency import ConcurrencyLimits
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
-from mothstall.policy.latency import SHARED_ENOUGH, LatencyModel
+from mothstall.policy.latency import MIN_SHARED_FRACTION, LatencyModel
 from mothstall.policy.priority_groups import PriorityGroups
 from mothstall.policy.request import Attempt, Request
-from mothstall.policy.retries import RetryBudget, may_promise_no_effect, window_end_ns
+from mothstall.policy.retries import RetryBudget, is_client_retry_safe, window_end_ns
 from mothstall.policy.rotation import Rotation
 from mothstall.policy.slow_start import SlowStart
 from mothstall.policy.subset import Subset
 from mothstall.policy.traffic_profile import TrafficProfiles
 from mothstall.policy.zone_weights import ZoneWeights
 
-QUEUE_PART = 0.25  # of the latency objective: how long a request may wait for capacity
+QUEUE_WAIT_FRACTION = 0.25  # of the latency objective: how long a request may wait for capacity
 RETRY_AFTER_DIVISOR = 4  # a rejected client is told to wait the latency objective divided by this
-MIN_TIME_PART = 1 / 2  # of the usual latency: no attempt is sent with less time left
+MIN_TIME_FRACTION = 1 / 2  # of the usual latency: no attempt is sent with less time left
 HEDGE_AFTER = 3.0  # a request is hedged after this multiple of the usual latency without a response
-HEDGE_OWN_SILENCE_AFTER = 2.0  # the same for a class that gets no response at any backend
-MIN_HEDGE_PART = 1 / 8  # of the latency objective: no request is hedged sooner
+HEDGE_UNRESPONSIVE_CLASS_AFTER = 2.0  # the same for a class that gets no response at any backend
+MIN_HEDGE_FRACTION = 1 / 8  # of the latency objective: no request is hedged sooner
 HALF_OPEN_TIMEOUT = 4  # timeout of a half-open probe, as a multiple of the usual latency
-NUDGE_NS = NS // 100  # while requests are queued, capacity is checked at this interval at least
+QUEUE_CHECK_NS = NS // 100  # interval of capacity checks while requests are queued
 
 
 class RequestLifecycle:
@@ -68,7 +68,7 @@
         self._rotation = rotation
         self._subset = subset
         self._zone_weights = zone_weights
-        self._next_nudge_ns = 0
+        self._next_queue_check_ns = 0
         self.open: dict[int, Request] = {}
 
     # Arrival
@@ -89,7 +89,7 @@
         )
         self.open[request.id] = request
         if event.cost_ns:
-            self._latency.count_cost(event.class_index, event.cost_ns)
+            self._latency.record_cost(event.class_index, event.cost_ns)
         self._groups.latency[int(request.is_priority)].open(request)
         request.exceeds_quota = self._quotas.exceeds(profile)
         self._profiles.count_arrival(profile)
@@ -105,17 +105,17 @@
 
     def _has_time(self, request: Request) -> bool:
         left_ns = request.deadline_ns - self._context.now_ns
-        return left_ns >= self._latency.usual_ns * MIN_TIME_PART
+        return left_ns >= self._latency.usual_ns * MIN_TIME_FRACTION
 
     def _wait_for_capacity(self, request: Request) -> None:
         """Queue the request if capacity is likely soon; otherwise reject it immediately."""
         now_ns = self._context.now_ns
         profile = request.profile
         left_ns = request.deadline_ns - now_ns
-        until_ns = now_ns + int(QUEUE_PART * min(request.objective_ns, left_ns))
+        until_ns = now_ns + int(QUEUE_WAIT_FRACTION * min(request.objective_ns, left_ns))
         max_length = max(1.0, profile.rate * (until_ns - now_ns) / NS)
-        is_beyond = request.exceeds_quota and self._context.settings.tenants
-        if len(profile.queue) >= max_length or not self._has_time(request) or is_beyond:
+        is_over_quota = request.exceeds_quota and self._context.settings.tenants
+        if len(profile.queue) >= max_length or not self._has_time(request) or is_over_quota:
             self._give_up(request)
             return
         self._queue.put(request, until_ns)
@@ -137,9 +137,9 @@
             self._admit(request, backend)
         # Guards against timers that multiply: at most one is due, and its call does nothing.
         now_ns = self._context.now_ns
-        if self._queue.count and self._next_nudge_ns <= now_ns:
-            self._next_nudge_ns = now_ns + max(self._context.settings.tick_ns, NUDGE_NS)
-            self._context.timers.schedule(self._next_nudge_ns, _do_nothing)
+        if self._queue.count and self._next_queue_check_ns <= now_ns:
+            self._next_queue_check_ns = now_ns + max(self._context.settings.tick_ns, QUEUE_CHECK_NS)
+            self._context.timers.schedule(self._next_queue_check_ns, _do_nothing)
 
     def _next_to_serve(self) -> tuple[Request, Backend] | None:
         for profile in self._queue.in_order():
@@ -161,7 +161,7 @@
         if is_half_open_probe:
             backend.outlier.is_probing = True
         SlowStart.count_attempt(backend)
-        self._limits.enter(backend)
+        self._limits.add_in_flight(backend)
         backend.throughput.arrivals += 1
         request.open_attempts += 1
         self._subset.count_attempt()
@@ -191,10 +191,12 @@
         if request.request_class.effect == Effect.NON_IDEMPOTENT or not settings.may_hedge:
             return
         now_ns = self._context.now_ns
-        is_shared = self._latency.shared_lateness[request.class_index] >= SHARED_ENOUGH
-        multiple = HEDGE_AFTER if is_shared else HEDGE_OWN_SILENCE_AFTER
-        silence_ns = max(multiple * self._latency.usual_ns, request.objective_ns * MIN_HEDGE_PART)
-        wait_ns = min(silence_ns, (request.deadline_ns - now_ns) / 2)
+        is_shared = self._latency.shared_lateness[request.class_index] >= MIN_SHARED_FRACTION
+        multiple = HEDGE_AFTER if is_shared else HEDGE_UNRESPONSIVE_CLASS_AFTER
+        no_response_ns = max(
+            multiple * self._latency.usual_ns, request.objective_ns * MIN_HEDGE_FRACTION
+        )
+        wait_ns = min(no_response_ns, (request.deadline_ns - now_ns) / 2)
         self._context.timers.schedule(now_ns + int(wait_ns), partial(self._hedge, request))
 
     def _hedge(self, request: Request) -> None:
@@ -220,7 +222,7 @@
         backend = attempt.backend
         if backend.outlier.ejected_until_ns:
             return True
-        if self._latency.shared_lateness[request.class_index] < SHARED_ENOUGH:
+        if self._latency.shared_lateness[request.class_index] < MIN_SHARED_FRACTION:
             return True
         if backend.last_progress_ns >= attempt.sent_ns:
             return False
@@ -231,7 +233,7 @@
         if request := self.open.get(event.request):
             request.has_response_started = True
 
-    def hold_up(self, event: io.AttemptAwaitsBody) -> None:
+    def await_body(self, event: io.AttemptAwaitsBody) -> None:
         """Stop counting an attempt as in flight while its request body is incomplete.
 
         Guards against slow clients that make a backend look hung.
@@ -239,7 +241,7 @@
         attempt = self._open_attempt(event.request, event.attempt)
         if attempt and not attempt.awaits_body:
             attempt.awaits_body = True
-            self._limits.leave(attempt.backend)
+            self._limits.remove_in_flight(attempt.backend)
 
     def finish_writing(self, event: io.AttemptWritten) -> None:
         """Count an attempt whose body is complete as in flight; its latency starts now."""
@@ -252,7 +254,7 @@
         now_ns = self._context.now_ns
         attempt.awaits_body = False
         attempt.sent_ns = now_ns
-        self._limits.enter(attempt.backend)
+        self._limits.add_in_flight(attempt.backend)
         if not request.is_done:
             self._groups.latency[int(request.is_priority)].restart(request, now_ns)
             request.arrived_ns = now_ns
@@ -276,9 +278,9 @@
         request = self.open[event.request]
         attempt.is_open = False
         request.open_attempts -= 1
-        self._outcomes.learn(attempt, request, event)
+        self._outcomes.record(attempt, request, event)
         if event.result in io.NEVER_RAN:
-            self._forget_effect(attempt, request, event.result)
+            self._mark_never_ran(attempt, request, event.result)
         if request.is_done:
             if not request.open_attempts:
                 self.open.pop(request.id, None)
@@ -293,7 +295,7 @@
             else:
                 self._give_up(request)
 
-    def _forget_effect(self, attempt: Attempt, request: Request, result: AttemptResult) -> None:
+    def _mark_never_ran(self, attempt: Attempt, request: Request, result: AttemptResult) -> None:
         """Mark an attempt that never ran; `ran_on` becomes the first other that may have run."""
         attempt.never_ran = True
         attempt.was_rejected = result == AttemptResult.REJECTED
@@ -308,7 +310,7 @@
         if len(request.attempts) >= settings.max_attempts or not self._has_time(request):
             self._give_up(request)
             return
-        if not (is_free or self._retry_budget.has_token()) or self._gets_one_turn(request):
+        if not (is_free or self._retry_budget.has_token()) or self._is_retry_denied(request):
             self._give_up(request)
             return
         backend = self._rotation.pick(request)
@@ -321,7 +323,7 @@
         else:
             self._give_up(request)
 
-    def _gets_one_turn(self, request: Request) -> bool:
+    def _is_retry_denied(self, request: Request) -> bool:
         """Whether a request gets no retry: it exceeds its tenant's quota, and backends are few."""
         has_tenants = bool(self._context.settings.tenants)
         return request.exceeds_quota and has_tenants and self._endpoints.is_sparse
@@ -336,7 +338,7 @@
         """Reject the request if a client may retry it, else fail it; either counts as late."""
         settings = self._context.settings
         action: io.Action
-        if may_promise_no_effect(request):
+        if is_client_retry_safe(request):
             retry_after_ns = 0
             if settings.retry_after:
                 wait_ns = request.objective_ns // RETRY_AFTER_DIVISOR
--- a/mothstall/policy/retries.py
+++ b/mothstall/policy/retries.py
@@ -7,7 +7,7 @@
 from mothstall.policy.context import Context
 from mothstall.policy.request import Request
 
-EARNED_PER_ANSWER = 0.2  # retry tokens per successful response
+TOKENS_PER_RESPONSE = 0.2  # retry tokens per successful response
 MAX_BUDGET = 30.0  # upper bound of saved tokens
 MIN_BUDGET = 2.0  # lower bound of the maximum, for any ratio of backends to proxies
 BUDGET_PER_BACKEND = 10.0  # maximum of all proxies together, per backend
@@ -33,7 +33,7 @@
 
     def earn(self) -> None:
         """Add the tokens that a successful response earns."""
-        self.tokens = min(self.max_tokens, self.tokens + EARNED_PER_ANSWER)
+        self.tokens = min(self.max_tokens, self.tokens + TOKENS_PER_RESPONSE)
 
     def has_token(self) -> bool:
         """Return whether a retry may be sent."""
@@ -65,7 +65,7 @@
     return backend.cell == ran_on.cell
 
 
-def may_promise_no_effect(request: Request) -> bool:
+def is_client_retry_safe(request: Request) -> bool:
     """Return whether a client can safely send this request again after a rejection."""
     request_class = request.request_class
     if request.ran_on is None or request_class.effect == Effect.IDEMPOTENT:
--- a/mothstall/policy/rotation.py
+++ b/mothstall/policy/rotation.py
@@ -27,8 +27,8 @@
 MAX_SPREAD = 1.0  # of the mean attempts in flight per member, plus the offset: more miss a turn
 SPREAD_OFFSET = 0.5
 SLOWNESS_POWER = -6  # a turn is kept with this power of slowness over noise as probability
-BURST_ROOTS = 2.0  # a burst may exceed a small capacity by this multiple of its square root
-CONNECT_PATIENCE_PART = 1 / 4  # of the connect timeout: added to the stall timeout
+BURST_FACTOR = 2.0  # a burst may exceed a small capacity by this multiple of its square root
+CONNECT_TIMEOUT_FRACTION = 1 / 4  # of the connect timeout: added to the stall timeout
 
 
 class SkipReason(Enum):
@@ -74,7 +74,7 @@
         self._load_probes = load_probes
         self._slow_start = slow_start
         self._zone_weights = zone_weights
-        self._mildest_effect = min(row.effect for row in context.settings.classes)
+        self._safest_effect = min(row.effect for row in context.settings.classes)
 
     def pick(self, request: Request) -> Backend | None:
         """Return the backend for the request's next attempt; None: no backend may get it now."""
@@ -99,7 +99,7 @@
             # Guards against rounding down a small capacity: the random draw admits its fractional
             # part on average, and an allowance on top permits random bursts.
             in_flight += self._context.rng.random()
-            burst = BURST_ROOTS * math.sqrt(limits.capacity)
+            burst = BURST_FACTOR * math.sqrt(limits.capacity)
         if request.exceeds_quota:
             return in_flight < min(limits.capacity, limits.spare_capacity)
         return in_flight < limits.capacity + burst
@@ -148,10 +148,10 @@
         Guards against the last unhealthy or warming backend receiving all requests that others
         rejected: unhealthy ones get no retries, and warming ones no attempts beyond their tokens.
         """
-        able = [backend for backend in search.unhealthy if self._is_warm_enough(backend)]
-        if search.found_full or request.attempts or not able:
+        candidates = [backend for backend in search.unhealthy if self._is_warm_enough(backend)]
+        if search.found_full or request.attempts or not candidates:
             return None
-        return min(able, key=_unhealthiness)
+        return min(candidates, key=_unhealthiness)
 
     def _is_warm_enough(self, backend: Backend) -> bool:
         warmth = self._slow_start.warmth(backend)
@@ -187,26 +187,26 @@
         It gets a single half-open probe at a time, after the ejection time, and only from the
         classes of the safest effect.
         """
-        if backend.outlier.is_probing or request.request_class.effect > self._mildest_effect:
+        if backend.outlier.is_probing or request.request_class.effect > self._safest_effect:
             return True
-        until_ns = max(backend.outlier.ejected_until_ns, backend.concurrency.resting_until_ns)
+        until_ns = max(backend.outlier.ejected_until_ns, backend.concurrency.backoff_until_ns)
         return self._context.now_ns < until_ns
 
     def _is_stalled(self, backend: Backend, request: Request, warmth: float) -> bool:
         """Guards against hung backends: attempts in flight, and no response for unusually long."""
         usual_ns = self._latency.usual_ns
-        silence_ns = self._context.now_ns - max(backend.last_progress_ns, backend.busy_since_ns)
-        patience_ns = usual_ns * (1 + 2 / backend.in_flight) / warmth
-        patience_ns /= min(self._latency.shared_lateness)
-        patience_ns += self._context.settings.connect_timeout_ns * CONNECT_PATIENCE_PART
+        no_progress_ns = self._context.now_ns - max(backend.last_progress_ns, backend.busy_since_ns)
+        stall_timeout_ns = usual_ns * (1 + 2 / backend.in_flight) / warmth
+        stall_timeout_ns /= min(self._latency.shared_lateness)
+        stall_timeout_ns += self._context.settings.connect_timeout_ns * CONNECT_TIMEOUT_FRACTION
         if request.request_class.effect == Effect.NON_IDEMPOTENT:
-            patience_ns /= 2  # a non-idempotent request requires more recent responses
-        return usual_ns > 0 and silence_ns > patience_ns
+            stall_timeout_ns /= 2  # a non-idempotent request requires more recent responses
+        return usual_ns > 0 and no_progress_ns > stall_timeout_ns
 
     def _is_full(self, backend: Backend, warmth: float) -> bool:
         if backend.in_flight >= backend.concurrency.limit:
             return True
-        if self._context.now_ns < backend.concurrency.resting_until_ns:
+        if self._context.now_ns < backend.concurrency.backoff_until_ns:
             return True
         mean_in_flight = self._limits.in_flight / max(1, len(self._groups.members))
         return backend.in_flight > MAX_SPREAD * mean_in_flight * warmth + SPREAD_OFFSET
--- a/mothstall/policy/slow_start.py
+++ b/mothstall/policy/slow_start.py
@@ -14,7 +14,7 @@
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
 
-OVERLOAD_PART = 0.45  # used fraction of the rate that overloads a warming backend
+OVERLOAD_FRACTION = 0.45  # used fraction of the rate that overloads a warming backend
 MAX_RECENT_RATIO = 1.25  # upper bound of `warm_rate`, as a multiple of `recent_warm_rate`
 MIN_SAMPLES = 10  # responses in a slot that weigh as much as the previous estimate
 MAX_TOKENS = 1.0  # bucket size; a single token spreads attempts evenly
@@ -37,11 +37,11 @@
         self.warm_rate = 0.0
         self.recent_warm_rate = 0.0
         self.has_successor = False
-        self._began_ns = 0
+        self._started_ns = 0
 
     def begin(self) -> None:
         """Record the start time of this process."""
-        self._began_ns = self._context.now_ns
+        self._started_ns = self._context.now_ns
 
     def warmth(self, backend: Backend) -> float:
         """Return the fraction of its capacity that a backend has by the settings, up to 1."""
@@ -67,7 +67,7 @@
         turn = (place - context.ring_offset * widening + draw) % 1.0
         # A process younger than the backend starts without tokens: the previous process of this
         # proxy may have sent an attempt just before.
-        return turn * (entry.started_ns >= self._began_ns)
+        return turn * (entry.started_ns >= self._started_ns)
 
     def has_token(self, backend: Backend, warmth: float) -> bool:
         """Refill the tokens of a warming backend; return whether an attempt may be sent to it.
@@ -81,7 +81,7 @@
         rate = 0.0
         # Guards against two processes of one proxy that use the same tokens twice.
         if not self.has_successor:
-            rate = OVERLOAD_PART * settings.overload_multiple * self.warm_rate * warmth
+            rate = OVERLOAD_FRACTION * settings.overload_multiple * self.warm_rate * warmth
         span_ns = min(now_ns - state.refilled_at_ns, settings.overload_window_ns)
         state.tokens = min(MAX_TOKENS, state.tokens + span_ns * rate / NS)
         state.refilled_at_ns = now_ns
--- a/mothstall/policy/traffic_profile.py
+++ b/mothstall/policy/traffic_profile.py
@@ -17,12 +17,12 @@
     from mothstall.policy.request import Request
 
 MIN_WEIGHT = 1e-6  # of a profile in the fair queue; also the lower bound of a quota used as divisor
-MIN_TRAFFIC_PART = 1e-3  # lower bound of a traffic fraction, so that a claim stays finite
+MIN_TRAFFIC_FRACTION = 1e-3  # lower bound of a traffic fraction, so that a claim stays finite
 PRIORITY_MARGIN = 1.25  # a new priority profile must claim this multiple of the current one
 PRIOR_REQUESTS = 6.0  # weight of the prior, an even split over the proxies, in requests
-MANY_PROFILES = 1000  # number of active profiles above which the early threshold applies
-FORGOTTEN_EARLY = 0.5  # decayed count below which a profile becomes inactive, if there are many
-FORGOTTEN = 1e-16  # the same otherwise; both scale with the total while that is below 1
+MANY_PROFILES = 1000  # number of active profiles above which `EARLY_INACTIVE_BELOW` applies
+EARLY_INACTIVE_BELOW = 0.5  # decayed count of an inactive profile, if there are many
+INACTIVE_BELOW = 1e-16  # the same otherwise; both scale with the total while that is below 1
 _RATE_GAIN = 0.5  # smoothing factor of a profile's rate, per slot
 
 
@@ -82,7 +82,7 @@
         arrivals: Exponentially decayed count of requests of all profiles.
         priority: Index of the profile that the priority group serves.
         is_single: Whether there is only one profile, which all members serve.
-        traffic_part: This proxy's fraction of all traffic, estimated by the median profile.
+        traffic_fraction: This proxy's fraction of all traffic, estimated by the median profile.
     """
 
     def __init__(self, context: Context) -> None:
@@ -101,14 +101,14 @@
         self.total_weight = sum(profile.weight for profile in self.all)
         self.active: dict[int, TrafficProfile] = {}
         self.arrivals = 0.0
-        self._arrivals_of_inactive = 0.0
+        self._inactive_arrivals = 0.0
         self._observed_ns = 0.0
         self._first = max(range(len(rows)), key=lambda index: (self.claim(index), -index))
         self.priority = self._first
         self.by_quota = list(range(len(rows)))
         self.by_quota.sort(key=lambda index: -self.all[index].quota)
         self.quota_rank = sorted(range(len(rows)), key=self.by_quota.__getitem__)
-        self.traffic_part = 1.0 / settings.proxies
+        self.traffic_fraction = 1.0 / settings.proxies
 
     def of_request(self, index: int) -> TrafficProfile:
         """Return the profile of a tenant or class; an unknown index gets the first profile."""
@@ -125,7 +125,7 @@
         profile.completions += 1.0
         self.active[profile.index] = profile
 
-    def priority_part(self) -> float:
+    def priority_fraction(self) -> float:
         """Return the priority profile's fraction of this proxy's requests, 0 to 1."""
         profile = self.all[self.priority]
         if self.arrivals > 0:
@@ -138,18 +138,18 @@
         if not self._context.settings.tenants:
             return profile.quota
         part = profile.arrivals / self.arrivals if self.arrivals > 0 else profile.weight
-        return profile.quota / max(part, MIN_TRAFFIC_PART)
+        return profile.quota / max(part, MIN_TRAFFIC_FRACTION)
 
     def close_slot(self, span_ns: int) -> None:
-        """Update rates, decayed counts and `traffic_part` at the end of a slot of `span_ns`."""
+        """Update rates, decayed counts and `traffic_fraction` at the end of a slot of `span_ns`."""
         keep = math.exp(-span_ns / (3 * OBSERVATION_NS))
-        threshold = FORGOTTEN_EARLY if len(self.active) > MANY_PROFILES else FORGOTTEN
+        threshold = EARLY_INACTIVE_BELOW if len(self.active) > MANY_PROFILES else INACTIVE_BELOW
         threshold *= min(1.0, self.arrivals)
         # Guards against a slot's end that takes time for each profile, although few of them are
         # active.
         profiles = [self.active[index] for index in sorted(self.active)]
         self.active = {}
-        self._arrivals_of_inactive *= keep
+        self._inactive_arrivals *= keep
         self._observed_ns = self._observed_ns * keep + span_ns
         for profile in profiles:
             profile.rate += _RATE_GAIN * (profile.served_in_slot * NS / span_ns - profile.rate)
@@ -159,14 +159,14 @@
             if profile.arrivals >= threshold or profile.completions >= threshold or profile.queue:
                 self.active[profile.index] = profile
             else:
-                self._forget(profile)
-        self.arrivals = self._arrivals_of_inactive + sum(
+                self._deactivate(profile)
+        self.arrivals = self._inactive_arrivals + sum(
             profile.arrivals for profile in self.active.values()
         )
-        self.traffic_part = self._typical_pace()
+        self.traffic_fraction = self._median_relative_rate()
 
-    def _forget(self, profile: TrafficProfile) -> None:
-        self._arrivals_of_inactive += profile.arrivals
+    def _deactivate(self, profile: TrafficProfile) -> None:
+        self._inactive_arrivals += profile.arrivals
         profile.rate = 0.0
         profile.arrivals = 0.0
         profile.completions = 0.0
@@ -176,18 +176,18 @@
 
         Guards against priority that alternates between profiles with nearly equal claims.
         """
-        # Of the profiles below `MIN_TRAFFIC_PART`, the one with the greatest quota claims most.
+        # Of the profiles below `MIN_TRAFFIC_FRACTION`, the one with the greatest quota claims most.
         large = {
             index
             for index, profile in self.active.items()
-            if profile.arrivals >= MIN_TRAFFIC_PART * self.arrivals
+            if profile.arrivals >= MIN_TRAFFIC_FRACTION * self.arrivals
         }
         small = next((index for index in self.by_quota if index not in large), self._first)
         best = max([self._first, small, *large], key=lambda index: (self.claim(index), -index))
         if is_first_slot or self.claim(best) > PRIORITY_MARGIN * self.claim(self.priority):
             self.priority = best
 
-    def _typical_pace(self) -> float:
+    def _median_relative_rate(self) -> float:
         """Return the lower median, over all profiles, of completions over expected completions.
 
         Guards against client retries (only completions count) and against small samples (the prior
@@ -198,7 +198,7 @@
         observed_ns = self._observed_ns
         count = len(self.all)
         ranks = sorted([self.quota_rank[index] for index in self.active])
-        paces = sorted(
+        relative_rates = sorted(
             [
                 (profile.completions + PRIOR_REQUESTS)
                 / (max(profile.quota, MIN_WEIGHT) * observed_ns / NS + even)
@@ -206,18 +206,18 @@
             ]
         )
 
-        def pace_of_inactive(rank: int) -> float:
+        def inactive_relative_rate(rank: int) -> float:
             quota = max(self.all[self.by_quota[rank]].quota, MIN_WEIGHT)
             return PRIOR_REQUESTS / (quota * observed_ns / NS + even)
 
         def count_up_to(rank: int) -> int:
             inactive = rank + 1 - bisect_right(ranks, rank)
-            return inactive + bisect_right(paces, pace_of_inactive(rank))
+            return inactive + bisect_right(relative_rates, inactive_relative_rate(rank))
 
         median_rank = (count + 1) // 2
         rank = bisect_left(range(count), median_rank, key=count_up_to)
         rest = median_rank - (rank - bisect_left(ranks, rank))
         return min(
-            pace_of_inactive(rank) if rank < count else math.inf,
-            paces[rest - 1] if rest <= len(paces) else math.inf,
+            inactive_relative_rate(rank) if rank < count else math.inf,
+            relative_rates[rest - 1] if rest <= len(relative_rates) else math.inf,
         )
--- a/mothstall/policy/zone_weights.py
+++ b/mothstall/policy/zone_weights.py
@@ -6,7 +6,7 @@
 from mothstall.policy.context import Context
 from mothstall.policy.endpoints import EndpointList
 
-NEAR_FEE = 0.05  # cross-zone fee from which the own zone always comes first
+OWN_ZONE_FEE = 0.05  # cross-zone fee from which the own zone always comes first
 MAX_REJECTIONS_DUE = 8.0  # accrued rejections from which any request may be rejected
 MAX_TURNS_DUE = 2.0  # bound of a zone's deficit or surplus of turns
 
@@ -27,15 +27,15 @@
         self.weights = io.ZoneWeights((), 0.0, 0.0, 0)
         self._turns_due = [0.0]  # by zone
         self._follow_credit = 0.0  # a request follows the weights at a credit of 1
-        self._near_credit = 0.0  # the same, for requests that prefer the own zone
+        self._own_zone_credit = 0.0  # the same, for requests that prefer the own zone
         self._rejections_due = 0.0
         own_zone = context.settings.zone
-        self._anywhere: list[SearchOrder] = []
-        self._near_first: list[SearchOrder] = []
+        self._any_zone: list[SearchOrder] = []
+        self._own_zone_first: list[SearchOrder] = []
         for side in (0, 1):
             sides = (side, 1 - side)
-            self._anywhere.append([(each, set()) for each in sides])
-            self._near_first.append(
+            self._any_zone.append([(each, set()) for each in sides])
+            self._own_zone_first.append(
                 [(each, zones) for each in sides for zones in ({own_zone}, set[int]())]
             )
 
@@ -68,17 +68,19 @@
             return self._planned_order(own_side)
         # Guards against hot zones: the small subsets of many proxies cannot both stay in one zone
         # and cover all backends evenly.
-        near_part = min(1.0, self._context.settings.cross_zone_fee / NEAR_FEE)
-        self._near_credit = self._near_credit % 1.0 + near_part * (not self._endpoints.is_sparse)
-        return (self._near_first if self._near_credit >= 1.0 else self._anywhere)[own_side]
+        own_zone_fraction = min(1.0, self._context.settings.cross_zone_fee / OWN_ZONE_FEE)
+        self._own_zone_credit = self._own_zone_credit % 1.0 + own_zone_fraction * (
+            not self._endpoints.is_sparse
+        )
+        return (self._own_zone_first if self._own_zone_credit >= 1.0 else self._any_zone)[own_side]
 
     def _planned_order(self, own_side: int) -> SearchOrder:
         """Return the zone with the greatest deficit, then all zones with traffic, then the rest."""
-        with_part = {zone for zone, part in enumerate(self.weights.weights) if part > 0}
+        zones_with_traffic = {zone for zone, part in enumerate(self.weights.weights) if part > 0}
         own_zone = self._context.settings.zone
-        first = max(with_part, key=self._turns_due.__getitem__, default=own_zone)
+        first = max(zones_with_traffic, key=self._turns_due.__getitem__, default=own_zone)
         order: SearchOrder = []
-        for zones in ({first}, with_part, set[int]()):
+        for zones in ({first}, zones_with_traffic, set[int]()):
             order += [(own_side, zones), (1 - own_side, zones)]
         return order
 
--- a/mothstall/settings.py
+++ b/mothstall/settings.py
@@ -43,7 +43,7 @@
     return number
 
 
-def _part(text: str) -> float:
+def _fraction(text: str) -> float:
     part = _number(text)
     if part > 1:
         raise ValueError(text)
@@ -198,7 +198,7 @@
         discovery_push=get("discovery", {"push": True, "ask": False}.__getitem__),
         poll_within_ns=get("contract.ask-within-ns", timer_ns, 10_000_000_000),
         drain_grace_ns=get("contract.stop-sending-within-ns", count),
-        initial_warmth=get("contract.cold-from", _part),
+        initial_warmth=get("contract.cold-from", _fraction),
         slow_start_ns=get("contract.cold-ns", count),
         overload_multiple=get("contract.fall-multiple", _number),
         overload_window_ns=get("contract.fall-ns", count),
@@ -218,7 +218,7 @@
     )
 
 
-def further_setting(
+def integer_setting(
     tree: Mapping[str, object], path: str, default: int, read: Callable[[str], int] = count
 ) -> int:
     """Return an integer setting that only the network proxy uses, not the policy."""
--- a/mothstall/simhost/host.py
+++ b/mothstall/simhost/host.py
@@ -10,7 +10,7 @@
 from mothstall.simwire import codec
 
 
-def leavers_first(events: list[Event]) -> list[Event]:
+def departures_first(events: list[Event]) -> list[Event]:
     """Return a batch with the departures of clients first.
 
     Guards against a retry for a client that left in the batch in which its attempt ended, and
@@ -44,11 +44,11 @@
     def batch(self, now: int, records: list[codec.Record]) -> bytes:
         """Return the reply frame for a batch; an instance that fails is reported and dropped."""
         faults: list[tuple[int, str]] = []
-        pending = self._take_in(records, faults)
+        pending = self._apply_records(records, faults)
         actions: list[tuple[int, Action]] = []
         for number, events in pending.items():
             try:
-                made = self.instances[number].handle(now, leavers_first(events))
+                made = self.instances[number].handle(now, departures_first(events))
                 actions.extend((number, action) for action in made)
             except Exception as why:  # noqa: BLE001 # a failed instance must not affect others
                 place = traceback.extract_tb(why.__traceback__)[-1]
@@ -57,7 +57,7 @@
                 del self.instances[number]
         return codec.encode(actions, faults)
 
-    def _take_in(
+    def _apply_records(
         self, records: list[codec.Record], faults: list[tuple[int, str]]
     ) -> dict[int, list[Event]]:
         """Start and end instances; return the events of each remaining one, in order."""
--- a/mothstall/simwire/codec.py
+++ b/mothstall/simwire/codec.py
@@ -130,8 +130,8 @@
 _HAS_COST = 1  # flag bits in the last byte of a REQUEST_ARRIVED record
 _IS_RETRY = 2
 
-_ABOUT_BACKEND = struct.Struct(">BHI")
-_ABOUT_REQUEST = struct.Struct(">BHQ")
+_BACKEND_ACTION = struct.Struct(">BHI")
+_REQUEST_ACTION = struct.Struct(">BHQ")
 _TWO_NUMBERS = struct.Struct(">BHQQ")
 _SEND_ATTEMPT = struct.Struct(">BHQIQ")
 _WATCH_ENDPOINTS = struct.Struct(">BHB")
@@ -145,7 +145,7 @@
 
 def read_frame(stream: BinaryIO) -> bytes | None:
     """Return the next frame's body, or None if the input ends between two frames."""
-    head = _read_upto(stream, 4)
+    head = _read_up_to(stream, 4)
     if not head:
         return None
     if len(head) < 4:
@@ -153,13 +153,13 @@
     (size,) = _U32.unpack(head)
     if size < MIN_FRAME_BYTES or size > MAX_FRAME:
         raise WireError(f"frame of {size} bytes is outside {MIN_FRAME_BYTES} to {MAX_FRAME}")
-    body = _read_upto(stream, size)
+    body = _read_up_to(stream, size)
     if len(body) < size:
         raise WireError(f"input ends inside a frame: {len(body)} of {size} bytes")
     return body
 
 
-def _read_upto(stream: BinaryIO, size: int) -> bytes:
+def _read_up_to(stream: BinaryIO, size: int) -> bytes:
     parts: list[bytes] = []
     while size > 0:
         part = stream.read(size)
@@ -351,15 +351,15 @@
 
 
 def _fail_request(instance: int, action: FailRequest) -> bytes:
-    return _ABOUT_REQUEST.pack(ActionCode.FAIL_REQUEST, instance, action.request)
+    return _REQUEST_ACTION.pack(ActionCode.FAIL_REQUEST, instance, action.request)
 
 
 def _probe_load(instance: int, action: ProbeLoad) -> bytes:
-    return _ABOUT_BACKEND.pack(ActionCode.PROBE_LOAD, instance, action.backend)
+    return _BACKEND_ACTION.pack(ActionCode.PROBE_LOAD, instance, action.backend)
 
 
 def _close_idle_connections(instance: int, action: CloseIdleConnections) -> bytes:
-    return _ABOUT_BACKEND.pack(ActionCode.CLOSE_IDLE_CONNECTIONS, instance, action.backend)
+    return _BACKEND_ACTION.pack(ActionCode.CLOSE_IDLE_CONNECTIONS, instance, action.backend)
 
 
 def _watch_endpoints(instance: int, action: WatchEndpoints) -> bytes:
--- a/tests/lab/test_mutations.py
+++ b/tests/lab/test_mutations.py
@@ -92,7 +92,7 @@
     ),
     (
         "latency.py",
-        "return part if part < SHARED_ENOUGH else 1.0",
+        "return fraction if fraction < MIN_SHARED_FRACTION else 1.0",
         "return 1.0",
         "dependency-fails",
         20,
@@ -108,7 +108,7 @@
     ),
     (
         "attempt_outcomes.py",
-        "late_ns = min(LATE * request.objective_ns, surely_late_ns)",
+        "late_ns = min(LATE_FRACTION * request.objective_ns, baseline_late_ns)",
         "late_ns = math.inf",
         "burst",
         18,
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -38,7 +38,7 @@
     encode,
 )
 from mothstall.policy import Balancer
-from mothstall.policy.slow_start import OVERLOAD_PART
+from mothstall.policy.slow_start import OVERLOAD_FRACTION
 from tests.net.admin.test_admin_server import Platform
 from tests.net.test_net_body_relay import BODY, long_answer, read_long
 from tests.peers import Client as Reader
@@ -128,7 +128,7 @@
         module.handle(now, [io.EndpointUpdate(UpdateScope.FULL, 1, fleet(4, cold=2, now=now))])
     old.latency.usual_ns, old.limits.capacity, old.slow_start.warm_rate = 5e6, 40.0, 50.0
     old.outliers.count_failure(old.endpoints.by_id[4], 2.0)
-    told = old.memory()
+    told = old.export_state()
     new.handle(now, [told])
     old.handle(now, [io.SuccessorChanged(True)])
     assert (new.latency.usual_ns, new.limits.capacity, new.slow_start.warm_rate) == (
@@ -166,7 +166,7 @@
     for number in range(1, 1001):
         now += NS // 100
         if number == 400:
-            new.handle(now, [old.memory()])
+            new.handle(now, [old.export_state()])
             old.handle(now, [io.SuccessorChanged(True)])
         module = old if number < 400 or (number < 800 and number % 2) else new
         for act in module.handle(now, [io.RequestArrived(number, 0, 0, 0, NS // 2, 0, False)]):
@@ -184,7 +184,7 @@
         warmth = (
             cfg.initial_warmth + (1 - cfg.initial_warmth) * (second + 1) * NS / cfg.slow_start_ns
         )
-        assert here <= OVERLOAD_PART * cfg.overload_multiple * warm * warmth + 1, (second, here)
+        assert here <= OVERLOAD_FRACTION * cfg.overload_multiple * warm * warmth + 1, (second, here)
     # Found by this test: the new process took its idle seconds for what a warm one does, and sent 6 in all.
     assert sum(at > began + 5 * NS for at in sent[1]) >= 25
 
--- a/tests/policy/test_costs_and_probes.py
+++ b/tests/policy/test_costs_and_probes.py
@@ -11,7 +11,7 @@
 
 from mothstall import interface as io
 from mothstall.interface import NS, AttemptResult, Effect, UpdateScope
-from mothstall.policy.load_probes import MAX_PROBE_POINTS, REPORT_FADE_NS
+from mothstall.policy.load_probes import MAX_PROBE_POINTS, REPORT_MAX_AGE_NS
 from mothstall.settings import SettingsError, parse
 from tests.policy.harness import MS, Drive, cls, entry
 from tests.test_wire import SETUP
@@ -67,7 +67,7 @@
     for i in range(100):  # told the wrong way round: the slope stays at nought
         drive.serve(latency=(60, 20)[i % 2] * MS, cost=(20, 60)[i % 2] * MS)
     heavy = drive.balancer.requests.open[drive.ask(cost=60 * MS)[0]]
-    assert drive.balancer.latency.at_mean_cost(heavy, 20 * MS) == 20 * MS
+    assert drive.balancer.latency.latency_at_mean_cost(heavy, 20 * MS) == 20 * MS
 
 
 @given(st.lists(st.tuples(st.integers(0, 2**64 - 1), st.integers(1, 2 * NS)), max_size=30))
@@ -129,7 +129,7 @@
     for i in range(1, 5):
         probed(drive, i, 5.0, 40.0 if i == 2 else 0.0)
     assert 2 not in {drive.serve(latency=MS) for _ in range(12)}
-    drive.wait(REPORT_FADE_NS)
+    drive.wait(REPORT_MAX_AGE_NS)
     assert 2 in {drive.serve(latency=MS) for _ in range(8)}
 
 
@@ -182,7 +182,7 @@
         old.serve()
     for b in old.balancer.endpoints.by_id.values():
         b.outlier.failure_score = 0.5
-    word = old.balancer.memory()
+    word = old.balancer.export_state()
     word.baselines = [*word.baselines, [1.0, 1.0, 60.0]]  # of another shape: one class more
     rows = [entry(i, started=0) for i in range(1, 11)] + [
         entry(i, started=old.now) for i in range(11, 31)
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -9,7 +9,7 @@
 
 from mothstall import interface as io
 from mothstall.interface import NS, AttemptResult, Effect, Health, UpdateScope
-from mothstall.policy.latency import SHARED_ENOUGH
+from mothstall.policy.latency import MIN_SHARED_FRACTION
 from mothstall.policy.outliers import EJECTION_SCORE
 from mothstall.policy.request import Request
 from mothstall.policy.rotation import SkipReason
@@ -251,7 +251,7 @@
     # Found on a deploy day: proxies with little in-share traffic filled the fleet beyond share.
     tenants = (io.Tenant(0.5, 10.0), io.Tenant(0.5, 10.0))
     drive = warmed(3, tenants=tenants)
-    drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_part = 0.0, 0.5
+    drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_fraction = 0.0, 0.5
     for flow in drive.balancer.profiles.all:
         flow.quota_tokens, flow.quota_refilled_at_ns = 1.0, drive.now
     assert sends(drive.ask(tenant=0)[1])
@@ -324,7 +324,7 @@
         whose[rid] = tenant
         asked[tenant] += 1
         if turn % 4 == 0:
-            drive.balancer.limits.is_opening = False
+            drive.balancer.limits.is_ramping_up = False
             acts += drive.end(*busy.pop(0))
         for s in sends(acts):
             served[whose[s.request]] += 1
@@ -420,7 +420,7 @@
     # Found on a quiet day with tight aims: where all send little the typical pace is below any share.
     tenants = (io.Tenant(0.5, 20.0), io.Tenant(0.5, 20.0))
     drive = warmed(3, tenants=tenants, proxies=2)
-    drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_part = 0.0, 0.01
+    drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_fraction = 0.0, 0.01
     served = 0
     for _ in range(20):
         drive.wait(100 * MS)
@@ -526,7 +526,7 @@
     drive = usual_day()
     bal, room = drive.balancer, drive.balancer.limits.capacity
     hang(drive, 120)
-    assert bal.latency.shared_lateness[0] < SHARED_ENOUGH <= bal.latency.shared_lateness[1]
+    assert bal.latency.shared_lateness[0] < MIN_SHARED_FRACTION <= bal.latency.shared_lateness[1]
     assert bal.limits.capacity >= room
     # Silence of a class known for it is one failure, however long it lasted: no backend goes by it alone.
     b = bal.groups.members[0]
@@ -559,7 +559,7 @@
     for _ in range(40):
         drive.serve(0, latency=340 * MS)
         drive.serve(1, latency=360 * MS)
-    assert min(bal.latency.shared_lateness) > SHARED_ENOUGH
+    assert min(bal.latency.shared_lateness) > MIN_SHARED_FRACTION
     assert bal.limits.capacity < 30.0
 
 
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -15,7 +15,7 @@
 from mothstall import interface as io
 from mothstall.interface import NS, AttemptResult, Effect, Health, UpdateScope
 from mothstall.policy import Balancer
-from mothstall.policy.slow_start import OVERLOAD_PART
+from mothstall.policy.slow_start import OVERLOAD_FRACTION
 from mothstall.policy.subset import MIN_MEMBERS
 from mothstall.settings import parse
 from tests.policy.harness import MS, START, Drive, cls, entry, sends, settings
@@ -358,13 +358,13 @@
             drive.end(rid, to)
             continue
         again = sends(drive.end(rid, to, AttemptResult.REJECTED, latency=MS))
-        rests.append(b.concurrency.resting_until_ns - drive.now)
+        rests.append(b.concurrency.backoff_until_ns - drive.now)
         drive.end(rid, again[0].backend, attempt=1)
-        drive.now = b.concurrency.resting_until_ns
+        drive.now = b.concurrency.backoff_until_ns
     assert rests[-1] > 3 * rests[0]
     while drive.serve() != b.id:
         pass
-    assert b.concurrency.rest_multiplier == 1.0
+    assert b.concurrency.backoff_multiplier == 1.0
 
 
 @pytest.mark.parametrize("position", [-1, 2, 10**9])
@@ -444,7 +444,7 @@
         got = sum(begin < t <= begin + NS // 2 for t in turns)
         age = begin + NS // 4 - born
         warmth = cfg.initial_warmth + (1 - cfg.initial_warmth) * age / cfg.slow_start_ns
-        planned = 30 * OVERLOAD_PART * cfg.overload_multiple * 4.0 * warmth / 2
+        planned = 30 * OVERLOAD_FRACTION * cfg.overload_multiple * 4.0 * warmth / 2
         assert abs(got - planned) <= off, (got, planned)
 
 
@@ -469,7 +469,7 @@
             warmth = (
                 cfg.initial_warmth + (1 - cfg.initial_warmth) * (two - born) / cfg.slow_start_ns
             )
-            least = NS / (OVERLOAD_PART * cfg.overload_multiple * 4.0 * warmth)
+            least = NS / (OVERLOAD_FRACTION * cfg.overload_multiple * 4.0 * warmth)
             assert two - one >= least - 10 * MS, (seed, one - born, two - born)
 
 
@@ -501,7 +501,7 @@
     assert not drive.balancer.slow_start.has_token(cold, 0.3)
     cfg = drive.balancer.context.settings
     assert cold.slow_start.tokens == pytest.approx(
-        OVERLOAD_PART * cfg.overload_multiple * 0.3 * cfg.overload_window_ns / NS
+        OVERLOAD_FRACTION * cfg.overload_multiple * 0.3 * cfg.overload_window_ns / NS
     )
 
 
@@ -568,8 +568,8 @@
     for i in range(60):
         drive.ask(tenant=i % 2)
         drive.wait(150 * MS)
-    assert drive.balancer.profiles.traffic_part < 1.0 / 300
-    assert drive.balancer.profiles.traffic_part > 0.2 / 300
+    assert drive.balancer.profiles.traffic_fraction < 1.0 / 300
+    assert drive.balancer.profiles.traffic_fraction > 0.2 / 300
 
 
 def test_a_growing_fleet_does_not_starve_its_cold_backends() -> None:
--- a/tests/policy/test_traffic_profiles.py
+++ b/tests/policy/test_traffic_profiles.py
@@ -16,7 +16,7 @@
 from mothstall.interface import NS
 from mothstall.policy import Balancer, traffic_profile
 from mothstall.policy.slots import OBSERVATION_NS
-from mothstall.policy.traffic_profile import FORGOTTEN_EARLY, PRIOR_REQUESTS
+from mothstall.policy.traffic_profile import EARLY_INACTIVE_BELOW, PRIOR_REQUESTS
 from tests.policy.harness import MS, START, Drive, cls, entry, sends, settings
 
 PURE = (cls(),)
@@ -32,7 +32,7 @@
         self.seen, self.good, self.rate = ([0.0] * self.count for _ in range(3))
         self.seen_ns, self.part, self.priority = (
             0.0,
-            balancer.profiles.traffic_part,
+            balancer.profiles.traffic_fraction,
             balancer.profiles.priority,
         )
         self.slots = 0
@@ -50,11 +50,11 @@
             self.seen[i], self.good[i] = self.seen[i] * keep, self.good[i] * keep
         self.seen_ns = self.seen_ns * keep + span_ns
         even = PRIOR_REQUESTS * self.balancer.context.settings.proxies
-        paces = sorted(
+        relative_rates = sorted(
             (self.good[i] + PRIOR_REQUESTS) / (max(f.quota, 1e-6) * self.seen_ns / NS + even)
             for i, f in enumerate(flows)
         )
-        self.part = paces[(len(paces) - 1) // 2]
+        self.part = relative_rates[(len(relative_rates) - 1) // 2]
         seen = sum(self.seen)
         claims = [self.claim(i, seen) for i in range(self.count)]
         best = max(range(self.count), key=lambda i: (claims[i], -i))
@@ -122,7 +122,7 @@
     """Rates, traffic, typical pace and priority, while flows fall idle, are forgotten, and come back."""
     tenants = [io.Tenant(*row) for row in rows]
     for balancer, long in play(tenants, proxies, random.Random(seed), 120, 3000):
-        assert balancer.profiles.traffic_part == SAME(long.part, rel=1e-12)
+        assert balancer.profiles.traffic_fraction == SAME(long.part, rel=1e-12)
         assert balancer.profiles.priority == long.priority
         assert balancer.profiles.arrivals == SAME(sum(long.seen), rel=1e-12)
         for i, f in enumerate(balancer.profiles.all):
@@ -142,7 +142,7 @@
     rng = random.Random(3)
     tenants = [io.Tenant(1 / 20, rng.choice((2.0, 7.5, 40.0))) for _ in range(20)]
     for balancer, long in play(tenants, 30, rng, 400, 60):
-        assert (balancer.profiles.traffic_part, balancer.profiles.priority) == (
+        assert (balancer.profiles.traffic_fraction, balancer.profiles.priority) == (
             long.part,
             long.priority,
         )
@@ -177,10 +177,12 @@
             assert balancer.profiles.arrivals == SAME(sum(long.seen), rel=1e-9)
             for i, f in enumerate(balancer.profiles.all):
                 # What it leaves with is lost to it once in the time in which that would have faded anyway.
-                assert long.good[i] - 2 * FORGOTTEN_EARLY <= f.completions <= long.good[i] + 1e-12
+                assert (
+                    long.good[i] - 2 * EARLY_INACTIVE_BELOW <= f.completions <= long.good[i] + 1e-12
+                )
             assert (
-                long.part * PRIOR_REQUESTS / (PRIOR_REQUESTS + 2 * FORGOTTEN_EARLY)
-                <= balancer.profiles.traffic_part
+                long.part * PRIOR_REQUESTS / (PRIOR_REQUESTS + 2 * EARLY_INACTIVE_BELOW)
+                <= balancer.profiles.traffic_fraction
                 <= long.part * (1 + 1e-12)
             )
 
