--- a/tests/lab/test_mutations.py
+++ b/tests/lab/test_mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the policy, each taken out once: some scenario of the lab shows that it is gone."""
+"""Mutation tests: removing a guard of the policy must show in a scenario of the lab."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 TEXTS = policy_source.texts_of(Path(__file__).parents[2] / "mothstall" / "policy")
 
-# The module, what is taken out, what stands in its place, where it shows, how long, which violation.
+# Module, original text, replacement, scenario, duration in seconds, kind of violation.
 VIOLATIONS = [
     (
         "balancer.py",
@@ -64,7 +64,7 @@
     ),
 ]
 
-# The same for what breaks no rule and costs service: the worth that it costs at least.
+# The same for mutations that break no rule but reduce service; the last value is the least loss.
 LOSSES = [
     (
         "outliers.py",
@@ -121,7 +121,7 @@
 def play(name: str, seconds: float, module: str = "", old: str = "", new: str = "") -> Result:
     texts = dict(TEXTS)
     if module:
-        assert texts[module].count(old) == 1, f"the guard is written differently now: {old}"
+        assert texts[module].count(old) == 1, f"the source text of the guard has changed: {old}"
         texts[module] = texts[module].replace(old, new)
     made = policy_source.from_package(texts)
     return runs.play_made(scenario.lasting(scenario.load(name), seconds), made, "mutant", 1)
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""Settings, events and a recorder of actions for tests of the decision module."""
+"""Builders of settings and events, and a driver for a balancer, for tests of the policy."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class Drive:
-    """One instance, a clock, and all that it has done so far."""
+    """Drives one balancer with a simulated clock and records its actions."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         return acts
 
     def wait(self, ns: int, step: int = 10 * MS) -> list[io.Action]:
-        """Let time pass with timer events alone."""
+        """Advance the clock with timer events only."""
         acts: list[io.Action] = []
         end = self.now + ns
         while self.now < end:
@@ -98,7 +98,7 @@
     def send(
         self, kind: int = 0, left: int = 2 * NS, tenant: int = 0, cost: int = 0
     ) -> tuple[int, int]:
-        """A request that must be sent at once: its id and backend."""
+        """Start a request that must be sent immediately; return its id and backend."""
         rid, acts = self.ask(kind, left, tenant, cost)
         sends = [a for a in acts if isinstance(a, io.SendAttempt) and a.request == rid]
         assert len(sends) == 1, acts
--- a/tests/policy/test_costs_and_probes.py
+++ b/tests/policy/test_costs_and_probes.py
@@ -1,4 +1,4 @@
-"""What the move changed: turns by weight, told costs, work that waits on others, probes, failures in part."""
+"""Turns by weight, declared costs, requests that wait on other services, load probes, partial failures."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 @pytest.mark.parametrize("odd", [1.0, 3.0, 0.0, -1.0, math.nan, math.inf, -math.inf, 1e-30, 1e38])
 def test_turns_follow_the_listed_weights_and_stay_even(odd: float) -> None:
-    # Found on the first days of the move: backends of half the size got as much as the others.
+    # Guards against backends of half the size that get as many requests as the others.
     drive = Drive(entries=weighed(1, odd, 1, odd), classes=PURE)
     served = turns(drive, 42)  # within the first slot: no backend moves
-    group = drive.balancer.groups.by_side[1]  # that of the one class
+    group = drive.balancer.groups.by_side[1]  # the group of the only class
     whole = sum(b.weight for b in group)
     assert sum(served.values()) == 42 and len(group) == 4
-    if odd <= 3.0 or math.isnan(odd):  # what is no weight counts as the usual one
+    if odd <= 3.0 or math.isnan(odd):  # an invalid weight counts as 1
         assert all(served[b.id] == pytest.approx(42 * b.weight / whole, abs=2) for b in group)
         assert odd > 0 or whole == 4.0
 
 
 def loaded(told: bool) -> float:
-    """The part of heavy and light requests, each as late as its cost, that counts as crowded."""
+    """Return the congestion measured for cheap and expensive requests whose latency equals their cost."""
     kind = io.RequestClass(
         200 * MS, 2 * NS, 1.0, 0.3, Effect.IDEMPOTENT, io.KeyScope.ALL, NS, False
     )
@@ -64,7 +64,7 @@
 def test_heavy_requests_whose_cost_is_told_are_no_crowd() -> None:
     assert loaded(told=True) < 0.05 < 0.3 < loaded(told=False)
     drive = Drive(4, classes=PURE)
-    for i in range(100):  # told the wrong way round: the slope stays at nought
+    for i in range(100):  # declared costs contrary to latency: the slope stays at 0
         drive.serve(latency=(60, 20)[i % 2] * MS, cost=(20, 60)[i % 2] * MS)
     heavy = drive.balancer.requests.open[drive.ask(cost=60 * MS)[0]]
     assert drive.balancer.latency.latency_at_mean_cost(heavy, 20 * MS) == 20 * MS
@@ -83,12 +83,13 @@
 
 
 def test_work_that_waits_on_others_is_calm_though_much_is_out() -> None:
-    # Found on a quiet day: with more out than cores, no calm mean was ever known, and room gave way.
+    # Guards against a shrinking capacity at low load: with more attempts in flight than cores, no
+    # baseline was ever measured.
     drive = Drive(4, classes=PURE, proxies=4, tenants=(io.Tenant(1.0, 100.0),))
     drive.balancer.limits.capacity = 12.0
     out = [drive.send(cost=50 * MS) for _ in range(6)]
     for _ in range(80):
-        drive.now += 300 * MS  # over 0.45 of the aim
+        drive.now += 300 * MS  # over 0.45 of the objective
         drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 12.0
         drive.end(*out.pop(0), latency=300 * MS)
         spare = drive.balancer.limits.spare_capacity
@@ -146,7 +147,7 @@
 
 
 def test_a_backend_that_fails_two_requests_of_three_is_ejected() -> None:
-    # Found on a day of fast errors: each good answer wiped out what the failures had told.
+    # Guards against a backend with fast errors that stays in rotation: each success reset its score.
     drive = Drive(4, classes=PURE, max_attempts=1)
     met = 0
     while met < 8 and not drive.balancer.endpoints.by_id[2].outlier.ejected_until_ns:
@@ -176,14 +177,14 @@
 
 
 def test_the_first_seconds_after_the_switch_refuse_nobody_and_push_no_cold_backend() -> None:
-    """What carries over is taken where it means the same: backends known by id and start, the rest afresh."""
+    """State is inherited only where it matches: backends by id and start time, baselines by class."""
     old = Drive(20, classes=PURE, proxies=20)
     for _ in range(200):
         old.serve()
     for b in old.balancer.endpoints.by_id.values():
         b.outlier.failure_score = 0.5
     word = old.balancer.export_state()
-    word.baselines = [*word.baselines, [1.0, 1.0, 60.0]]  # of another shape: one class more
+    word.baselines = [*word.baselines, [1.0, 1.0, 60.0]]  # does not match: one class more
     rows = [entry(i, started=0) for i in range(1, 11)] + [
         entry(i, started=old.now) for i in range(11, 31)
     ]
@@ -200,7 +201,7 @@
     )
     assert not any(
         new.balancer.endpoints.by_id[i].outlier.failure_score for i in range(11, 21)
-    )  # the same ids, started anew
+    )  # the same ids, restarted
     cold: list[int] = []
     for _ in range(150):  # three seconds
         rid, acts = new.ask()
@@ -210,13 +211,13 @@
                 cold += [act.backend] * (act.backend > 10)
                 new.now += 20 * MS
                 new.end(rid, act.backend)
-    # Under the fall multiple of a warm one's rate at the warmth of the third second.
+    # Below the overload multiple of a warm backend's rate at the warmth of the third second.
     warm = 150 / 3 / len(new.balancer.groups.members)
     assert max((cold.count(b) for b in cold), default=0) <= 3 * 3.0 * warm * 0.25 + 1
 
 
 def test_spare_room_opens_with_the_first_quick_answers_where_proxies_are_many() -> None:
-    # Found on a quiet day: requests taken for beyond a share were refused for ten seconds on an idle fleet.
+    # Guards against an idle fleet that rejects requests counted as beyond a quota for ten seconds.
     drive = Drive(12, classes=PURE, proxies=12, tenants=(io.Tenant(1.0, 100.0),))
     rid, backend = drive.send()
     drive.balancer.limits.spare_capacity = 1.0
@@ -226,7 +227,7 @@
 
 
 def test_a_kind_of_machine_that_is_slower_by_itself_keeps_its_turns() -> None:
-    # Found in the unevenness of turns: where machines are unlike, the older ones were taken for slow.
+    # Guards against uneven turns in a mixed fleet: older machines were treated as slow.
     drive = Drive(
         entries=[io.Endpoint(i, 0, i % 2, 0, io.Health.READY, 1.0, 0) for i in range(1, 9)],
         proxies=8,
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -1,4 +1,4 @@
-"""One small test for each kind of trouble that the module guards against."""
+"""Tests of single faults that the policy guards against."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def warmed(backends: int = 4, **changes: Any) -> Drive:
-    """An instance that has served each backend a few times."""
+    """Return a driver whose backends have each served several requests."""
     drive = Drive(backends, **{"classes": PURE, **changes})
     for _ in range(10 * backends):
         drive.serve()
@@ -28,7 +28,7 @@
 
 
 def probe_request(drive: Drive, kind: int = 0, left: int = 2 * NS) -> Request:
-    """A request to ask the skip rules about, which the instance does not hold."""
+    """Return a request for checking the skip rules, which the balancer has not received."""
     b = drive.balancer
     arrived = io.RequestArrived(0, kind, 0, 0, left, 0, False)
     return Request(
@@ -70,10 +70,12 @@
     drive = warmed()
     for _ in range(20):
         drive.feed(io.HealthHint(1))
-    assert not drive.balancer.endpoints.by_id[1].outlier.ejected_until_ns, "hints alone never eject"
+    assert not drive.balancer.endpoints.by_id[1].outlier.ejected_until_ns, (
+        "hints alone must not eject"
+    )
     drive.balancer.outliers.count_failure(drive.balancer.endpoints.by_id[1], 1.0)
     assert drive.balancer.endpoints.by_id[1].outlier.ejected_until_ns, (
-        "with a hint one failure decides"
+        "one failure after a hint must eject"
     )
     drive.feed(io.HealthHint(99))
     assert 99 not in drive.balancer.endpoints.by_id and drive.balancer.outliers.unhealthy_count == 1
@@ -90,12 +92,14 @@
     fail(drive, 2)
     assert skip(drive, 2) == SkipReason.UNHEALTHY
     drive.wait(NS)
-    assert skip(drive, 2, 1) == SkipReason.UNHEALTHY  # the trial is a safe request
+    assert (
+        skip(drive, 2, 1) == SkipReason.UNHEALTHY
+    )  # the half-open probe must be an idempotent request
     assert skip(drive, 2) == SkipReason.NONE
     rid = trial = 0
     while trial != 2:
         rid, trial = drive.send()
-    assert skip(drive, 2) == SkipReason.UNHEALTHY  # one at a time
+    assert skip(drive, 2) == SkipReason.UNHEALTHY  # one half-open probe at a time
     drive.end(rid, 2)
     assert drive.balancer.endpoints.by_id[2].outlier.ejected_until_ns == 0
 
@@ -134,7 +138,7 @@
 
 
 def test_a_later_attempt_does_not_go_to_the_ailing() -> None:
-    # Found on a day with crashes: the last backend left took all that the others had turned away.
+    # Guards against the last unhealthy backend receiving all requests that the others rejected.
     drive = warmed(3)
     rid, first = drive.send()
     for number in {1, 2, 3} - {first}:
@@ -145,7 +149,8 @@
 
 
 def test_rejected_trials_keep_to_the_cold_budget() -> None:
-    # Found by a hunt: rejected trials of a cold backend followed each other at once and pushed it over.
+    # Guards against overload of a warming backend by half-open probes: after a rejected probe the
+    # next one followed immediately.
     drive = warmed(3)
     drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=drive.now)]))
     fail(drive, 9)
@@ -163,7 +168,7 @@
 
 
 def test_a_full_backend_rests_after_a_rejection() -> None:
-    # Found on an incident: rejected requests went round the fleet, thirteen attempts each.
+    # Guards against rejected requests that try every backend of the fleet, thirteen attempts each.
     drive = warmed()
     rid, full = drive.send()
     drive.end(rid, full, AttemptResult.REJECTED)
@@ -181,14 +186,16 @@
 
 
 def test_second_copies_only_away_from_silence() -> None:
-    # Found on a rough day: copies of merely late answers made all answers late.
+    # Guards against hedging requests that are merely late: the load made all responses late.
     drive = warmed()
     _, slow = drive.send()
-    drive.balancer.endpoints.by_id[slow].last_progress_ns = drive.now + 1  # it does answer others
+    drive.balancer.endpoints.by_id[slow].last_progress_ns = (
+        drive.now + 1
+    )  # it does respond to other requests
     assert not sends(drive.wait(NS))
     drive = warmed()
     rid, silent = drive.send()
-    assert not sends(drive.wait(NS))  # one silent attempt may just be heavy
+    assert not sends(drive.wait(NS))  # one attempt without a response may be an expensive request
     drive = warmed()
     rid, silent = drive.send()
     drive.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
@@ -206,18 +213,19 @@
 
 
 def full_house(drive: Drive, **kw: int) -> list[tuple[int, int]]:
-    """Requests out until the proxy has no room left."""
+    """Send requests until the proxy has no capacity left; return those in flight."""
     held: list[tuple[int, int]] = []
     for _ in range(200):
         rid, acts = drive.ask(**kw)
         if not sends(acts):
             return held
         held.append((rid, sends(acts)[0].backend))
-    raise AssertionError("room without end")
+    raise AssertionError("capacity is not exhausted after 200 requests")
 
 
 def test_time_outs_shrink_the_room() -> None:
-    # Found on an overloaded day: tries were given up near the aim, so late answers never came.
+    # Guards against overload that only shows as timeouts: attempts are given up before a late
+    # response arrives.
     drive = warmed()
     held = full_house(drive)
     before = drive.balancer.limits.capacity
@@ -230,7 +238,7 @@
 
 
 def test_some_late_answers_in_an_empty_house_do_not_shrink_it() -> None:
-    # Found on a quiet day: the room drifted down until requests were held for nothing.
+    # Guards against capacity that drifts down at low load until requests are queued needlessly.
     drive = warmed()
     before = drive.balancer.limits.capacity
     for i in range(200):
@@ -239,7 +247,8 @@
 
 
 def test_late_answers_shrink_a_room_that_is_not_full() -> None:
-    # Found on an incident: after the fleet shrank no proxy learned, as none filled its room.
+    # Guards against overload after the fleet shrank: no proxy used its full capacity, so that none
+    # reduced it.
     drive = warmed()
     before = drive.balancer.limits.capacity
     for _ in range(20):
@@ -248,14 +257,15 @@
 
 
 def test_beyond_share_requests_give_way_first() -> None:
-    # Found on a deploy day: proxies with little in-share traffic filled the fleet beyond share.
+    # Guards against proxies with little traffic within quota that fill the fleet with requests
+    # beyond quota.
     tenants = (io.Tenant(0.5, 10.0), io.Tenant(0.5, 10.0))
     drive = warmed(3, tenants=tenants)
     drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_fraction = 0.0, 0.5
     for flow in drive.balancer.profiles.all:
         flow.quota_tokens, flow.quota_refilled_at_ns = 1.0, drive.now
     assert sends(drive.ask(tenant=0)[1])
-    _, acts = drive.ask(tenant=0)  # past its allowance here: refused at once
+    _, acts = drive.ask(tenant=0)  # beyond its quota at this proxy: rejected immediately
     assert [type(a) for a in acts if not isinstance(a, io.SetTimer)] == [io.Reject]
     assert sends(drive.ask(tenant=1)[1])
 
@@ -272,7 +282,7 @@
 
 
 def test_silence_of_a_few_is_theirs_but_of_most_is_overload() -> None:
-    # Found on an incident: with every backend silent nothing was learned and the flood went on.
+    # Guards against overload in which no backend responds: it must reduce the capacity.
     for silent, shrinks in ((1, False), (4, True)):
         drive = warmed()
         held = full_house(drive)
@@ -288,7 +298,7 @@
 
 
 def test_room_opens_from_four_a_backend_for_all_proxies_together() -> None:
-    # Found on an incident: ten proxies filled every backend before the first answer could be late.
+    # Guards against many proxies that fill every backend before the first late response arrives.
     assert Drive(10, proxies=10).balancer.limits.capacity == 4.0
 
 
@@ -369,7 +379,7 @@
 
 @pytest.mark.parametrize("proxies", [1, 6, 30, 200, 400])
 def test_however_long_discovery_is_down_the_next_call_comes_in_time(proxies: int) -> None:
-    """From its return each change binds so long after it was made; a call may take 2 s."""
+    """Guards against changes read too late after discovery recovers; a call may take 2 s."""
     for seed in range(8):
         drive = Drive(discovery_push=False, proxies=proxies, position=proxies - 1, seed=seed)
         asked: list[int] = []
@@ -395,10 +405,10 @@
 
 
 def test_aims_near_the_work_do_not_shrink_the_room_of_an_idle_fleet() -> None:
-    # Found on a day drawn with tight aims: answers as fast as can be counted as late for ever.
+    # Guards against objectives close to the service time: even the fastest responses were late.
     drive = warmed(backends=4, proxies=2)
     for _ in range(100):
-        drive.serve(latency=300 * MS)  # over 0.45 of an aim of 500 ms, yet as calm as it gets
+        drive.serve(latency=300 * MS)  # over 0.45 of the objective of 500 ms, but the baseline
     calm = drive.balancer.limits.capacity
     for _ in range(100):
         drive.serve(latency=300 * MS)
@@ -417,7 +427,8 @@
 
 
 def test_an_even_part_of_the_allowance_is_inside_the_share() -> None:
-    # Found on a quiet day with tight aims: where all send little the typical pace is below any share.
+    # Guards against rejections at low load: if all tenants send little, the typical rate is below
+    # any quota.
     tenants = (io.Tenant(0.5, 20.0), io.Tenant(0.5, 20.0))
     drive = warmed(3, tenants=tenants, proxies=2)
     drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_fraction = 0.0, 0.01
@@ -432,7 +443,7 @@
 
 
 def test_answers_past_the_aim_shrink_the_room_faster() -> None:
-    # Found on incidents: crowded backends that lose efficiency stayed crowded for fifteen seconds.
+    # Guards against congested backends that lose efficiency and stay congested for 15 s.
     lost = {}
     for latency in (400 * MS, 600 * MS):
         drive = warmed(30, proxies=2)
@@ -443,27 +454,27 @@
 
 
 def test_far_aims_do_not_let_queues_grow() -> None:
-    # Found on an incident: with an aim of many service times each backend held a long queue.
+    # Guards against long queues at backends if the objective is many service times.
     drive = warmed(4, classes=(cls(),), proxies=1)
     for _ in range(60):
         drive.serve(latency=20 * MS)
     before = drive.balancer.limits.capacity
-    drive.serve(latency=100 * MS)  # far under the aim, but five times the calmest mean
+    drive.serve(latency=100 * MS)  # far below the objective, but five times the baseline
     assert drive.balancer.limits.capacity < before
 
 
 def test_a_single_late_priority_request_moves_nobody() -> None:
-    # Found on a quiet day: one late request a slot grew P at the cost of even turns.
+    # Guards against one late request per slot that grows P and makes turns uneven.
     drive = Drive(6)
     drive.wait(OBSERVATION_NS // 10 + 1)
     before = len(drive.balancer.groups.by_side[1])
-    drive.serve(2, latency=900 * MS)  # the priority class, past its aim
+    drive.serve(2, latency=900 * MS)  # the priority class, beyond its objective
     drive.wait(OBSERVATION_NS // 4)
     assert len(drive.balancer.groups.by_side[1]) == before
 
 
 def test_waiting_requests_do_not_breed_timers() -> None:
-    # Found on a day of overload: each nudge for what waits set two more, and the day ran out of CPU.
+    # Guards against timers that multiply under overload: each check of the queue scheduled two more.
     drive = warmed()
     full_house(drive)
     for _ in range(3):
@@ -475,7 +486,8 @@
 
 
 def test_room_falls_with_what_leaves_the_list_and_never_to_nothing() -> None:
-    # Found on an incident: a fleet shrunk to a third kept the room of the whole, and late answers piled up.
+    # Guards against a fleet that shrank to a third but kept its full capacity, so that late
+    # responses accumulated.
     drive = Drive(8, classes=PURE)
     before = drive.balancer.limits.capacity
     drive.feed(
@@ -492,7 +504,7 @@
 
 
 def usual_day(**changes: Any) -> Drive:
-    """Two classes, each answered in its own time, with little out."""
+    """Return a driver with two classes of different latency and few attempts in flight."""
     drive = Drive(6, **{"classes": (cls(), cls()), "proxies": 1, **changes})
     for _ in range(200):
         drive.serve(0, latency=40 * MS)
@@ -501,7 +513,7 @@
 
 
 def hang(drive: Drive, rounds: int, latency: int = 60 * MS) -> None:
-    """Every second request of class 0 gets no answer, wherever it goes; class 1 takes `latency`."""
+    """Every second request of class 0 gets no response at any backend; class 1 takes `latency`."""
     for i in range(rounds):
         rid, acts = drive.ask(0)
         for sent in sends(acts):
@@ -528,7 +540,8 @@
     hang(drive, 120)
     assert bal.latency.shared_lateness[0] < MIN_SHARED_FRACTION <= bal.latency.shared_lateness[1]
     assert bal.limits.capacity >= room
-    # Silence of a class known for it is one failure, however long it lasted: no backend goes by it alone.
+    # A timeout of an unresponsive class counts as one failure, however long it was: it does not
+    # eject a backend by itself.
     b = bal.groups.members[0]
     b.outlier.failure_score, b.outlier.ejected_until_ns = 0.0, 0
     rid, backend = drive.send(0)
@@ -547,7 +560,7 @@
     hang(drive, 120)
     rid, backend = drive.send(0)
     held = next(b for b in drive.balancer.groups.members if b.id == backend)
-    held.last_progress_ns = drive.now + MS  # it has answered others since
+    held.last_progress_ns = drive.now + MS  # it has responded to others since
     copies = [a for a in sends(drive.wait(200 * MS)) if a.request == rid]
     assert len(copies) == 1 and copies[0].backend != backend
 
@@ -579,19 +592,21 @@
                 drive.now += latency
                 for sent in sends(acts):
                     drive.end(other, sent.backend, latency=latency)
-            held.last_progress_ns = drive.now  # it answers others meanwhile
+            held.last_progress_ns = drive.now  # it responds to others meanwhile
         room = bal.limits.capacity
         repeats = sends(drive.end(rid, backend, AttemptResult.TIMEOUT, latency=500 * MS))
         assert bal.latency.congestion < 0.1
         assert bal.limits.capacity > room - 0.01
-        for repeat in repeats:  # an attempt that never ends would be a silence of its own
+        for (
+            repeat
+        ) in repeats:  # an attempt without an end would count as a further missing response
             drive.end(repeat.request, repeat.backend, attempt=1, latency=40 * MS)
 
 
 def test_a_time_out_no_longer_than_usual_tells_nothing_of_room_or_backend() -> None:
     drive = usual_day()
     bal, usual = drive.balancer, drive.balancer.latency.usual_ns
-    bal.latency.congestion = 1.0  # so that silence would count in full
+    bal.latency.congestion = 1.0  # so that a missing response has full weight
     for _ in range(10):
         rid, backend = drive.send(0, left=int(usual))
         room = bal.limits.capacity
@@ -614,7 +629,7 @@
     drive = usual_day()
     rid, acts = drive.ask(0, left=int(drive.balancer.latency.usual_ns / 3))
     assert [a.request for a in acts if isinstance(a, io.Reject)] == [rid] and not sends(acts)
-    # Nor is a copy sent that could not come back in time.
+    # No hedge is sent either if its response could not arrive in time.
     hang(drive, 120)
     rid, backend = drive.send(0, left=int(0.9 * drive.balancer.latency.usual_ns))
     assert not [
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -1,4 +1,4 @@
-"""Many proxies with little traffic each: members, summed allowances, first seconds, odd settings."""
+"""Many proxies with little traffic each: subsets, sums over the fleet, start-up, unusual settings."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def crowd(proxies: int, rows: list[io.Endpoint], **changes: object) -> list[Balancer]:
-    """All proxies of a site, told the same list at the same time."""
+    """Return the balancers of all proxies, which received the same list at the same time."""
     tier = []
     for i in range(proxies):
         balancer = Balancer(
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize(("proxies", "backends"), [(335, 60), (434, 80), (411, 70)])
 def test_members_are_few_and_cover_all_backends_evenly(proxies: int, backends: int) -> None:
-    """Guards against tables of connections that overfill, and against backends that nobody uses."""
+    """Guards against too many open connections, and against backends that no proxy uses."""
     rows = [entry(7919 * i, zone=i % 2) for i in range(1, backends + 1)]
     tier = crowd(proxies, rows)
     assert max(len(b.groups.members) for b in tier) <= MIN_MEMBERS + 3
@@ -106,7 +106,7 @@
 @hypothesis_settings(derandomize=True, max_examples=6, deadline=None, database=None)
 @given(seed=st.integers(0, 2**32), backends=st.integers(6, 20), rate=st.sampled_from((2, 6)))
 def test_all_proxies_together_keep_the_cold_budget(seed: int, backends: int, rate: int) -> None:
-    """The fourth rule over the whole tier: floors and first tokens of many proxies would add up."""
+    """Guards against overload of a warming backend by the sum of the tokens of many proxies."""
     proxies, rng = 60, random.Random(seed)
     cold = 1 + rng.randrange(backends)
     tier = crowd(proxies, [entry(i) for i in range(1, backends + 1)])
@@ -136,7 +136,7 @@
                     elif now >= born:
                         warm_sends += 1
         told = told or now >= born
-    assert hits, "a cold backend must warm up"
+    assert hits, "a warming backend must get requests"
     warm_rate = warm_sends / (backends - 1) / 8
     for at in hits:
         window = sum(1 for h in hits if at - cfg.overload_window_ns < h <= at)
@@ -147,7 +147,7 @@
 
 
 def test_the_last_of_the_ring_has_turns_where_there_is_one_class() -> None:
-    """Guards against a backend that all proxies leave to a second profile where there is none."""
+    """Guards against a backend reserved for a second profile when there is only one."""
     tier = crowd(60, [entry(i) for i in range(1, 18)])
     last = tier[0].endpoints.ring[-1].id
     served: Counter[int] = Counter()
@@ -165,7 +165,7 @@
 
 
 def in_turn(balancer: Balancer) -> bool:
-    """Whether every member stands in the rotation of the one profile, and nobody else stands in any."""
+    """Whether all members, and no other backends, are in the rotation of the only profile."""
     other, own = balancer.groups.by_side
     return (
         not other
@@ -181,13 +181,13 @@
 def test_with_one_profile_all_members_have_its_turns(
     proxies: int, backends: int, tenants: tuple[io.Tenant, ...]
 ) -> None:
-    """Guards against members, old or new, that are left to a second profile where there is none."""
+    """Guards against members, old or new, that are reserved for a second profile when there is only one."""
     changes: dict[str, Any] = {"classes": PURE, "tenants": tenants, "may_hedge": False}
     drive = Drive(backends, proxies=proxies, position=7 % proxies, **changes)
     balancer = drive.balancer
 
     def serve_all(latency: int) -> set[int]:
-        # Every answer comes; with tenants every other request is of an unknown one.
+        # Every request gets a response; with tenants, every second request is from an unknown tenant.
         known, got = members(balancer), set[int]()
         asks = 8 * len(known)
         open_: list[tuple[int, int, int]] = []
@@ -214,7 +214,7 @@
 
     assert in_turn(balancer)
     assert not serve_all(20 * MS)
-    for number in range(1, 5):  # one that comes, has come back, or leaves
+    for number in range(1, 5):  # a backend that joins, restarts or leaves
         drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2 * number, [entry(900 + number)]))
         assert in_turn(balancer)
         drive.feed(
@@ -233,12 +233,12 @@
     drive.wait(25 * NS)
     balancer.subset.request_rate = (
         6.0 * 4 * len(balancer.groups.members)
-    )  # one after the other: fewer than half are new
+    )  # members join one by one: fewer than half are new
     for size in range(len(balancer.groups.members) + 1, len(balancer.endpoints.ring) + 1):
         balancer.subset.request_rate = 6.0 * size
         balancer.subset.refresh()
         assert in_turn(balancer)
-    serve_all(900 * MS)  # past every aim, so that (9) would move; some rest
+    serve_all(900 * MS)  # beyond every objective, so that (9) would move; some back off
     for number in sorted(members(balancer))[1:]:
         balancer.outliers.count_failure(balancer.endpoints.by_id[number], 2.0)
         assert in_turn(balancer)
@@ -248,7 +248,7 @@
 
 
 def test_with_one_class_a_newcomer_has_turns_at_every_proxy() -> None:
-    """Guards against newcomers that join a second profile's group while neither ratio is over the other."""
+    """Guards against new members that join the group of a second profile while both ratios are equal."""
     tier = crowd(60, [entry(i) for i in range(1, 18)])
     served: Counter[int] = Counter()
     for k, balancer in enumerate(tier):
@@ -273,7 +273,7 @@
 
 
 def test_first_calls_to_discovery_are_spread_and_in_time() -> None:
-    """Guards against a herd at boot: one service answers all proxies, one call after the other."""
+    """Guards against simultaneous calls at the start: discovery serves all proxies one by one."""
     proxies, rows = 300, [entry(i) for i in range(1, 61)]
     tier = crowd(proxies, rows, discovery_push=False)
     asked: Counter[int] = Counter()
@@ -299,7 +299,7 @@
 
 
 def test_tenants_of_little_traffic_keep_their_share() -> None:
-    """Guards against chance: one request in ten seconds must not count as beyond its share."""
+    """Guards against random gaps: one request in ten seconds must not exceed the quota."""
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.25, 20.0), io.Tenant(0.25, 20.0))
     rng = random.Random(4)
     beyond = asked = heavy = 0
@@ -345,7 +345,7 @@
 
 
 def test_a_rejecting_backend_rests_longer_each_time_until_it_serves() -> None:
-    # Found on an incident: a fleet full for all was asked again within one usual latency, for ever.
+    # Guards against a full fleet that gets retries within one usual latency, forever.
     drive = Drive(4, classes=PURE)
     b = drive.balancer.groups.by_side[1][0]
     for _ in range(20):
@@ -400,7 +400,8 @@
 
 
 def test_a_cold_backend_has_no_floor_of_its_own_at_each_proxy() -> None:
-    # Found on the first grown days: half a request a second from each of hundreds pushed cold ones over.
+    # Guards against a minimum rate per proxy: half a request per second from each of hundreds
+    # overloaded warming backends.
     drive = Drive(60, classes=PURE, proxies=300)
     drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
     cold = drive.balancer.endpoints.by_id[1]
@@ -412,7 +413,7 @@
 
 
 def cold_turns(balancer: Balancer, number: int, until: int, step: int = 5 * MS) -> list[int]:
-    """When this proxy would send to a cold backend that it may always send to, from its own now on."""
+    """Return when this proxy could send to a warming backend, from its current time until `until`."""
     times: list[int] = []
     b = balancer.endpoints.by_id[number]
     while balancer.context.now_ns < until:
@@ -428,8 +429,8 @@
     ("positions", "off"), [(range(30), 3.0), (range(411, 441), 3.0), (range(5, 5 + 7 * 30, 7), 5.0)]
 )
 def test_first_turns_of_a_fleet_are_one_even_row(positions: range, off: float, seed: int) -> None:
-    # Parts drawn by each for itself spread like dice. Positions that follow one another lie evenly;
-    # where numbers are left out the row has gaps.
+    # Guards against clusters of first attempts, as from independent random draws. Consecutive
+    # positions are evenly spaced; missing positions leave gaps.
     tier = [
         Balancer(settings(classes=PURE, proxies=30, position=k), seed * 1000 + k) for k in positions
     ]
@@ -450,7 +451,8 @@
 
 @pytest.mark.parametrize("restart", [200, 900, 1700, 2600, 4000])
 def test_a_restart_in_the_middle_of_a_ramp_begins_no_fresh_part(restart: int) -> None:
-    # A new process drew a part anew: after a turn just taken by its old self, the next came at once.
+    # Guards against a new process with new random tokens, whose attempt followed that of the
+    # previous process immediately.
     for seed in range(40):
         cfg, born = settings(classes=PURE, proxies=30, position=seed), START + NS
         rows = [entry(i) for i in range(1, 4)]
@@ -465,7 +467,7 @@
         )
         turns += cold_turns(new, 3, born + 8 * NS)
         for one, two in pairwise(turns):
-            # No two turns are nearer than a whole one takes at the warmth at the end of it.
+            # The interval between attempts is at least the time to refill one token.
             warmth = (
                 cfg.initial_warmth + (1 - cfg.initial_warmth) * (two - born) / cfg.slow_start_ns
             )
@@ -474,7 +476,8 @@
 
 
 def test_a_backend_that_comes_back_under_its_name_again_and_again_gets_no_fresh_parts() -> None:
-    # Each return drew a part anew at every proxy; now the row is the same, begun at another place.
+    # Guards against new random tokens at every proxy for each restart: the order of the proxies must
+    # stay the same, with another start.
     proxies, life = 30, 400 * MS
     tier = [
         Balancer(settings(classes=PURE, proxies=proxies, position=k), k) for k in range(proxies)
@@ -487,12 +490,13 @@
             b.handle(born, [io.EndpointUpdate(UpdateScope.DELTA, 1 + i, [entry(3, started=born)])])
             b.slow_start.warm_rate = 4.0
             got += len(cold_turns(b, 3, born + life - MS))
-        # Each proxy 0.45 x 3 x 4 x the least warmth of 0.1 and a little: 0.54 to 0.6 turns a second.
+        # Each proxy: 0.45 x 3 x 4 x a warmth of 0.1 or slightly more, 0.54 to 0.6 attempts per second.
         assert abs(got - proxies * 0.225) <= 2.5, (i, got)
 
 
 def test_turns_that_nobody_looked_for_lapse() -> None:
-    # Proxies that widen to a backend after some seconds had all saved a whole turn, and spent them at once.
+    # Guards against saved tokens: proxies that added a backend to their subsets after some seconds
+    # all had a full token and used it immediately.
     drive = Drive(60, classes=PURE, proxies=300)
     drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
     cold = drive.balancer.endpoints.by_id[1]
@@ -505,13 +509,13 @@
     )
 
 
-# With one class all four are served alike, (4) makes slots longer, and the second of them must do.
+# With one class all four backends get equal traffic, (4) makes slots longer, and two must suffice.
 @pytest.mark.parametrize(("classes", "late"), [((cls(), cls(worth=0.5)), 30), (PURE, 50)])
 def test_the_cold_part_follows_a_pace_that_falls(
     classes: tuple[io.RequestClass, ...], late: int
 ) -> None:
-    # Where many backends turn cold at once each proxy widens and gets less of the others; the mean of ten
-    # seconds told the old pace for long, and the sum over the fleet came to twice what was meant.
+    # Guards against overload when many backends restart: each proxy uses more backends and gets less
+    # from each. The 10 s mean lagged behind, and the sum over the fleet was twice the planned rate.
     drive = Drive(4, classes=classes)
     for _ in range(300):
         drive.serve(latency=10 * MS)
@@ -530,7 +534,7 @@
 
 
 def test_rejections_shrink_the_room() -> None:
-    # Found on an incident: a fleet full for all rejected at once, and each proxy sent again at once.
+    # Guards against a full fleet that rejects immediately, whereupon each proxy retries immediately.
     drive = Drive(4, classes=PURE)
     for _ in range(20):
         drive.serve()
@@ -552,7 +556,7 @@
 
 
 def test_a_jam_from_the_start_is_not_taken_for_calm() -> None:
-    # Found on the first grown days: answers of a jam set the calmest mean, and nothing looked crowded.
+    # Guards against a baseline measured during congestion, by which nothing looks congested.
     drive = Drive(10, classes=PURE, proxies=40)
     first = drive.balancer.limits.capacity
     for _ in range(30):
@@ -561,7 +565,8 @@
 
 
 def test_a_part_of_the_traffic_is_read_off_what_was_served() -> None:
-    # Found on the first grown days: clients' repeats swelled every share, the heavy tenant's most.
+    # Guards against client retries that inflate the traffic fraction, most of all the heaviest
+    # tenant's.
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.5, 40.0))
     drive = Drive(60, classes=PURE, proxies=300, tenants=tenants)
     drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 0.0
@@ -573,8 +578,8 @@
 
 
 def test_a_growing_fleet_does_not_starve_its_cold_backends() -> None:
-    # Found on an incident: sixteen backends grew to seventy-five, and the cold rate shared out what the few
-    # warm ones serve over all of them.
+    # Guards against a fleet that grows from sixteen to seventy-five backends and divides the rate of
+    # the few warm ones among all of them.
     drive = Drive(4, classes=PURE)
     for _ in range(100):
         drive.serve()
--- a/tests/policy/test_priority_groups.py
+++ b/tests/policy/test_priority_groups.py
@@ -1,4 +1,4 @@
-"""The paper's formulas against numbers worked by hand, and the two groups."""
+"""The paper's formulas against values computed by hand, and the two groups."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 def test_burst_estimate_7_8() -> None:
     b = Backend(entry(1), START, 1.0)
-    measured(b, START + 1 * NS, NS, 4, 4, 10)  # b = 0: its own mean is not exceeded
+    measured(b, START + 1 * NS, NS, 4, 4, 10)  # b = 0: the rate does not exceed its own mean
     measured(
         b, START + 2 * NS, NS, 8, 8, 10
     )  # above the mean of 6: b = 1/2; b was 0, so (8) adds nothing
@@ -130,7 +130,7 @@
     source = bal.groups.by_side[0]
     assert len(source) >= 2
     for b in source:
-        b.throughput.filtered = b.throughput.corrected = -30.0  # below nought counts as nought
+        b.throughput.filtered = b.throughput.corrected = -30.0  # negative estimates count as 0
     source[1].throughput.filtered, source[1].throughput.corrected = 3.0, 4.0
     source[0].throughput.filtered, source[0].throughput.corrected = 4.5, -30.0
     farthest = source[1]
@@ -144,7 +144,7 @@
 
 
 def close_with(drive: Drive, priority: float, best_effort: float) -> None:
-    """Close a slot in which the two sides saw these ratios of latency to aim."""
+    """Close a slot with the given ratios of latency to objective for the two sides."""
     drive.wait(OBSERVATION_NS // 10 + 1)
     bal = drive.balancer
     for side, ratio in ((0, best_effort), (1, priority)):
@@ -198,7 +198,7 @@
 
 def test_split_follows_shares_in_order_of_hashed_id() -> None:
     drive = Drive(10, tenants=(io.Tenant(0.7, 70.0), io.Tenant(0.3, 31.0)))
-    # Before anything is measured quota over share decides: the second tenant, with 0.3 of 10 backends.
+    # Before any measurement, quota over share decides: the second tenant, with 0.3 of 10 backends.
     assert groups(drive)[1] == sorted(sorted(range(1, 11), key=lambda i: (stable_hash(i), i))[:3])
 
 
@@ -260,11 +260,11 @@
     assert one.log == two.log
 
 
-# What must not grow with all that is known
+# Work that must not grow with the number of backends or tenants
 
 
 class Counted(list[Any]):
-    """A list that counts how often it is gone through."""
+    """A list that counts its iterations."""
 
     passes = 0
 
@@ -290,7 +290,7 @@
 
 
 def test_a_few_changed_rows_hash_no_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the whole list sorted for each row that changes."""
+    """Guards against sorting the whole list for each changed row."""
     drive = Drive(400)
     asked: list[int] = []
 
@@ -308,7 +308,7 @@
         7,
         900,
         900 + 5,
-    }  # the last: the place of its start in the row of cold turns
+    }  # the last: the hash of its start, for its first token
 
 
 def test_members_are_the_run_of_the_ring_from_this_proxys_place_on() -> None:
@@ -321,7 +321,7 @@
 
 
 def test_a_slots_end_goes_through_no_profiles_but_those_that_asked() -> None:
-    """Guards against all tenants, and the more against their square, at each slot's end."""
+    """Guards against work for all tenants, or for their square, at the end of each slot."""
     drive = Drive(4, tenants=tuple(io.Tenant(0.02, 2.0) for _ in range(50)))
     flows = drive.balancer.profiles.all = Counted(drive.balancer.profiles.all)
     drive.ask(tenant=7)
@@ -331,7 +331,7 @@
 
 
 def test_a_slots_end_where_all_tenants_ask_is_linear_in_them() -> None:
-    """Guards against tenants squared at each slot's end, also where all of them ask."""
+    """Guards against quadratic work at the end of a slot, even if all tenants send requests."""
 
     def lines(count: int) -> int:
         drive = Drive(4, tenants=tuple(io.Tenant(1.0 / count, 2.0) for _ in range(count)))
@@ -347,7 +347,7 @@
 
         def trace(frame: FrameType, event: str, _: object) -> Any:
             nonlocal ran
-            ran += event == "line"  # also at each turn of a loop that stands on one line
+            ran += event == "line"  # also for each iteration of a one-line loop
             return trace
 
         before = sys.gettrace()
@@ -365,7 +365,7 @@
 
 
 def test_a_request_goes_through_no_profiles_but_those_that_wait() -> None:
-    """Guards against a look at all tenants for each request, while a few of them wait."""
+    """Guards against work for all tenants per request while a few have queued requests."""
     drive = Drive(1, tenants=tuple(io.Tenant(0.02, 1e3) for _ in range(50)))
     drive.serve()
     drive.balancer.limits.capacity = 0.0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, checked from outside on random legal event scripts."""
+"""The four rules, checked on the actions for random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class World:
-    """Plays backends, clients and discovery for one instance and holds every action against the rules."""
+    """Simulates backends, clients and discovery for one balancer, and checks all actions by the rules."""
 
     def __init__(self, seed: int, parallel: bool, push: bool, tenants: bool) -> None:
         self.rng = random.Random(seed)
@@ -100,13 +100,13 @@
         elif isinstance(action, io.SendAttempt):
             self.sends += 1
             asked = self.asked[action.request]
-            assert action.request not in before, "sent after its end"
-            assert not asked.over, "sent after its final answer"
+            assert action.request not in before, "attempt sent after the end of its request"
+            assert not asked.over, "attempt sent after the final response"
             assert len(asked.sent) < self.cfg.max_attempts
             assert action.backend in self.entries or action.backend in self.told_off
             off = self.told_off.get(action.backend)
             assert off is None or self.now <= off + self.cfg.drain_grace_ns, (
-                "sent to a draining backend"
+                "attempt sent to a draining backend"
             )
             row = self.entries[action.backend]
             self.hold_to_effects(asked, row)
@@ -140,11 +140,13 @@
     def hold_to_effects(self, asked: Asked, row: io.Endpoint) -> None:
         out = [s for s in asked.sent if s.result is None]
         if not self.cfg.may_hedge:
-            assert not out, "two attempts at a time"
+            assert not out, "two attempts of one request in flight"
         ran = [s for s in asked.sent if s.result not in NEVER_RAN]
         if asked.kind.effect == Effect.IDEMPOTENT or not ran:
             return
-        assert asked.kind.effect == Effect.IDEMPOTENT_WITH_KEY, "an unsafe request was sent again"
+        assert asked.kind.effect == Effect.IDEMPOTENT_WITH_KEY, (
+            "a non-idempotent request was retried"
+        )
         assert self.now < ran[0].at + asked.kind.window_ns
         for s in ran:
             if asked.kind.group == KeyScope.ZONE:
@@ -191,7 +193,7 @@
         number = self.rng.choice(sorted(self.entries))
         if kind < 0.15:
             return io.EndpointUpdate(UpdateScope.FAILED, self.version, [])
-        if kind < 0.3:  # stale: it must not bring anything back
+        if kind < 0.3:  # outdated: it must not restore a backend
             return io.EndpointUpdate(UpdateScope.DELTA, 0, [entry(number, started=5)])
         if kind < 0.5:
             row = entry(number, zone=number % 2, cell=number % 3, started=self.now)
@@ -224,13 +226,13 @@
             s.due for a in self.asked.values() for s in a.sent if s.result is None
         ] + self.timers
         ahead = self.now + rng.choice((5, 5, 10, 20, 100)) * MS
-        self.now = max(self.now + 5 * MS, min([ahead, *ends]))  # batches never skip what is due
+        self.now = max(self.now + 5 * MS, min([ahead, *ends]))  # a batch never skips a due event
         events: list[io.Event] = []
         roll = rng.random()
         if roll < 0.1:
             events.append(self.change_list())
         elif roll < 0.12:
-            self.start()  # killed and started again in one batch; all it held is void
+            self.start()  # killed and restarted in one batch; its state is lost
             return
         events += self.end_attempts()
         live = [rid for rid, a in self.asked.items() if not a.over]
@@ -245,7 +247,7 @@
                 io.RequestArrived(self.next_id, kind, rng.randrange(2), 0, left, 0, False)
             )
             self.next_id += 1
-        events.append(io.ClientLeft(999_999_999))  # a stranger's; ignored
+        events.append(io.ClientLeft(999_999_999))  # an unknown request; ignored
         events.append(io.AttemptEnded(999_999_998, 0, 1, AttemptResult.OK, 1, True, ()))
         while self.timers and min(self.timers) <= self.now:
             due = min(self.timers)
@@ -254,7 +256,7 @@
         self.feed(events)
 
     def drain(self) -> None:
-        """No more arrivals: in the end every request has its one answer in time."""
+        """End all open requests, without new arrivals; each must get its final response in time."""
         for _ in range(500):
             self.now += 10 * MS
             events = self.end_attempts()
@@ -265,9 +267,9 @@
             if events:
                 self.feed(events)
             for asked in self.asked.values():
-                assert asked.over or self.now <= asked.deadline + SLACK, "no final answer in time"
+                assert asked.over or self.now <= asked.deadline + SLACK, "no final response in time"
         assert all(a.over for a in self.asked.values())
-        assert not self.balancer.requests.open, "requests are kept after their end"
+        assert not self.balancer.requests.open, "requests are still open after their end"
         assert self.balancer.limits.in_flight == 0
 
 
@@ -296,7 +298,7 @@
 @pytest.mark.parametrize("proxies", [2, 8])
 @pytest.mark.parametrize("rate", [40, 400])
 def test_a_cold_backend_gets_no_more_than_its_part(rate: int, proxies: int) -> None:
-    """Each proxy keeps to its part of the cold budget, measured by what warm ones do for it."""
+    """Each proxy keeps to its fraction of a warming backend's budget, as measured by the warm ones."""
     cfg = settings(classes=(cls(),), proxies=proxies)
     rows = [entry(i) for i in range(1, 5)]
     balancer, now, rid = Balancer(cfg, 5), START, 0
@@ -324,7 +326,7 @@
                     hits.append(now)
                 elif now >= cold_from:
                     warm_done += 1
-    assert hits, "a cold backend must warm up"
+    assert hits, "a warming backend must get requests"
     warm_rate = warm_done / 3 / 8
     for at in hits:
         window = sum(1 for h in hits if at - cfg.overload_window_ns < h <= at)
--- a/tests/policy/test_traffic_profiles.py
+++ b/tests/policy/test_traffic_profiles.py
@@ -1,4 +1,4 @@
-"""What a slot's end keeps of each tenant: the short way, over those that ask, against the long one."""
+"""Per-tenant statistics at the end of a slot: the incremental version against a plain reference."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Long:
-    """The long way: every flow is gone through at each slot's end, whether it asked or not."""
+    """Reference implementation: updates every profile at the end of each slot, active or not."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer, self.short = balancer, balancer.update_rates
@@ -71,7 +71,7 @@
 def play(
     tenants: list[io.Tenant], proxies: int, rng: random.Random, calls: int, quiet: int
 ) -> Iterator[tuple[Balancer, Long]]:
-    """Random traffic, most of it from a few; now and then `quiet` seconds of silence at most."""
+    """Random traffic, mostly from a few profiles, with occasional pauses below `quiet` seconds."""
     classes = PURE if tenants else tuple(cls(worth=rng.choice((1.0, 2.0, 5.0))) for _ in range(4))
     drive = Drive(
         5, seed=rng.randrange(2**32), classes=classes, tenants=tuple(tenants), proxies=proxies
@@ -83,7 +83,7 @@
         drive.now += rng.randrange(1, 400) * MS
         if rng.random() < 0.02:
             few[rng.randrange(3)] = rng.randrange(count)
-        if rng.random() < 0.02:  # all fall idle, or all but one
+        if rng.random() < 0.02:  # all become idle, or all but one
             until, one = drive.now + rng.randrange(quiet) * NS, rng.randrange(2)
             while drive.now < until:
                 drive.now += 2 * NS
@@ -95,10 +95,10 @@
 
 
 def ask(drive: Drive, long: Long, flow: int, rng: random.Random) -> None:
-    """One request, seen, and most often served."""
+    """Send one request, which is usually served."""
     drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 500.0
     by_tenant = bool(drive.balancer.context.settings.tenants)
-    drive.feed(io.TimerFired(drive.now))  # a slot that ends now ends before it
+    drive.feed(io.TimerFired(drive.now))  # a slot that ends now ends before the request
     rid, acts = drive.ask(0 if by_tenant else flow, tenant=flow if by_tenant else 0)
     long.seen[flow] += 1
     for act in sends(acts):
@@ -119,7 +119,7 @@
 def test_the_short_way_gives_what_the_long_way_gives(
     rows: list[tuple[float, float]], proxies: int, seed: int
 ) -> None:
-    """Rates, traffic, typical pace and priority, while flows fall idle, are forgotten, and come back."""
+    """Rates, counts, traffic fraction and priority while profiles turn idle, inactive and active again."""
     tenants = [io.Tenant(*row) for row in rows]
     for balancer, long in play(tenants, proxies, random.Random(seed), 120, 3000):
         assert balancer.profiles.traffic_fraction == SAME(long.part, rel=1e-12)
@@ -151,7 +151,7 @@
 
 
 def test_tenants_are_forgotten_in_the_plays_above() -> None:
-    """So that what they hold is held of flows that left and came back."""
+    """Ensures that the tests above cover profiles that become inactive and active again."""
     rng, left, back = random.Random(1), 0, 0
     tenants = [io.Tenant(1 / 20, 5.0) for _ in range(20)]
     before: set[int] = set()
@@ -169,14 +169,14 @@
 def test_where_many_ask_the_pace_is_off_by_what_is_forgotten_at_most(
     seed: int, rows: list[float]
 ) -> None:
-    """Past MANY those with less than FORGOTTEN_EARLY requests of late count as idle: their paces by that over PRIOR_REQUESTS."""
+    """Above MANY_PROFILES, profiles below EARLY_INACTIVE_BELOW are inactive; this bounds the error."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(traffic_profile, "MANY_PROFILES", 4)
         tenants = [io.Tenant(1 / len(rows), quota) for quota in rows]
         for balancer, long in play(tenants, 30, random.Random(seed), 150, 120):
             assert balancer.profiles.arrivals == SAME(sum(long.seen), rel=1e-9)
             for i, f in enumerate(balancer.profiles.all):
-                # What it leaves with is lost to it once in the time in which that would have faded anyway.
+                # A profile loses its count when it turns inactive, once per decay time at most.
                 assert (
                     long.good[i] - 2 * EARLY_INACTIVE_BELOW <= f.completions <= long.good[i] + 1e-12
                 )
@@ -188,7 +188,7 @@
 
 
 class Counted(list[Any]):
-    """A list that counts what is looked at."""
+    """A list that counts element accesses."""
 
     looks = 0
 
@@ -203,7 +203,7 @@
 
 
 def test_a_slots_end_looks_at_those_that_ask_and_not_at_all_tenants() -> None:
-    """A loop over all tenants, of which a fleet may have half a million, stops all requests meanwhile."""
+    """Guards against a loop over all tenants, up to half a million, that delays all requests."""
     rng, looks = random.Random(5), []
     for count in (2_000, 20_000):
         tenants = tuple(io.Tenant(1 / count, rng.uniform(1.0, 50.0)) for _ in range(count))
--- a/tests/policy/test_zone_weights.py
+++ b/tests/policy/test_zone_weights.py
@@ -1,4 +1,4 @@
-"""Parts by zone that were decided in common: how far the decisions go by them, and what goes before them."""
+"""Zone weights of the region's plan: when requests follow them, and what overrides them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert _served(drive, 200) == pytest.approx([0.0, 0.7, 0.3], abs=0.03)
     drive = Drive(entries=ROWS, classes=(cls(),), cross_zone_fee=fee)
     _told(drive, 0.0, 1.0, 0.0, strength=0.5)
-    found = _served(drive, 300)  # the half that is free goes where the rotation stands
+    found = _served(drive, 300)  # the other half follows the rotation
     assert found[1] == pytest.approx(0.5 if fee else 2 / 3, abs=0.1) and found[0] > 0.2
 
 
@@ -49,7 +49,7 @@
     drive = Drive(entries=ROWS, classes=(cls(),))
     _served(drive, 30)
     _told(drive, 0.0, 0.5, 0.5)
-    for _ in range(12):  # each box of zone 1 fails to connect once, and is out
+    for _ in range(12):  # each backend of zone 1 fails to connect once and is ejected
         rid, backend = drive.send()
         failed = (backend - 1) % 3 == 1
         acts = drive.end(rid, backend, AttemptResult.CONNECT_FAILED if failed else AttemptResult.OK)
@@ -57,7 +57,7 @@
             if isinstance(act, io.SendAttempt):
                 drive.end(rid, act.backend, attempt=1)
     zones = _served(drive, 20)
-    assert zones[1] == 0.0 and zones[2] == 1.0, "what is out takes no part"
+    assert zones[1] == 0.0 and zones[2] == 1.0, "ejected backends must get no requests"
 
 
 def test_what_fits_nowhere_is_refused_least_worth_first_and_with_a_time() -> None:
@@ -83,7 +83,9 @@
             if isinstance(act, io.SendAttempt):
                 drive.now += 20 * MS
                 drive.end(rid, act.backend)
-    assert refused[1] == pytest.approx(20, abs=9), "where nothing of less worth comes, others go"
+    assert refused[1] == pytest.approx(20, abs=9), (
+        "without requests of lower weight, others are rejected"
+    )
 
 
 def test_many_proxies_take_their_members_from_the_plans_zones() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits on size that every source file is held to."""
+"""Size limits of source files."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 MAX_MODULE_LINES = 500
 
-# Files that are still too long, with the length that they must not exceed. This table only shrinks.
+# Files that are still too long, with their maximum lengths. Entries may only be removed or lowered.
 OVERSIZED = {
     "mothstall/lab/fleetplay.py": 869,
     "mothstall/lab/replicas.py": 701,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames, settings and the hosting process."""
+"""Frames of the simulator's wire protocol, settings, and the host process."""
 
 from __future__ import annotations
 
@@ -281,7 +281,7 @@
 
 
 def _asked() -> tuple[Host, list[bytes], str]:
-    """An instance with one list; the record of a request, and its number."""
+    """Return a host whose instance has a list, the record of a request, and the request's id in hex."""
     host = Host()
     host.batch(0, codec.decode(frame(0, boot(), endpoints())[4:])[1])
     return host, [REQUEST], "000e30025d3a91c4"
@@ -295,7 +295,9 @@
 def test_a_client_that_leaves_in_the_batch_in_which_it_came_is_sent_on_to_nobody() -> None:
     host, (request,), number = _asked()
     left = bytes.fromhex("500003" + number)
-    assert bytes.fromhex("280003" + number) in _acts(_asked()[0], 1000, request)  # else it is
+    assert bytes.fromhex("280003" + number) in _acts(
+        _asked()[0], 1000, request
+    )  # without the departure it is sent
     assert bytes.fromhex(number) not in _acts(host, 1000, request, left)
     assert not host.instances[3].requests.open
 
