--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -92,9 +92,7 @@
     fail(drive, 2)
     assert skip(drive, 2) == SkipReason.UNHEALTHY
     drive.wait(NS)
-    assert (
-        skip(drive, 2, 1) == SkipReason.UNHEALTHY
-    )  # the half-open probe must be an idempotent request
+    assert skip(drive, 2, 1) == SkipReason.UNHEALTHY  # only idempotent half-open probes
     assert skip(drive, 2) == SkipReason.NONE
     rid = trial = 0
     while trial != 2:
@@ -189,9 +187,7 @@
     # Guards against hedging requests that are merely late: the load made all responses late.
     drive = warmed()
     _, slow = drive.send()
-    drive.balancer.endpoints.by_id[slow].last_progress_ns = (
-        drive.now + 1
-    )  # it does respond to other requests
+    drive.balancer.endpoints.by_id[slow].last_progress_ns = drive.now + 1  # it serves others
     assert not sends(drive.wait(NS))
     drive = warmed()
     rid, silent = drive.send()
@@ -597,9 +593,7 @@
         repeats = sends(drive.end(rid, backend, AttemptResult.TIMEOUT, latency=500 * MS))
         assert bal.latency.congestion < 0.1
         assert bal.limits.capacity > room - 0.01
-        for (
-            repeat
-        ) in repeats:  # an attempt without an end would count as a further missing response
+        for repeat in repeats:  # without an end it would count as a missing response
             drive.end(repeat.request, repeat.backend, attempt=1, latency=40 * MS)
 
 
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -231,9 +231,8 @@
         )
         assert in_turn(balancer)
     drive.wait(25 * NS)
-    balancer.subset.request_rate = (
-        6.0 * 4 * len(balancer.groups.members)
-    )  # members join one by one: fewer than half are new
+    # Members join one by one, so that fewer than half are new.
+    balancer.subset.request_rate = 6.0 * 4 * len(balancer.groups.members)
     for size in range(len(balancer.groups.members) + 1, len(balancer.endpoints.ring) + 1):
         balancer.subset.request_rate = 6.0 * size
         balancer.subset.refresh()
