--- a/tests/lab/test_mutations.py
+++ b/tests/lab/test_mutations.py
@@ -118,13 +118,17 @@
 
 
 @cache
-def play(name: str, seconds: float, module: str = "", old: str = "", new: str = "") -> Result:
+def run_scenario(
+    name: str, seconds: float, module: str = "", old: str = "", new: str = ""
+) -> Result:
     texts = dict(TEXTS)
     if module:
         assert texts[module].count(old) == 1, f"the source text of the guard has changed: {old}"
         texts[module] = texts[module].replace(old, new)
-    made = policy_source.from_package(texts)
-    return runs.play_made(scenario.lasting(scenario.load(name), seconds), made, "mutant", 1)
+    mutated_policy = policy_source.from_package(texts)
+    return runs.play_made(
+        scenario.lasting(scenario.load(name), seconds), mutated_policy, "mutant", 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -132,11 +136,11 @@
     VIOLATIONS,
     ids=[row[5] + " " + row[3] for row in VIOLATIONS],
 )
-def test_without_its_guard_a_rule_breaks(
+def test_removing_a_guard_breaks_a_rule(
     module: str, old: str, new: str, name: str, seconds: float, kind: str
 ) -> None:
-    assert kind in play(name, seconds, module, old, new).verdict.rules
-    assert not play(name, seconds).verdict.rules
+    assert kind in run_scenario(name, seconds, module, old, new).verdict.rules
+    assert not run_scenario(name, seconds).verdict.rules
 
 
 @pytest.mark.parametrize(
@@ -144,8 +148,11 @@
     LOSSES,
     ids=[row[0] + " " + row[1][:30] for row in LOSSES],
 )
-def test_without_its_guard_service_is_lost(
+def test_removing_a_guard_reduces_service(
     module: str, old: str, new: str, name: str, seconds: float, least: float
 ) -> None:
-    loss = play(name, seconds).verdict.worth - play(name, seconds, module, old, new).verdict.worth
+    loss = (
+        run_scenario(name, seconds).verdict.worth
+        - run_scenario(name, seconds, module, old, new).verdict.worth
+    )
     assert loss >= least
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -392,46 +392,51 @@
 
 
 def test_retry_of_a_request_with_key_carries_the_end_of_its_window() -> None:
-    drive = helpers.Drive()
-    rid, backend = drive.send(1)
-    sent_at = drive.now
-    drive.now += 20 * helpers.MS
-    drive.balancer.retry_budget.tokens = 5.0
-    (again,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
+    driver = helpers.Driver()
+    rid, backend = driver.send(1)
+    sent_at = driver.now
+    driver.now += 20 * helpers.MS
+    driver.balancer.retry_budget.tokens = 5.0
+    (again,) = helpers.sends(driver.end(rid, backend, AttemptResult.ERROR))
     assert again.write_by_ns == sent_at + NS
     # What surely never ran binds nothing.
-    rid, backend = drive.send(1)
-    (again,) = helpers.sends(drive.end(rid, backend, AttemptResult.REJECTED))
+    rid, backend = driver.send(1)
+    (again,) = helpers.sends(driver.end(rid, backend, AttemptResult.REJECTED))
     assert again.write_by_ns == 0
-    rid, backend = drive.send(0)
-    (again,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
-    assert again.write_by_ns == 0 and helpers.cls(Effect.IDEMPOTENT).effect == Effect.IDEMPOTENT
+    rid, backend = driver.send(0)
+    (again,) = helpers.sends(driver.end(rid, backend, AttemptResult.ERROR))
+    assert (
+        again.write_by_ns == 0
+        and helpers.request_class(Effect.IDEMPOTENT).effect == Effect.IDEMPOTENT
+    )
 
 
 def test_end_of_an_earlier_queueing_does_not_end_a_later_one() -> None:
-    drive = helpers.Drive(backends=2, max_attempts=4)
+    driver = helpers.Driver(backends=2, max_attempts=4)
     out = []
     while True:
-        rid, acts = drive.ask()
+        rid, acts = driver.arrive()
         if not (sent := helpers.sends(acts)):
             break
         out.append((rid, sent[0].backend))
-    until = drive.now + 125 * helpers.MS  # a quarter of the aim
-    drive.now += 100 * helpers.MS
+    until = driver.now + 125 * helpers.MS  # a quarter of the aim
+    driver.now += 100 * helpers.MS
     first, second = out[0], out[1]
-    (sent_now,) = helpers.sends(drive.end(*first))
+    (sent_now,) = helpers.sends(driver.end(*first))
     assert sent_now.request == rid
     # Its turn comes; the backend turns it away, as does everybody else: it waits again.
-    drive.now += 10 * helpers.MS
+    driver.now += 10 * helpers.MS
     for _ in range(2):
-        acts = drive.end(rid, sent_now.backend, AttemptResult.REJECTED, attempt=len(drive.attempts))
-        drive.attempts[len(drive.attempts)] = 1
+        acts = driver.end(
+            rid, sent_now.backend, AttemptResult.REJECTED, attempt=len(driver.attempts)
+        )
+        driver.attempts[len(driver.attempts)] = 1
         if not (more := helpers.sends(acts)):
             break
         sent_now = more[0]
-    assert drive.balancer.requests.open[rid].queued_until_ns > until
-    drive.now = until + helpers.MS
-    acts = drive.feed(interface.TimerFired(drive.now))
+    assert driver.balancer.requests.open[rid].queued_until_ns > until
+    driver.now = until + helpers.MS
+    acts = driver.feed(interface.TimerFired(driver.now))
     assert not [a for a in acts if isinstance(a, interface.Reject) and a.request == rid], second
 
 
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -330,18 +330,18 @@
 
 
 def test_queued_request_is_not_forwarded_after_its_client_left() -> None:
-    drive = helpers.Drive()
+    driver = helpers.Driver()
     out = []
     while True:
-        rid, acts = drive.ask()
+        rid, acts = driver.arrive()
         if not (sent := helpers.sends(acts)):
             break
         out.append((rid, sent[0].backend))
-    drive.feed(interface.ClientLeft(rid))
+    driver.feed(interface.ClientLeft(rid))
     for held in out:
-        drive.now += helpers.MS
-        assert not [s for s in helpers.sends(drive.end(*held)) if s.request == rid]
-    assert not drive.balancer.queue.count and not drive.balancer.requests.open
+        driver.now += helpers.MS
+        assert not [s for s in helpers.sends(driver.end(*held)) if s.request == rid]
+    assert not driver.balancer.queue.count and not driver.balancer.requests.open
 
 
 @pytest.mark.parametrize("who", ["the client", "the proxy"])
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -12,15 +12,19 @@
 START = 1000 * NS
 
 
-def cls(
-    effect: Effect = Effect.IDEMPOTENT, group: KeyScope = KeyScope.ALL, worth: float = 1.0
+def request_class(
+    effect: Effect = Effect.IDEMPOTENT, group: KeyScope = KeyScope.ALL, priority_weight: float = 1.0
 ) -> io.RequestClass:
-    return io.RequestClass(500 * MS, 2 * NS, worth, 0.3, effect, group, NS, False)
+    return io.RequestClass(500 * MS, 2 * NS, priority_weight, 0.3, effect, group, NS, False)
 
 
 def settings(**changes: Any) -> io.Settings:
     base: dict[str, Any] = {
-        "classes": (cls(), cls(Effect.IDEMPOTENT_WITH_KEY), cls(Effect.NON_IDEMPOTENT, worth=5.0)),
+        "classes": (
+            request_class(),
+            request_class(Effect.IDEMPOTENT_WITH_KEY),
+            request_class(Effect.NON_IDEMPOTENT, priority_weight=5.0),
+        ),
         "tenants": (),
         "zone": 0,
         "position": 0,
@@ -56,7 +60,7 @@
     return io.Endpoint(backend, zone, 0, cell, health, 1.0, started)
 
 
-class Drive:
+class Driver:
     """Drives one balancer with a simulated clock and records its actions."""
 
     def __init__(
@@ -88,18 +92,18 @@
             acts += self.feed(io.TimerFired(self.now))
         return acts
 
-    def ask(
-        self, kind: int = 0, left: int = 2 * NS, tenant: int = 0, cost: int = 0
+    def arrive(
+        self, class_index: int = 0, left: int = 2 * NS, tenant: int = 0, cost: int = 0
     ) -> tuple[int, list[io.Action]]:
         rid = self.next_id
         self.next_id += 1
-        return rid, self.feed(io.RequestArrived(rid, kind, tenant, 0, left, cost, False))
+        return rid, self.feed(io.RequestArrived(rid, class_index, tenant, 0, left, cost, False))
 
     def send(
-        self, kind: int = 0, left: int = 2 * NS, tenant: int = 0, cost: int = 0
+        self, class_index: int = 0, left: int = 2 * NS, tenant: int = 0, cost: int = 0
     ) -> tuple[int, int]:
         """Start a request that must be sent immediately; return its id and backend."""
-        rid, acts = self.ask(kind, left, tenant, cost)
+        rid, acts = self.arrive(class_index, left, tenant, cost)
         sends = [a for a in acts if isinstance(a, io.SendAttempt) and a.request == rid]
         assert len(sends) == 1, acts
         return rid, sends[0].backend
@@ -115,8 +119,10 @@
         done = result == AttemptResult.OK
         return self.feed(io.AttemptEnded(rid, attempt, backend, result, latency, done, ()))
 
-    def serve(self, kind: int = 0, latency: int = 20 * MS, tenant: int = 0, cost: int = 0) -> int:
-        rid, backend = self.send(kind, tenant=tenant, cost=cost)
+    def serve(
+        self, class_index: int = 0, latency: int = 20 * MS, tenant: int = 0, cost: int = 0
+    ) -> int:
+        rid, backend = self.send(class_index, tenant=tenant, cost=cost)
         self.now += latency
         self.end(rid, backend, latency=latency)
         return backend
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -14,111 +14,113 @@
 from mothstall.policy.request import Request
 from mothstall.policy.rotation import SkipReason
 from mothstall.policy.slots import OBSERVATION_NS
-from tests.policy.harness import MS, START, Drive, cls, entry, sends, settings
+from tests.policy.harness import MS, START, Driver, entry, request_class, sends, settings
 
-PURE = (cls(),)
+PURE = (request_class(),)
 
 
-def warmed(backends: int = 4, **changes: Any) -> Drive:
+def warm_driver(backends: int = 4, **changes: Any) -> Driver:
     """Return a driver whose backends have each served several requests."""
-    drive = Drive(backends, **{"classes": PURE, **changes})
+    driver = Driver(backends, **{"classes": PURE, **changes})
     for _ in range(10 * backends):
-        drive.serve()
-    return drive
+        driver.serve()
+    return driver
 
 
-def probe_request(drive: Drive, kind: int = 0, left: int = 2 * NS) -> Request:
+def probe_request(driver: Driver, class_index: int = 0, left: int = 2 * NS) -> Request:
     """Return a request for checking the skip rules, which the balancer has not received."""
-    b = drive.balancer
-    arrived = io.RequestArrived(0, kind, 0, 0, left, 0, False)
+    b = driver.balancer
+    arrived = io.RequestArrived(0, class_index, 0, 0, left, 0, False)
     return Request(
         arrived,
-        b.context.settings.classes[kind],
+        b.context.settings.classes[class_index],
         b.profiles.all[0],
         is_priority=False,
         now_ns=b.context.now_ns,
     )
 
 
-def skip(drive: Drive, number: int, kind: int = 0) -> SkipReason:
-    return drive.balancer.rotation.skip_reason(
-        drive.balancer.endpoints.by_id[number], probe_request(drive, kind)
+def skip(driver: Driver, number: int, class_index: int = 0) -> SkipReason:
+    return driver.balancer.rotation.skip_reason(
+        driver.balancer.endpoints.by_id[number], probe_request(driver, class_index)
     )
 
 
 def test_a_hung_backend_is_skipped_and_a_short_pause_does_not_eject() -> None:
-    drive = warmed()
-    rid, hung = drive.send()
-    drive.wait(30 * MS)
-    assert skip(drive, hung) != SkipReason.UNHEALTHY
-    drive.wait(500 * MS)
-    assert skip(drive, hung) == SkipReason.UNHEALTHY
-    assert not drive.balancer.endpoints.by_id[hung].outlier.ejected_until_ns
-    drive.end(rid, hung, latency=530 * MS)
-    assert skip(drive, hung) == SkipReason.NONE
-
-
-def test_an_unsafe_request_is_more_careful_of_silence() -> None:
-    drive = warmed(classes=(cls(), cls(Effect.NON_IDEMPOTENT)))
-    _, quiet = drive.send()
-    drive.wait(55 * MS)
-    assert skip(drive, quiet, 1) == SkipReason.UNHEALTHY
-    assert skip(drive, quiet, 0) != SkipReason.UNHEALTHY
-
-
-def test_a_hint_weighs_less_than_a_failure_of_ones_own() -> None:
-    drive = warmed()
+    driver = warm_driver()
+    rid, hung = driver.send()
+    driver.wait(30 * MS)
+    assert skip(driver, hung) != SkipReason.UNHEALTHY
+    driver.wait(500 * MS)
+    assert skip(driver, hung) == SkipReason.UNHEALTHY
+    assert not driver.balancer.endpoints.by_id[hung].outlier.ejected_until_ns
+    driver.end(rid, hung, latency=530 * MS)
+    assert skip(driver, hung) == SkipReason.NONE
+
+
+def test_a_non_idempotent_request_skips_a_stalled_backend_earlier() -> None:
+    driver = warm_driver(classes=(request_class(), request_class(Effect.NON_IDEMPOTENT)))
+    _, quiet = driver.send()
+    driver.wait(55 * MS)
+    assert skip(driver, quiet, 1) == SkipReason.UNHEALTHY
+    assert skip(driver, quiet, 0) != SkipReason.UNHEALTHY
+
+
+def test_health_hints_alone_do_not_eject() -> None:
+    driver = warm_driver()
     for _ in range(20):
-        drive.feed(io.HealthHint(1))
-    assert not drive.balancer.endpoints.by_id[1].outlier.ejected_until_ns, (
+        driver.feed(io.HealthHint(1))
+    assert not driver.balancer.endpoints.by_id[1].outlier.ejected_until_ns, (
         "hints alone must not eject"
     )
-    drive.balancer.outliers.count_failure(drive.balancer.endpoints.by_id[1], 1.0)
-    assert drive.balancer.endpoints.by_id[1].outlier.ejected_until_ns, (
+    driver.balancer.outliers.count_failure(driver.balancer.endpoints.by_id[1], 1.0)
+    assert driver.balancer.endpoints.by_id[1].outlier.ejected_until_ns, (
         "one failure after a hint must eject"
     )
-    drive.feed(io.HealthHint(99))
-    assert 99 not in drive.balancer.endpoints.by_id and drive.balancer.outliers.unhealthy_count == 1
+    driver.feed(io.HealthHint(99))
+    assert (
+        99 not in driver.balancer.endpoints.by_id and driver.balancer.outliers.unhealthy_count == 1
+    )
 
 
-def fail(drive: Drive, number: int, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
-    b = drive.balancer.endpoints.by_id[number]
-    drive.balancer.outliers.count_failure(b, EJECTION_SCORE)
+def fail(driver: Driver, number: int, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
+    b = driver.balancer.endpoints.by_id[number]
+    driver.balancer.outliers.count_failure(b, EJECTION_SCORE)
     assert b.outlier.ejected_until_ns
 
 
-def test_a_dead_backend_is_ejected_and_comes_back_by_one_mild_trial() -> None:
-    drive = warmed(classes=(cls(), cls(Effect.NON_IDEMPOTENT)))
-    fail(drive, 2)
-    assert skip(drive, 2) == SkipReason.UNHEALTHY
-    drive.wait(NS)
-    assert skip(drive, 2, 1) == SkipReason.UNHEALTHY  # only idempotent half-open probes
-    assert skip(drive, 2) == SkipReason.NONE
-    rid = trial = 0
-    while trial != 2:
-        rid, trial = drive.send()
-    assert skip(drive, 2) == SkipReason.UNHEALTHY  # one half-open probe at a time
-    drive.end(rid, 2)
-    assert drive.balancer.endpoints.by_id[2].outlier.ejected_until_ns == 0
-
-
-def test_a_failed_trial_doubles_the_wait() -> None:
-    drive = warmed()
-    fail(drive, 2)
-    first = drive.balancer.endpoints.by_id[2].outlier.ejection_ns
-    drive.wait(NS)
-    fail(drive, 2)
-    assert drive.balancer.endpoints.by_id[2].outlier.ejection_ns == 2 * first
-
-
-def test_a_backend_that_fails_fast_is_ejected_not_favoured() -> None:
-    drive = warmed(3, classes=(cls(Effect.NON_IDEMPOTENT),))
+def test_a_dead_backend_is_ejected_and_readmitted_by_one_idempotent_probe() -> None:
+    driver = warm_driver(classes=(request_class(), request_class(Effect.NON_IDEMPOTENT)))
+    fail(driver, 2)
+    assert skip(driver, 2) == SkipReason.UNHEALTHY
+    driver.wait(NS)
+    assert skip(driver, 2, 1) == SkipReason.UNHEALTHY  # only idempotent half-open probes
+    assert skip(driver, 2) == SkipReason.NONE
+    rid = probed = 0
+    while probed != 2:
+        rid, probed = driver.send()
+    assert skip(driver, 2) == SkipReason.UNHEALTHY  # one half-open probe at a time
+    driver.end(rid, 2)
+    assert driver.balancer.endpoints.by_id[2].outlier.ejected_until_ns == 0
+
+
+def test_a_failed_half_open_probe_doubles_the_ejection_time() -> None:
+    driver = warm_driver()
+    fail(driver, 2)
+    first = driver.balancer.endpoints.by_id[2].outlier.ejection_ns
+    driver.wait(NS)
+    fail(driver, 2)
+    assert driver.balancer.endpoints.by_id[2].outlier.ejection_ns == 2 * first
+
+
+def test_a_backend_with_fast_errors_is_ejected_and_not_preferred() -> None:
+    driver = warm_driver(3, classes=(request_class(Effect.NON_IDEMPOTENT),))
     hits = 0
     for _ in range(60):
-        rid, to = drive.send()
-        drive.now += MS if to == 1 else 20 * MS
+        rid, to = driver.send()
+        driver.now += MS if to == 1 else 20 * MS
         hits += to == 1
-        drive.end(
+        driver.end(
             rid,
             to,
             AttemptResult.ERROR if to == 1 else AttemptResult.OK,
@@ -127,211 +129,211 @@
     assert hits <= 6
 
 
-def test_the_least_bad_stays_when_all_are_ill() -> None:
-    drive = warmed(3)
+def test_a_first_attempt_is_sent_even_if_all_backends_are_unhealthy() -> None:
+    driver = warm_driver(3)
     for number in (1, 2, 3):
-        fail(drive, number)
-    _, to = drive.send()
+        fail(driver, number)
+    _, to = driver.send()
     assert to in (1, 2, 3)
 
 
-def test_a_later_attempt_does_not_go_to_the_ailing() -> None:
+def test_a_retry_is_not_sent_to_an_unhealthy_backend() -> None:
     # Guards against the last unhealthy backend receiving all requests that the others rejected.
-    drive = warmed(3)
-    rid, first = drive.send()
+    driver = warm_driver(3)
+    rid, first = driver.send()
     for number in {1, 2, 3} - {first}:
-        fail(drive, number)
-    acts = drive.end(rid, first, AttemptResult.ERROR)
+        fail(driver, number)
+    acts = driver.end(rid, first, AttemptResult.ERROR)
     assert not sends(acts)
     assert any(isinstance(a, io.Reject) for a in acts)
 
 
-def test_rejected_trials_keep_to_the_cold_budget() -> None:
+def test_rejected_half_open_probes_keep_within_slow_start_tokens() -> None:
     # Guards against overload of a warming backend by half-open probes: after a rejected probe the
     # next one followed immediately.
-    drive = warmed(3)
-    drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=drive.now)]))
-    fail(drive, 9)
-    drive.wait(NS)
+    driver = warm_driver(3)
+    driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=driver.now)]))
+    fail(driver, 9)
+    driver.wait(NS)
     hits = 0
     for _ in range(200):
-        drive.now += 2 * MS
-        _, acts = drive.ask()
+        driver.now += 2 * MS
+        _, acts = driver.arrive()
         for s in sends(acts):
             hits += s.backend == 9
-            drive.end(
+            driver.end(
                 s.request, s.backend, AttemptResult.REJECTED if s.backend == 9 else AttemptResult.OK
             )
     assert hits <= 2
 
 
-def test_a_full_backend_rests_after_a_rejection() -> None:
+def test_a_rejection_causes_a_backoff() -> None:
     # Guards against rejected requests that try every backend of the fleet, thirteen attempts each.
-    drive = warmed()
-    rid, full = drive.send()
-    drive.end(rid, full, AttemptResult.REJECTED)
-    assert skip(drive, full) == SkipReason.FULL
-    drive.wait(100 * MS)
-    assert skip(drive, full) == SkipReason.NONE
-
-
-def test_a_new_start_under_the_same_id_is_cold_again() -> None:
-    drive = warmed()
-    drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=drive.now)]))
-    b = drive.balancer.endpoints.by_id[1]
-    assert drive.balancer.slow_start.warmth(b) < 0.2
+    driver = warm_driver()
+    rid, full = driver.send()
+    driver.end(rid, full, AttemptResult.REJECTED)
+    assert skip(driver, full) == SkipReason.FULL
+    driver.wait(100 * MS)
+    assert skip(driver, full) == SkipReason.NONE
+
+
+def test_a_restart_under_the_same_id_begins_a_new_slow_start() -> None:
+    driver = warm_driver()
+    driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=driver.now)]))
+    b = driver.balancer.endpoints.by_id[1]
+    assert driver.balancer.slow_start.warmth(b) < 0.2
     assert b.throughput.completions == 0 and b.in_flight == 0
 
 
-def test_second_copies_only_away_from_silence() -> None:
+def test_a_hedge_is_sent_only_if_the_backend_looks_faulty() -> None:
     # Guards against hedging requests that are merely late: the load made all responses late.
-    drive = warmed()
-    _, slow = drive.send()
-    drive.balancer.endpoints.by_id[slow].last_progress_ns = drive.now + 1  # it serves others
-    assert not sends(drive.wait(NS))
-    drive = warmed()
-    rid, silent = drive.send()
-    assert not sends(drive.wait(NS))  # one attempt without a response may be an expensive request
-    drive = warmed()
-    rid, silent = drive.send()
-    drive.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
-    copies = sends(drive.wait(NS))
-    assert [c.request for c in copies] == [rid]
-    assert copies[0].backend != silent
-
-
-def test_the_other_copy_is_cancelled_once_one_is_served() -> None:
-    drive = warmed()
-    rid, silent = drive.send()
-    drive.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
-    copy = sends(drive.wait(NS))[0]
-    assert io.CancelAttempt(rid, 0) in drive.end(rid, copy.backend, attempt=1)
-
-
-def full_house(drive: Drive, **kw: int) -> list[tuple[int, int]]:
+    driver = warm_driver()
+    _, slow = driver.send()
+    driver.balancer.endpoints.by_id[slow].last_progress_ns = driver.now + 1  # it serves others
+    assert not sends(driver.wait(NS))
+    driver = warm_driver()
+    rid, silent = driver.send()
+    assert not sends(driver.wait(NS))  # one attempt without a response may be an expensive request
+    driver = warm_driver()
+    rid, silent = driver.send()
+    driver.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
+    hedges = sends(driver.wait(NS))
+    assert [c.request for c in hedges] == [rid]
+    assert hedges[0].backend != silent
+
+
+def test_the_other_attempt_is_cancelled_after_a_successful_hedge() -> None:
+    driver = warm_driver()
+    rid, silent = driver.send()
+    driver.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
+    hedge = sends(driver.wait(NS))[0]
+    assert io.CancelAttempt(rid, 0) in driver.end(rid, hedge.backend, attempt=1)
+
+
+def exhaust_capacity(driver: Driver, **kw: int) -> list[tuple[int, int]]:
     """Send requests until the proxy has no capacity left; return those in flight."""
-    held: list[tuple[int, int]] = []
+    in_flight: list[tuple[int, int]] = []
     for _ in range(200):
-        rid, acts = drive.ask(**kw)
+        rid, acts = driver.arrive(**kw)
         if not sends(acts):
-            return held
-        held.append((rid, sends(acts)[0].backend))
+            return in_flight
+        in_flight.append((rid, sends(acts)[0].backend))
     raise AssertionError("capacity is not exhausted after 200 requests")
 
 
-def test_time_outs_shrink_the_room() -> None:
+def test_timeouts_reduce_the_capacity() -> None:
     # Guards against overload that only shows as timeouts: attempts are given up before a late
     # response arrives.
-    drive = warmed()
-    held = full_house(drive)
-    before = drive.balancer.limits.capacity
-    drive.now += NS
-    for b in drive.balancer.endpoints.by_id.values():
-        b.last_progress_ns = drive.now
-    for rid, to in held[:4]:
-        drive.end(rid, to, AttemptResult.TIMEOUT, latency=NS)
-    assert drive.balancer.limits.capacity < before
-
-
-def test_some_late_answers_in_an_empty_house_do_not_shrink_it() -> None:
+    driver = warm_driver()
+    in_flight = exhaust_capacity(driver)
+    before = driver.balancer.limits.capacity
+    driver.now += NS
+    for b in driver.balancer.endpoints.by_id.values():
+        b.last_progress_ns = driver.now
+    for rid, to in in_flight[:4]:
+        driver.end(rid, to, AttemptResult.TIMEOUT, latency=NS)
+    assert driver.balancer.limits.capacity < before
+
+
+def test_some_late_responses_at_low_load_do_not_reduce_the_capacity() -> None:
     # Guards against capacity that drifts down at low load until requests are queued needlessly.
-    drive = warmed()
-    before = drive.balancer.limits.capacity
+    driver = warm_driver()
+    before = driver.balancer.limits.capacity
     for i in range(200):
-        drive.serve(latency=400 * MS if i % 4 == 0 else 20 * MS)
-    assert drive.balancer.limits.capacity >= before - 1
+        driver.serve(latency=400 * MS if i % 4 == 0 else 20 * MS)
+    assert driver.balancer.limits.capacity >= before - 1
 
 
-def test_late_answers_shrink_a_room_that_is_not_full() -> None:
+def test_late_responses_reduce_a_capacity_that_is_not_used_up() -> None:
     # Guards against overload after the fleet shrank: no proxy used its full capacity, so that none
     # reduced it.
-    drive = warmed()
-    before = drive.balancer.limits.capacity
+    driver = warm_driver()
+    before = driver.balancer.limits.capacity
     for _ in range(20):
-        drive.serve(latency=400 * MS)
-    assert drive.balancer.limits.capacity < before - 3
+        driver.serve(latency=400 * MS)
+    assert driver.balancer.limits.capacity < before - 3
 
 
-def test_beyond_share_requests_give_way_first() -> None:
+def test_requests_beyond_quota_are_rejected_first() -> None:
     # Guards against proxies with little traffic within quota that fill the fleet with requests
     # beyond quota.
     tenants = (io.Tenant(0.5, 10.0), io.Tenant(0.5, 10.0))
-    drive = warmed(3, tenants=tenants)
-    drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_fraction = 0.0, 0.5
-    for flow in drive.balancer.profiles.all:
-        flow.quota_tokens, flow.quota_refilled_at_ns = 1.0, drive.now
-    assert sends(drive.ask(tenant=0)[1])
-    _, acts = drive.ask(tenant=0)  # beyond its quota at this proxy: rejected immediately
+    driver = warm_driver(3, tenants=tenants)
+    driver.balancer.limits.spare_capacity, driver.balancer.profiles.traffic_fraction = 0.0, 0.5
+    for profile in driver.balancer.profiles.all:
+        profile.quota_tokens, profile.quota_refilled_at_ns = 1.0, driver.now
+    assert sends(driver.arrive(tenant=0)[1])
+    _, acts = driver.arrive(tenant=0)  # beyond its quota at this proxy: rejected immediately
     assert [type(a) for a in acts if not isinstance(a, io.SetTimer)] == [io.Reject]
-    assert sends(drive.ask(tenant=1)[1])
+    assert sends(driver.arrive(tenant=1)[1])
 
 
-def test_a_flow_that_must_wait_does_not_block_the_next() -> None:
-    drive = warmed(3, classes=(cls(), cls(worth=5.0)))
-    drive.balancer.limits.spare_capacity = 0.0
-    waiting, acts = drive.ask(0)
+def test_a_queued_profile_does_not_block_another() -> None:
+    driver = warm_driver(3, classes=(request_class(), request_class(priority_weight=5.0)))
+    driver.balancer.limits.spare_capacity = 0.0
+    waiting, acts = driver.arrive(0)
     assert not sends(acts)
-    worthy, acts = drive.ask(1)
+    worthy, acts = driver.arrive(1)
     assert [s.request for s in sends(acts)] == [worthy]
-    drive.balancer.limits.spare_capacity = 50.0
-    assert [s.request for s in sends(drive.wait(50 * MS))] == [waiting]
+    driver.balancer.limits.spare_capacity = 50.0
+    assert [s.request for s in sends(driver.wait(50 * MS))] == [waiting]
 
 
-def test_silence_of_a_few_is_theirs_but_of_most_is_overload() -> None:
+def test_timeouts_reduce_the_capacity_only_if_most_backends_do_not_respond() -> None:
     # Guards against overload in which no backend responds: it must reduce the capacity.
     for silent, shrinks in ((1, False), (4, True)):
-        drive = warmed()
-        held = full_house(drive)
-        quiet = [held[0][1], *({1, 2, 3, 4} - {held[0][1]})][:silent]
+        driver = warm_driver()
+        in_flight = exhaust_capacity(driver)
+        quiet = [in_flight[0][1], *({1, 2, 3, 4} - {in_flight[0][1]})][:silent]
         for number in quiet:
-            drive.balancer.outliers.count_failure(drive.balancer.endpoints.by_id[number], 1.0)
-        before = drive.balancer.limits.capacity
-        drive.now += NS
-        mine = [h for h in held if h[1] == quiet[0]]
+            driver.balancer.outliers.count_failure(driver.balancer.endpoints.by_id[number], 1.0)
+        before = driver.balancer.limits.capacity
+        driver.now += NS
+        mine = [h for h in in_flight if h[1] == quiet[0]]
         for rid, to in mine:
-            drive.end(rid, to, AttemptResult.TIMEOUT, latency=NS)
-        assert (drive.balancer.limits.capacity < before) == shrinks
+            driver.end(rid, to, AttemptResult.TIMEOUT, latency=NS)
+        assert (driver.balancer.limits.capacity < before) == shrinks
 
 
-def test_room_opens_from_four_a_backend_for_all_proxies_together() -> None:
+def test_initial_capacity_is_four_attempts_per_backend_over_all_proxies() -> None:
     # Guards against many proxies that fill every backend before the first late response arrives.
-    assert Drive(10, proxies=10).balancer.limits.capacity == 4.0
+    assert Driver(10, proxies=10).balancer.limits.capacity == 4.0
 
 
-def test_no_room_means_a_short_wait_and_then_a_refusal_in_time() -> None:
-    drive = warmed()
-    full_house(drive)
-    rid, acts = drive.ask()
-    acts += drive.wait(300 * MS)
-    refused = [t for t, a in drive.log if isinstance(a, io.Reject) and a.request == rid]
-    assert refused and refused[0] <= drive.now
-    assert not any(isinstance(a, io.SendAttempt) and a.request == rid for _, a in drive.log)
+def test_without_capacity_a_request_waits_briefly_and_is_rejected_in_time() -> None:
+    driver = warm_driver()
+    exhaust_capacity(driver)
+    rid, acts = driver.arrive()
+    acts += driver.wait(300 * MS)
+    rejections = [t for t, a in driver.log if isinstance(a, io.Reject) and a.request == rid]
+    assert rejections and rejections[0] <= driver.now
+    assert not any(isinstance(a, io.SendAttempt) and a.request == rid for _, a in driver.log)
 
 
-def test_what_waits_is_sent_as_soon_as_there_is_room() -> None:
-    drive = warmed()
-    held = full_house(drive)
-    waiting = drive.next_id - 1
-    acts = drive.end(*held[0])
+def test_a_queued_request_is_sent_once_there_is_capacity() -> None:
+    driver = warm_driver()
+    in_flight = exhaust_capacity(driver)
+    waiting = driver.next_id - 1
+    acts = driver.end(*in_flight[0])
     assert [s.request for s in sends(acts)] == [waiting]
 
 
 def test_a_heavy_tenant_does_not_starve_the_others() -> None:
     tenants = (io.Tenant(0.5, 50.0), io.Tenant(0.5, 50.0))
-    drive = warmed(3, tenants=tenants)
-    busy = full_house(drive, tenant=0)
+    driver = warm_driver(3, tenants=tenants)
+    busy = exhaust_capacity(driver, tenant=0)
     served = {0: 0, 1: 0}
     asked = {0: 0, 1: 0}
-    whose = dict.fromkeys(range(drive.next_id), 0)
+    whose = dict.fromkeys(range(driver.next_id), 0)
     for turn in range(300):
-        drive.now += 5 * MS
+        driver.now += 5 * MS
         tenant = 1 if turn % 10 == 0 else 0
-        rid, acts = drive.ask(tenant=tenant)
+        rid, acts = driver.arrive(tenant=tenant)
         whose[rid] = tenant
         asked[tenant] += 1
         if turn % 4 == 0:
-            drive.balancer.limits.is_ramping_up = False
-            acts += drive.end(*busy.pop(0))
+            driver.balancer.limits.is_ramping_up = False
+            acts += driver.end(*busy.pop(0))
         for s in sends(acts):
             served[whose[s.request]] += 1
             busy.append((s.request, s.backend))
@@ -339,293 +341,295 @@
     assert served[0] > served[1]
 
 
-def test_own_zone_takes_its_part_of_turns_by_the_fee() -> None:
+def test_preference_for_the_own_zone_grows_with_the_fee() -> None:
     rows = [entry(i, zone=i % 2) for i in range(1, 9)]
     near = {}
     for fee in (0.0, 0.02, 0.1):
-        drive = Drive(entries=rows, classes=PURE, cross_zone_fee=fee)
-        near[fee] = sum(drive.serve() % 2 == 0 for _ in range(200)) / 200
+        driver = Driver(entries=rows, classes=PURE, cross_zone_fee=fee)
+        near[fee] = sum(driver.serve() % 2 == 0 for _ in range(200)) / 200
     assert near[0.0] < near[0.02] < near[0.1]
     assert near[0.1] > 0.95
 
 
-def test_discovery_is_asked_at_once_and_again_after_a_failure() -> None:
-    drive = Drive(discovery_push=False)
-    assert [a for _, a in drive.log if isinstance(a, io.WatchEndpoints)] == [
+def test_discovery_is_called_immediately_and_again_after_a_failure() -> None:
+    driver = Driver(discovery_push=False)
+    assert [a for _, a in driver.log if isinstance(a, io.WatchEndpoints)] == [
         io.WatchEndpoints(True)
     ]
-    drive.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
-    assert set(drive.balancer.endpoints.by_id) == {1, 2, 3, 4}
-    again = [a for a in drive.wait(2 * NS) if isinstance(a, io.WatchEndpoints)]
+    driver.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
+    assert set(driver.balancer.endpoints.by_id) == {1, 2, 3, 4}
+    again = [a for a in driver.wait(2 * NS) if isinstance(a, io.WatchEndpoints)]
     assert len(again) == 1
 
 
-def test_discovery_never_falls_silent() -> None:
-    drive = Drive(discovery_push=False)
+def test_calls_to_discovery_never_stop() -> None:
+    driver = Driver(discovery_push=False)
     cfg = settings()
-    asked = [drive.now]
+    asked = [driver.now]
     for _ in range(60):
-        acts = drive.wait(NS)
+        acts = driver.wait(NS)
         if any(isinstance(a, io.WatchEndpoints) for a in acts):
-            asked.append(drive.now)
+            asked.append(driver.now)
             if len(asked) % 2:
-                drive.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
+                driver.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
     assert max(b - a for a, b in pairwise(asked)) < cfg.poll_within_ns
 
 
 @pytest.mark.parametrize("proxies", [1, 6, 30, 200, 400])
-def test_however_long_discovery_is_down_the_next_call_comes_in_time(proxies: int) -> None:
+def test_calls_during_an_outage_of_discovery_keep_their_interval(proxies: int) -> None:
     """Guards against changes read too late after discovery recovers; a call may take 2 s."""
     for seed in range(8):
-        drive = Drive(discovery_push=False, proxies=proxies, position=proxies - 1, seed=seed)
+        driver = Driver(discovery_push=False, proxies=proxies, position=proxies - 1, seed=seed)
         asked: list[int] = []
         for _ in range(1200):
-            acts = drive.wait(100 * MS, step=100 * MS)
+            acts = driver.wait(100 * MS, step=100 * MS)
             if any(isinstance(a, io.WatchEndpoints) for a in acts):
-                asked.append(drive.now)
-                drive.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
+                asked.append(driver.now)
+                driver.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
         assert max(b - a for a, b in pairwise(asked)) + 2 * NS <= settings().poll_within_ns
 
 
-def test_a_stale_list_brings_nothing_back() -> None:
-    drive = Drive(4)
-    drive.feed(io.EndpointUpdate(UpdateScope.FULL, 5, [entry(1), entry(2)]))
-    drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 4, [entry(3)]))
-    assert set(drive.balancer.endpoints.by_id) == {1, 2}
+def test_an_outdated_list_restores_no_backend() -> None:
+    driver = Driver(4)
+    driver.feed(io.EndpointUpdate(UpdateScope.FULL, 5, [entry(1), entry(2)]))
+    driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 4, [entry(3)]))
+    assert set(driver.balancer.endpoints.by_id) == {1, 2}
 
 
-def test_slots_go_on_without_traffic() -> None:
-    drive = Drive()
-    drive.wait(2 * OBSERVATION_NS)
-    assert len(drive.balancer.groups.slots.ended) >= 3
+def test_slots_continue_without_traffic() -> None:
+    driver = Driver()
+    driver.wait(2 * OBSERVATION_NS)
+    assert len(driver.balancer.groups.slots.ended) >= 3
 
 
-def test_aims_near_the_work_do_not_shrink_the_room_of_an_idle_fleet() -> None:
+def test_tight_objectives_do_not_reduce_the_capacity_of_an_idle_fleet() -> None:
     # Guards against objectives close to the service time: even the fastest responses were late.
-    drive = warmed(backends=4, proxies=2)
+    driver = warm_driver(backends=4, proxies=2)
     for _ in range(100):
-        drive.serve(latency=300 * MS)  # over 0.45 of the objective of 500 ms, but the baseline
-    calm = drive.balancer.limits.capacity
+        driver.serve(latency=300 * MS)  # over 0.45 of the objective of 500 ms, but the baseline
+    idle_capacity = driver.balancer.limits.capacity
     for _ in range(100):
-        drive.serve(latency=300 * MS)
-    assert drive.balancer.limits.capacity >= calm
+        driver.serve(latency=300 * MS)
+    assert driver.balancer.limits.capacity >= idle_capacity
     for _ in range(100):
-        drive.serve(latency=495 * MS)
-    assert drive.balancer.limits.capacity < calm + 1
+        driver.serve(latency=495 * MS)
+    assert driver.balancer.limits.capacity < idle_capacity + 1
 
 
-def test_room_never_falls_below_one_attempt_a_backend_over_all_proxies() -> None:
-    drive = warmed(6, proxies=2)
+def test_capacity_stays_at_one_attempt_per_backend_over_all_proxies() -> None:
+    driver = warm_driver(6, proxies=2)
     for _ in range(100):
-        drive.serve(latency=NS)
-    assert drive.balancer.limits.capacity == 3.0
-    assert drive.balancer.limits.spare_capacity == 1.5
+        driver.serve(latency=NS)
+    assert driver.balancer.limits.capacity == 3.0
+    assert driver.balancer.limits.spare_capacity == 1.5
 
 
-def test_an_even_part_of_the_allowance_is_inside_the_share() -> None:
+def test_an_even_fraction_of_the_quota_is_within_quota() -> None:
     # Guards against rejections at low load: if all tenants send little, the typical rate is below
     # any quota.
     tenants = (io.Tenant(0.5, 20.0), io.Tenant(0.5, 20.0))
-    drive = warmed(3, tenants=tenants, proxies=2)
-    drive.balancer.limits.spare_capacity, drive.balancer.profiles.traffic_fraction = 0.0, 0.01
+    driver = warm_driver(3, tenants=tenants, proxies=2)
+    driver.balancer.limits.spare_capacity, driver.balancer.profiles.traffic_fraction = 0.0, 0.01
     served = 0
     for _ in range(20):
-        drive.wait(100 * MS)
-        rid, acts = drive.ask(tenant=0)
+        driver.wait(100 * MS)
+        rid, acts = driver.arrive(tenant=0)
         for s in sends(acts):
             served += 1
-            drive.end(rid, s.backend)
+            driver.end(rid, s.backend)
     assert served >= 18
 
 
-def test_answers_past_the_aim_shrink_the_room_faster() -> None:
+def test_responses_beyond_the_objective_reduce_the_capacity_faster() -> None:
     # Guards against congested backends that lose efficiency and stay congested for 15 s.
     lost = {}
     for latency in (400 * MS, 600 * MS):
-        drive = warmed(30, proxies=2)
-        before = drive.balancer.limits.capacity
-        drive.serve(latency=latency)
-        lost[latency] = before - drive.balancer.limits.capacity
+        driver = warm_driver(30, proxies=2)
+        before = driver.balancer.limits.capacity
+        driver.serve(latency=latency)
+        lost[latency] = before - driver.balancer.limits.capacity
     assert lost[600 * MS] > 3 * lost[400 * MS] > 0
 
 
-def test_far_aims_do_not_let_queues_grow() -> None:
+def test_loose_objectives_do_not_permit_long_queues() -> None:
     # Guards against long queues at backends if the objective is many service times.
-    drive = warmed(4, classes=(cls(),), proxies=1)
+    driver = warm_driver(4, classes=(request_class(),), proxies=1)
     for _ in range(60):
-        drive.serve(latency=20 * MS)
-    before = drive.balancer.limits.capacity
-    drive.serve(latency=100 * MS)  # far below the objective, but five times the baseline
-    assert drive.balancer.limits.capacity < before
+        driver.serve(latency=20 * MS)
+    before = driver.balancer.limits.capacity
+    driver.serve(latency=100 * MS)  # far below the objective, but five times the baseline
+    assert driver.balancer.limits.capacity < before
 
 
-def test_a_single_late_priority_request_moves_nobody() -> None:
+def test_a_single_late_priority_request_moves_no_backend() -> None:
     # Guards against one late request per slot that grows P and makes turns uneven.
-    drive = Drive(6)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    before = len(drive.balancer.groups.by_side[1])
-    drive.serve(2, latency=900 * MS)  # the priority class, beyond its objective
-    drive.wait(OBSERVATION_NS // 4)
-    assert len(drive.balancer.groups.by_side[1]) == before
+    driver = Driver(6)
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    before = len(driver.balancer.groups.by_side[1])
+    driver.serve(2, latency=900 * MS)  # the priority class, beyond its objective
+    driver.wait(OBSERVATION_NS // 4)
+    assert len(driver.balancer.groups.by_side[1]) == before
 
 
-def test_waiting_requests_do_not_breed_timers() -> None:
+def test_queued_requests_do_not_multiply_timers() -> None:
     # Guards against timers that multiply under overload: each check of the queue scheduled two more.
-    drive = warmed()
-    full_house(drive)
+    driver = warm_driver()
+    exhaust_capacity(driver)
     for _ in range(3):
-        drive.ask()
+        driver.arrive()
     for _ in range(30):
-        drive.now += 10 * MS
-        drive.feed(io.TimerFired(drive.now))
-    assert len(drive.balancer.context.timers) < 30
+        driver.now += 10 * MS
+        driver.feed(io.TimerFired(driver.now))
+    assert len(driver.balancer.context.timers) < 30
 
 
-def test_room_falls_with_what_leaves_the_list_and_never_to_nothing() -> None:
+def test_capacity_follows_the_list_and_stays_positive() -> None:
     # Guards against a fleet that shrank to a third but kept its full capacity, so that late
     # responses accumulated.
-    drive = Drive(8, classes=PURE)
-    before = drive.balancer.limits.capacity
-    drive.feed(
+    driver = Driver(8, classes=PURE)
+    before = driver.balancer.limits.capacity
+    driver.feed(
         io.EndpointUpdate(
             UpdateScope.DELTA, 2, [entry(i, health=Health.DRAINING) for i in (1, 2, 3, 4)]
         )
     )
-    assert drive.balancer.limits.capacity == before / 2
-    alone = Drive(1, classes=PURE)
+    assert driver.balancer.limits.capacity == before / 2
+    alone = Driver(1, classes=PURE)
     alone.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
     assert alone.balancer.limits.capacity > 0
     alone.wait(25 * NS)
     alone.serve()
 
 
-def usual_day(**changes: Any) -> Drive:
+def two_class_driver(**changes: Any) -> Driver:
     """Return a driver with two classes of different latency and few attempts in flight."""
-    drive = Drive(6, **{"classes": (cls(), cls()), "proxies": 1, **changes})
+    driver = Driver(6, **{"classes": (request_class(), request_class()), "proxies": 1, **changes})
     for _ in range(200):
-        drive.serve(0, latency=40 * MS)
-        drive.serve(1, latency=60 * MS)
-    return drive
+        driver.serve(0, latency=40 * MS)
+        driver.serve(1, latency=60 * MS)
+    return driver
 
 
-def hang(drive: Drive, rounds: int, latency: int = 60 * MS) -> None:
+def hang_first_class(driver: Driver, rounds: int, latency: int = 60 * MS) -> None:
     """Every second request of class 0 gets no response at any backend; class 1 takes `latency`."""
     for i in range(rounds):
-        rid, acts = drive.ask(0)
+        rid, acts = driver.arrive(0)
         for sent in sends(acts):
             if sent.request != rid:
                 continue
-            copies: list[io.SendAttempt] = []
+            hedges: list[io.SendAttempt] = []
             if i % 2:
                 for _ in range(4):
-                    other, more = drive.ask(1)
-                    copies += [a for a in sends(drive.wait(latency)) if a.request == rid]
+                    other, more = driver.arrive(1)
+                    hedges += [a for a in sends(driver.wait(latency)) if a.request == rid]
                     for answered in sends(more):
-                        drive.end(other, answered.backend, latency=latency)
-                drive.end(rid, sent.backend, AttemptResult.TIMEOUT, latency=4 * latency)
-            for n, copy in enumerate(copies, 1):
-                drive.end(rid, copy.backend, attempt=n, latency=40 * MS)
+                        driver.end(other, answered.backend, latency=latency)
+                driver.end(rid, sent.backend, AttemptResult.TIMEOUT, latency=4 * latency)
+            for n, hedge in enumerate(hedges, 1):
+                driver.end(rid, hedge.backend, attempt=n, latency=40 * MS)
             if not i % 2:
-                drive.now += 40 * MS
-                drive.end(rid, sent.backend, latency=40 * MS)
+                driver.now += 40 * MS
+                driver.end(rid, sent.backend, latency=40 * MS)
 
 
-def test_a_class_that_hangs_everywhere_takes_neither_the_room_nor_the_backends() -> None:
-    drive = usual_day()
-    bal, room = drive.balancer, drive.balancer.limits.capacity
-    hang(drive, 120)
+def test_a_class_that_hangs_everywhere_costs_neither_capacity_nor_backends() -> None:
+    driver = two_class_driver()
+    bal, capacity_before = driver.balancer, driver.balancer.limits.capacity
+    hang_first_class(driver, 120)
     assert bal.latency.shared_lateness[0] < MIN_SHARED_FRACTION <= bal.latency.shared_lateness[1]
-    assert bal.limits.capacity >= room
+    assert bal.limits.capacity >= capacity_before
     # A timeout of an unresponsive class counts as one failure, however long it was: it does not
     # eject a backend by itself.
     b = bal.groups.members[0]
     b.outlier.failure_score, b.outlier.ejected_until_ns = 0.0, 0
-    rid, backend = drive.send(0)
-    drive.now += 1900 * MS
-    drive.end(rid, backend, AttemptResult.TIMEOUT, latency=1900 * MS)
+    rid, backend = driver.send(0)
+    driver.now += 1900 * MS
+    driver.end(rid, backend, AttemptResult.TIMEOUT, latency=1900 * MS)
     assert all(
-        m.outlier.failure_score <= 1.0 or m.outlier.ejected_until_ns <= drive.now
+        m.outlier.failure_score <= 1.0 or m.outlier.ejected_until_ns <= driver.now
         for m in bal.groups.members
         if m.id == backend
     )
     assert not next(m for m in bal.groups.members if m.id == backend).outlier.ejected_until_ns
 
 
-def test_a_class_known_to_hang_gets_a_copy_although_its_backend_answers_others() -> None:
-    drive = usual_day()
-    hang(drive, 120)
-    rid, backend = drive.send(0)
-    held = next(b for b in drive.balancer.groups.members if b.id == backend)
-    held.last_progress_ns = drive.now + MS  # it has responded to others since
-    copies = [a for a in sends(drive.wait(200 * MS)) if a.request == rid]
-    assert len(copies) == 1 and copies[0].backend != backend
+def test_a_class_known_to_hang_is_hedged_although_its_backend_serves_others() -> None:
+    driver = two_class_driver()
+    hang_first_class(driver, 120)
+    rid, backend = driver.send(0)
+    member = next(b for b in driver.balancer.groups.members if b.id == backend)
+    member.last_progress_ns = driver.now + MS  # it has responded to others since
+    hedges = [a for a in sends(driver.wait(200 * MS)) if a.request == rid]
+    assert len(hedges) == 1 and hedges[0].backend != backend
 
 
-def test_lateness_that_all_classes_show_still_shrinks_the_room() -> None:
-    drive = usual_day()
-    bal = drive.balancer
+def test_lateness_of_all_classes_still_reduces_the_capacity() -> None:
+    driver = two_class_driver()
+    bal = driver.balancer
     bal.limits.capacity = 40.0
     for _ in range(40):
-        drive.serve(0, latency=340 * MS)
-        drive.serve(1, latency=360 * MS)
+        driver.serve(0, latency=340 * MS)
+        driver.serve(1, latency=360 * MS)
     assert min(bal.latency.shared_lateness) > MIN_SHARED_FRACTION
     assert bal.limits.capacity < 30.0
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_lost_answers_of_every_class_take_little_room_while_the_others_come_at_once(
+def test_lost_responses_cost_little_capacity_while_others_are_fast(
     seed: int,
 ) -> None:
-    drive = usual_day(seed=seed)
-    bal = drive.balancer
+    driver = two_class_driver(seed=seed)
+    bal = driver.balancer
     bal.limits.capacity = 30.0
     for i in range(80):
-        rid, backend = drive.send(i % 2)
-        held = next(b for b in bal.groups.members if b.id == backend)
+        rid, backend = driver.send(i % 2)
+        member = next(b for b in bal.groups.members if b.id == backend)
         for _ in range(5):
-            for kind, latency in ((0, 40 * MS), (1, 60 * MS)):
-                other, acts = drive.ask(kind)
-                drive.now += latency
+            for class_index, latency in ((0, 40 * MS), (1, 60 * MS)):
+                other, acts = driver.arrive(class_index)
+                driver.now += latency
                 for sent in sends(acts):
-                    drive.end(other, sent.backend, latency=latency)
-            held.last_progress_ns = drive.now  # it responds to others meanwhile
-        room = bal.limits.capacity
-        repeats = sends(drive.end(rid, backend, AttemptResult.TIMEOUT, latency=500 * MS))
+                    driver.end(other, sent.backend, latency=latency)
+            member.last_progress_ns = driver.now  # it responds to others meanwhile
+        capacity_before = bal.limits.capacity
+        retries = sends(driver.end(rid, backend, AttemptResult.TIMEOUT, latency=500 * MS))
         assert bal.latency.congestion < 0.1
-        assert bal.limits.capacity > room - 0.01
-        for repeat in repeats:  # without an end it would count as a missing response
-            drive.end(repeat.request, repeat.backend, attempt=1, latency=40 * MS)
+        assert bal.limits.capacity > capacity_before - 0.01
+        for retry in retries:  # without an end it would count as a missing response
+            driver.end(retry.request, retry.backend, attempt=1, latency=40 * MS)
 
 
-def test_a_time_out_no_longer_than_usual_tells_nothing_of_room_or_backend() -> None:
-    drive = usual_day()
-    bal, usual = drive.balancer, drive.balancer.latency.usual_ns
+def test_a_timeout_within_the_usual_latency_changes_nothing() -> None:
+    driver = two_class_driver()
+    bal, usual = driver.balancer, driver.balancer.latency.usual_ns
     bal.latency.congestion = 1.0  # so that a missing response has full weight
     for _ in range(10):
-        rid, backend = drive.send(0, left=int(usual))
-        room = bal.limits.capacity
-        drive.now += int(usual)
-        drive.end(rid, backend, AttemptResult.TIMEOUT, latency=int(usual))
-        assert bal.limits.capacity == room
+        rid, backend = driver.send(0, left=int(usual))
+        capacity_before = bal.limits.capacity
+        driver.now += int(usual)
+        driver.end(rid, backend, AttemptResult.TIMEOUT, latency=int(usual))
+        assert bal.limits.capacity == capacity_before
     assert not any(
         b.outlier.failure_score or b.outlier.ejected_until_ns for b in bal.groups.members
     )
-    rid, backend = drive.send(0)
-    drive.now += int(4 * usual)
-    drive.end(rid, backend, AttemptResult.TIMEOUT, latency=int(4 * usual))
+    rid, backend = driver.send(0)
+    driver.now += int(4 * usual)
+    driver.end(rid, backend, AttemptResult.TIMEOUT, latency=int(4 * usual))
     assert (
         next(b for b in bal.groups.members if b.id == backend).outlier.failure_score
         >= EJECTION_SCORE
     )
 
 
-def test_what_cannot_be_served_in_the_time_left_is_refused_at_once_and_not_sent() -> None:
-    drive = usual_day()
-    rid, acts = drive.ask(0, left=int(drive.balancer.latency.usual_ns / 3))
+def test_a_request_without_enough_time_left_is_rejected_immediately() -> None:
+    driver = two_class_driver()
+    rid, acts = driver.arrive(0, left=int(driver.balancer.latency.usual_ns / 3))
     assert [a.request for a in acts if isinstance(a, io.Reject)] == [rid] and not sends(acts)
     # No hedge is sent either if its response could not arrive in time.
-    hang(drive, 120)
-    rid, backend = drive.send(0, left=int(0.9 * drive.balancer.latency.usual_ns))
+    hang_first_class(driver, 120)
+    rid, backend = driver.send(0, left=int(0.9 * driver.balancer.latency.usual_ns))
     assert not [
-        a for a in sends(drive.wait(int(0.8 * drive.balancer.latency.usual_ns))) if a.request == rid
+        a
+        for a in sends(driver.wait(int(0.8 * driver.balancer.latency.usual_ns)))
+        if a.request == rid
     ], backend
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -18,13 +18,13 @@
 from mothstall.policy.slow_start import OVERLOAD_FRACTION
 from mothstall.policy.subset import MIN_MEMBERS
 from mothstall.settings import parse
-from tests.policy.harness import MS, START, Drive, cls, entry, sends, settings
+from tests.policy.harness import MS, START, Driver, entry, request_class, sends, settings
 from tests.test_wire import SETUP
 
-PURE = (cls(),)
+PURE = (request_class(),)
 
 
-def crowd(proxies: int, rows: list[io.Endpoint], **changes: object) -> list[Balancer]:
+def make_tier(proxies: int, rows: list[io.Endpoint], **changes: object) -> list[Balancer]:
     """Return the balancers of all proxies, which received the same list at the same time."""
     tier = []
     for i in range(proxies):
@@ -40,25 +40,25 @@
     return {b.id for b in balancer.groups.members}
 
 
-def test_small_sites_use_their_whole_list() -> None:
+def test_small_fleets_use_the_whole_list() -> None:
     for proxies, backends in ((2, 8), (3, 14), (6, 17)):
-        for balancer in crowd(proxies, [entry(i, zone=i % 2) for i in range(1, backends + 1)]):
+        for balancer in make_tier(proxies, [entry(i, zone=i % 2) for i in range(1, backends + 1)]):
             assert len(members(balancer)) == backends
 
 
 @pytest.mark.parametrize(("proxies", "backends"), [(335, 60), (434, 80), (411, 70)])
-def test_members_are_few_and_cover_all_backends_evenly(proxies: int, backends: int) -> None:
+def test_subsets_are_small_and_cover_all_backends_evenly(proxies: int, backends: int) -> None:
     """Guards against too many open connections, and against backends that no proxy uses."""
     rows = [entry(7919 * i, zone=i % 2) for i in range(1, backends + 1)]
-    tier = crowd(proxies, rows)
+    tier = make_tier(proxies, rows)
     assert max(len(b.groups.members) for b in tier) <= MIN_MEMBERS + 3
-    near = Counter(i for b in tier for i in members(b))
-    assert max(near.values()) - min(near.values()) <= 3
+    proxies_by_backend = Counter(i for b in tier for i in members(b))
+    assert max(proxies_by_backend.values()) - min(proxies_by_backend.values()) <= 3
 
 
-def test_a_list_change_moves_few_members() -> None:
+def test_a_list_change_replaces_few_members() -> None:
     rows = [entry(31 * i) for i in range(1, 81)]
-    tier = crowd(400, rows)
+    tier = make_tier(400, rows)
     before = [members(b) for b in tier]
     for b in tier:
         b.handle(
@@ -69,52 +69,54 @@
     assert all(len(b.groups.members) >= MIN_MEMBERS for b in tier)
 
 
-def test_a_proxy_turned_hot_widens_at_once() -> None:
-    drive = Drive(80, classes=PURE, proxies=400)
-    few = len(drive.balancer.groups.members)
+def test_a_sudden_rise_of_traffic_enlarges_the_subset_immediately() -> None:
+    driver = Driver(80, classes=PURE, proxies=400)
+    initial_count = len(driver.balancer.groups.members)
     for _ in range(120):
-        drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 500.0
-        drive.serve(latency=2 * MS)
-    assert drive.now < START + NS // 2
-    assert len(drive.balancer.groups.members) > 4 * few
+        driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 500.0
+        driver.serve(latency=2 * MS)
+    assert driver.now < START + NS // 2
+    assert len(driver.balancer.groups.members) > 4 * initial_count
 
 
 def test_members_that_fail_are_replaced() -> None:
-    drive = Drive(60, classes=PURE, proxies=300)
-    before = members(drive.balancer)
+    driver = Driver(60, classes=PURE, proxies=300)
+    before = members(driver.balancer)
     for number in before:
-        drive.balancer.outliers.count_failure(drive.balancer.endpoints.by_id[number], 2.0)
-    well = [b for b in drive.balancer.groups.members if not b.outlier.ejected_until_ns]
-    assert len(well) >= MIN_MEMBERS
-
-
-def test_a_member_left_behind_gives_its_idle_connections_back() -> None:
-    drive = Drive(60, classes=PURE, proxies=300)
-    drive.balancer.subset.request_rate = 90.0
-    drive.balancer.subset.refresh()
-    wide = members(drive.balancer)
-    drive.balancer.subset.request_rate = 1.0
-    drive.balancer.context.actions = []
-    drive.balancer.subset.refresh()
+        driver.balancer.outliers.count_failure(driver.balancer.endpoints.by_id[number], 2.0)
+    healthy = [b for b in driver.balancer.groups.members if not b.outlier.ejected_until_ns]
+    assert len(healthy) >= MIN_MEMBERS
+
+
+def test_idle_connections_to_former_members_are_closed() -> None:
+    driver = Driver(60, classes=PURE, proxies=300)
+    driver.balancer.subset.request_rate = 90.0
+    driver.balancer.subset.refresh()
+    wide_subset = members(driver.balancer)
+    driver.balancer.subset.request_rate = 1.0
+    driver.balancer.context.actions = []
+    driver.balancer.subset.refresh()
     closed = {
-        a.backend for a in drive.balancer.context.actions if isinstance(a, io.CloseIdleConnections)
+        a.backend for a in driver.balancer.context.actions if isinstance(a, io.CloseIdleConnections)
     }
-    assert closed == wide - members(drive.balancer)
+    assert closed == wide_subset - members(driver.balancer)
     assert closed
 
 
 @hypothesis_settings(derandomize=True, max_examples=6, deadline=None, database=None)
 @given(seed=st.integers(0, 2**32), backends=st.integers(6, 20), rate=st.sampled_from((2, 6)))
-def test_all_proxies_together_keep_the_cold_budget(seed: int, backends: int, rate: int) -> None:
+def test_all_proxies_together_keep_the_slow_start_budget(
+    seed: int, backends: int, rate: int
+) -> None:
     """Guards against overload of a warming backend by the sum of the tokens of many proxies."""
     proxies, rng = 60, random.Random(seed)
-    cold = 1 + rng.randrange(backends)
-    tier = crowd(proxies, [entry(i) for i in range(1, backends + 1)])
+    warming = 1 + rng.randrange(backends)
+    tier = make_tier(proxies, [entry(i) for i in range(1, backends + 1)])
     cfg = tier[0].context.settings
     pending: list[list[tuple[int, int, int]]] = [[] for _ in tier]
     hits: list[int] = []
-    warm_sends, rid, now, born = 0, 0, START, START + 6 * NS
-    told = False
+    warm_sends, rid, now, started_at = 0, 0, START, START + 6 * NS
+    is_announced = False
     while now < START + 14 * NS:
         now += 20 * MS
         for k, balancer in enumerate(tier):
@@ -122,8 +124,10 @@
             for due, r, b in [p for p in pending[k] if p[0] <= now]:
                 pending[k].remove((due, r, b))
                 events.append(io.AttemptEnded(r, 0, b, AttemptResult.OK, 60 * MS, True, ()))
-            if now >= born and not told:
-                events.append(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(cold, started=born)]))
+            if now >= started_at and not is_announced:
+                events.append(
+                    io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(warming, started=started_at)])
+                )
             if rng.random() < rate * 0.02:
                 rid += 1
                 events.append(io.RequestArrived(rid, 0, 0, 0, NS, 0, False))
@@ -131,24 +135,26 @@
             for act in balancer.handle(now, events):
                 if isinstance(act, io.SendAttempt):
                     pending[k].append((now + 60 * MS, act.request, act.backend))
-                    if now >= born and act.backend == cold:
+                    if now >= started_at and act.backend == warming:
                         hits.append(now)
-                    elif now >= born:
+                    elif now >= started_at:
                         warm_sends += 1
-        told = told or now >= born
+        is_announced = is_announced or now >= started_at
     assert hits, "a warming backend must get requests"
     warm_rate = warm_sends / (backends - 1) / 8
     for at in hits:
         window = sum(1 for h in hits if at - cfg.overload_window_ns < h <= at)
-        warmth = cfg.initial_warmth + (1 - cfg.initial_warmth) * (at - born) / cfg.slow_start_ns
+        warmth = (
+            cfg.initial_warmth + (1 - cfg.initial_warmth) * (at - started_at) / cfg.slow_start_ns
+        )
         assert (
             window <= cfg.overload_multiple * warmth * warm_rate * cfg.overload_window_ns / NS + 2
         )
 
 
-def test_the_last_of_the_ring_has_turns_where_there_is_one_class() -> None:
+def test_with_one_class_the_last_backend_of_the_ring_gets_turns() -> None:
     """Guards against a backend reserved for a second profile when there is only one."""
-    tier = crowd(60, [entry(i) for i in range(1, 18)])
+    tier = make_tier(60, [entry(i) for i in range(1, 18)])
     last = tier[0].endpoints.ring[-1].id
     served: Counter[int] = Counter()
     for k, balancer in enumerate(tier):
@@ -164,7 +170,7 @@
     assert served[last] > 0
 
 
-def in_turn(balancer: Balancer) -> bool:
+def is_rotation_complete(balancer: Balancer) -> bool:
     """Whether all members, and no other backends, are in the rotation of the only profile."""
     other, own = balancer.groups.by_side
     return (
@@ -178,13 +184,13 @@
     ("proxies", "backends"), [(1, 1), (2, 1), (2, 2), (3, 14), (60, 17), (300, 60)]
 )
 @pytest.mark.parametrize("tenants", [(), (io.Tenant(1.0, 40.0),)])
-def test_with_one_profile_all_members_have_its_turns(
+def test_with_one_profile_all_members_are_in_its_rotation(
     proxies: int, backends: int, tenants: tuple[io.Tenant, ...]
 ) -> None:
     """Guards against members, old or new, that are reserved for a second profile when there is only one."""
     changes: dict[str, Any] = {"classes": PURE, "tenants": tenants, "may_hedge": False}
-    drive = Drive(backends, proxies=proxies, position=7 % proxies, **changes)
-    balancer = drive.balancer
+    driver = Driver(backends, proxies=proxies, position=7 % proxies, **changes)
+    balancer = driver.balancer
 
     def serve_all(latency: int) -> set[int]:
         # Every request gets a response; with tenants, every second request is from an unknown tenant.
@@ -194,61 +200,61 @@
         for turn in range(asks + 2 * latency // (20 * MS) + 150):
             balancer.limits.capacity = balancer.limits.spare_capacity = 500.0
             acts = (
-                drive.ask(tenant=turn % 2)[1]
+                driver.arrive(tenant=turn % 2)[1]
                 if turn < asks
-                else drive.feed(io.TimerFired(drive.now))
+                else driver.feed(io.TimerFired(driver.now))
             )
-            open_ += [(drive.now + latency, act.request, act.backend) for act in sends(acts)]
-            drive.now += 20 * MS
-            while open_ and open_[0][0] <= drive.now:
+            open_ += [(driver.now + latency, act.request, act.backend) for act in sends(acts)]
+            driver.now += 20 * MS
+            while open_ and open_[0][0] <= driver.now:
                 _, rid, to = open_.pop(0)
                 got.add(to)
-                more = sends(drive.end(rid, to, latency=latency))
-                open_ += [(drive.now + latency, act.request, act.backend) for act in more]
-            assert in_turn(balancer)
+                more = sends(driver.end(rid, to, latency=latency))
+                open_ += [(driver.now + latency, act.request, act.backend) for act in more]
+            assert is_rotation_complete(balancer)
         assert not open_
         return (
             known
             & {b.id for b in balancer.groups.members if balancer.slow_start.warmth(b) >= 1} - got
         )
 
-    assert in_turn(balancer)
+    assert is_rotation_complete(balancer)
     assert not serve_all(20 * MS)
     for number in range(1, 5):  # a backend that joins, restarts or leaves
-        drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2 * number, [entry(900 + number)]))
-        assert in_turn(balancer)
-        drive.feed(
+        driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2 * number, [entry(900 + number)]))
+        assert is_rotation_complete(balancer)
+        driver.feed(
             io.EndpointUpdate(
-                UpdateScope.DELTA, 2 * number, [entry(900 + number, started=drive.now)]
+                UpdateScope.DELTA, 2 * number, [entry(900 + number, started=driver.now)]
             )
         )
-        assert in_turn(balancer)
+        assert is_rotation_complete(balancer)
         assert not serve_all(20 * MS)
-        drive.feed(
+        driver.feed(
             io.EndpointUpdate(
                 UpdateScope.DELTA, 2 * number + 1, [entry(number, health=Health.GONE)]
             )
         )
-        assert in_turn(balancer)
-    drive.wait(25 * NS)
+        assert is_rotation_complete(balancer)
+    driver.wait(25 * NS)
     # Members join one by one, so that fewer than half are new.
     balancer.subset.request_rate = 6.0 * 4 * len(balancer.groups.members)
     for size in range(len(balancer.groups.members) + 1, len(balancer.endpoints.ring) + 1):
         balancer.subset.request_rate = 6.0 * size
         balancer.subset.refresh()
-        assert in_turn(balancer)
+        assert is_rotation_complete(balancer)
     serve_all(900 * MS)  # beyond every objective, so that (9) would move; some back off
     for number in sorted(members(balancer))[1:]:
         balancer.outliers.count_failure(balancer.endpoints.by_id[number], 2.0)
-        assert in_turn(balancer)
-    drive.wait(30 * NS)
-    assert in_turn(balancer)
+        assert is_rotation_complete(balancer)
+    driver.wait(30 * NS)
+    assert is_rotation_complete(balancer)
     assert not serve_all(20 * MS)
 
 
-def test_with_one_class_a_newcomer_has_turns_at_every_proxy() -> None:
+def test_with_one_class_a_new_backend_gets_turns_at_every_proxy() -> None:
     """Guards against new members that join the group of a second profile while both ratios are equal."""
-    tier = crowd(60, [entry(i) for i in range(1, 18)])
+    tier = make_tier(60, [entry(i) for i in range(1, 18)])
     served: Counter[int] = Counter()
     for k, balancer in enumerate(tier):
         known = members(balancer)
@@ -274,7 +280,7 @@
 def test_first_calls_to_discovery_are_spread_and_in_time() -> None:
     """Guards against simultaneous calls at the start: discovery serves all proxies one by one."""
     proxies, rows = 300, [entry(i) for i in range(1, 61)]
-    tier = crowd(proxies, rows, discovery_push=False)
+    tier = make_tier(proxies, rows, discovery_push=False)
     asked: Counter[int] = Counter()
     calls = 0
     for tick in range(1, 100):
@@ -290,26 +296,26 @@
     assert max(asked.values()) < proxies / 5
 
 
-def test_starting_sums_do_not_add_up() -> None:
-    tier = crowd(400, [entry(i) for i in range(1, 81)])
+def test_initial_budgets_of_all_proxies_stay_small_in_total() -> None:
+    tier = make_tier(400, [entry(i) for i in range(1, 81)])
     assert sum(b.retry_budget.tokens for b in tier) < 2 * 400
     assert sum(b.limits.capacity for b in tier) <= 4.1 * 80
     assert all(b.retry_budget.max_tokens < 30 for b in tier)
 
 
-def test_tenants_of_little_traffic_keep_their_share() -> None:
+def test_tenants_with_little_traffic_keep_their_quota() -> None:
     """Guards against random gaps: one request in ten seconds must not exceed the quota."""
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.25, 20.0), io.Tenant(0.25, 20.0))
     rng = random.Random(4)
     beyond = asked = heavy = 0
     for seed in range(20):
-        drive = Drive(60, classes=PURE, proxies=300, tenants=tenants)
-        balancer = drive.balancer
+        driver = Driver(60, classes=PURE, proxies=300, tenants=tenants)
+        balancer = driver.balancer
         balancer.context.rng.seed(seed)
         for _ in range(600):
-            drive.now += 100 * MS
-            drive.feed(io.TimerFired(drive.now))
-            balancer.context.now_ns = drive.now
+            driver.now += 100 * MS
+            driver.feed(io.TimerFired(driver.now))
+            balancer.context.now_ns = driver.now
             if rng.random() < 0.1 * 0.8 * 20 / 300:
                 asked += 1
                 beyond += balancer.quotas.exceeds(balancer.profiles.all[1])
@@ -332,60 +338,60 @@
 
 
 def _turns_of_a_slow_member(seed: int, slowness: float) -> tuple[int, list[int]]:
-    drive = Drive(60, seed=seed, classes=PURE, proxies=300)
-    balancer = drive.balancer
+    driver = Driver(60, seed=seed, classes=PURE, proxies=300)
+    balancer = driver.balancer
     slow = balancer.groups.by_side[1][0]
     got: Counter[int] = Counter()
     for _ in range(400):
         balancer.limits.spare_capacity = balancer.limits.capacity = 50.0
         slow.slowness = slowness
-        got[drive.serve(latency=100 * MS)] += 1
+        got[driver.serve(latency=100 * MS)] += 1
     return got[slow.id], [got[b.id] for b in balancer.groups.by_side[1] if b is not slow]
 
 
-def test_a_rejecting_backend_rests_longer_each_time_until_it_serves() -> None:
+def test_the_backoff_grows_with_each_rejection_until_a_success() -> None:
     # Guards against a full fleet that gets retries within one usual latency, forever.
-    drive = Drive(4, classes=PURE)
-    b = drive.balancer.groups.by_side[1][0]
+    driver = Driver(4, classes=PURE)
+    b = driver.balancer.groups.by_side[1][0]
     for _ in range(20):
-        drive.serve()
-    rests: list[int] = []
-    while len(rests) < 5:
-        drive.now += 20 * MS
-        rid, to = drive.send()
+        driver.serve()
+    backoffs: list[int] = []
+    while len(backoffs) < 5:
+        driver.now += 20 * MS
+        rid, to = driver.send()
         if to != b.id:
-            drive.end(rid, to)
+            driver.end(rid, to)
             continue
-        again = sends(drive.end(rid, to, AttemptResult.REJECTED, latency=MS))
-        rests.append(b.concurrency.backoff_until_ns - drive.now)
-        drive.end(rid, again[0].backend, attempt=1)
-        drive.now = b.concurrency.backoff_until_ns
-    assert rests[-1] > 3 * rests[0]
-    while drive.serve() != b.id:
+        again = sends(driver.end(rid, to, AttemptResult.REJECTED, latency=MS))
+        backoffs.append(b.concurrency.backoff_until_ns - driver.now)
+        driver.end(rid, again[0].backend, attempt=1)
+        driver.now = b.concurrency.backoff_until_ns
+    assert backoffs[-1] > 3 * backoffs[0]
+    while driver.serve() != b.id:
         pass
     assert b.concurrency.backoff_multiplier == 1.0
 
 
 @pytest.mark.parametrize("position", [-1, 2, 10**9])
-def test_a_position_outside_the_count_is_taken(position: int) -> None:
-    drive = Drive(30, classes=PURE, proxies=90, position=position)
-    assert len({drive.serve() for _ in range(40)}) >= MIN_MEMBERS
+def test_a_position_outside_the_number_of_proxies_is_accepted(position: int) -> None:
+    driver = Driver(30, classes=PURE, proxies=90, position=position)
+    assert len({driver.serve() for _ in range(40)}) >= MIN_MEMBERS
 
 
-def test_odd_lists_have_a_sensible_outcome() -> None:
-    empty = Drive(entries=[], classes=PURE)
-    rid, acts = empty.ask()
+def test_empty_and_unusual_lists_are_handled() -> None:
+    empty = Driver(entries=[], classes=PURE)
+    rid, acts = empty.arrive()
     acts += empty.wait(NS)
     assert [a.request for a in acts if isinstance(a, io.Reject)] == [rid]
     empty.feed(io.EndpointUpdate(UpdateScope.FULL, 2, [entry(1)]))
     assert empty.serve() == 1
-    assert Drive(1, classes=PURE, proxies=400).serve() == 1
-    assert len({Drive(5, classes=PURE, proxies=1).serve() for _ in range(3)}) == 1
-    away = Drive(entries=[entry(i, zone=1) for i in range(1, 41)], proxies=300)
+    assert Driver(1, classes=PURE, proxies=400).serve() == 1
+    assert len({Driver(5, classes=PURE, proxies=1).serve() for _ in range(3)}) == 1
+    away = Driver(entries=[entry(i, zone=1) for i in range(1, 41)], proxies=300)
     assert len({away.serve() for _ in range(40)}) >= 2
 
 
-def test_settings_without_fees_or_position_are_read() -> None:
+def test_settings_without_fees_or_position_are_parsed() -> None:
     lines = [
         x for x in SETUP.splitlines() if not x.startswith(("fees.", "position", "limits.keepalive"))
     ]
@@ -393,25 +399,31 @@
     assert (cfg.position, cfg.cross_zone_fee) == (0, 0.0)
 
 
-def test_the_lesser_effect_is_not_needed_for_members() -> None:
-    drive = Drive(40, classes=(cls(Effect.NON_IDEMPOTENT, worth=5.0),), proxies=200)
-    assert drive.serve(0) in members(drive.balancer)
+def test_members_do_not_require_an_idempotent_class() -> None:
+    driver = Driver(
+        40, classes=(request_class(Effect.NON_IDEMPOTENT, priority_weight=5.0),), proxies=200
+    )
+    assert driver.serve(0) in members(driver.balancer)
 
 
-def test_a_cold_backend_has_no_floor_of_its_own_at_each_proxy() -> None:
+def test_a_warming_backend_has_no_minimum_rate_per_proxy() -> None:
     # Guards against a minimum rate per proxy: half a request per second from each of hundreds
     # overloaded warming backends.
-    drive = Drive(60, classes=PURE, proxies=300)
-    drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
-    cold = drive.balancer.endpoints.by_id[1]
-    drive.balancer.slow_start.warm_rate, cold.slow_start.tokens = 0.01, 0.0
+    driver = Driver(60, classes=PURE, proxies=300)
+    driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
+    warming = driver.balancer.endpoints.by_id[1]
+    driver.balancer.slow_start.warm_rate, warming.slow_start.tokens = 0.01, 0.0
     for _ in range(50):
-        drive.balancer.context.now_ns += 100 * MS
-        assert not drive.balancer.slow_start.has_token(cold, drive.balancer.slow_start.warmth(cold))
-    assert cold.slow_start.tokens < 0.1
+        driver.balancer.context.now_ns += 100 * MS
+        assert not driver.balancer.slow_start.has_token(
+            warming, driver.balancer.slow_start.warmth(warming)
+        )
+    assert warming.slow_start.tokens < 0.1
 
 
-def cold_turns(balancer: Balancer, number: int, until: int, step: int = 5 * MS) -> list[int]:
+def warming_attempt_times(
+    balancer: Balancer, number: int, until: int, step: int = 5 * MS
+) -> list[int]:
     """Return when this proxy could send to a warming backend, from its current time until `until`."""
     times: list[int] = []
     b = balancer.endpoints.by_id[number]
@@ -427,54 +439,61 @@
 @pytest.mark.parametrize(
     ("positions", "off"), [(range(30), 3.0), (range(411, 441), 3.0), (range(5, 5 + 7 * 30, 7), 5.0)]
 )
-def test_first_turns_of_a_fleet_are_one_even_row(positions: range, off: float, seed: int) -> None:
+def test_first_attempts_of_a_fleet_are_evenly_spaced(
+    positions: range, off: float, seed: int
+) -> None:
     # Guards against clusters of first attempts, as from independent random draws. Consecutive
     # positions are evenly spaced; missing positions leave gaps.
     tier = [
         Balancer(settings(classes=PURE, proxies=30, position=k), seed * 1000 + k) for k in positions
     ]
-    born = START + NS + 7919 * seed * MS
+    started_at = START + NS + 7919 * seed * MS
     for b in tier:
         b.handle(START, [io.EndpointUpdate(UpdateScope.FULL, 1, [entry(i) for i in range(1, 4)])])
-        b.handle(born, [io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(3, started=born)])])
+        b.handle(
+            started_at, [io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(3, started=started_at)])]
+        )
         b.slow_start.warm_rate = 4.0
-    turns = sorted(t for b in tier for t in cold_turns(b, 3, born + 3 * NS))
+    turns = sorted(t for b in tier for t in warming_attempt_times(b, 3, started_at + 3 * NS))
     cfg = tier[0].context.settings
-    for begin in range(born, born + 5 * NS // 2, 100 * MS):
+    for begin in range(started_at, started_at + 5 * NS // 2, 100 * MS):
         got = sum(begin < t <= begin + NS // 2 for t in turns)
-        age = begin + NS // 4 - born
+        age = begin + NS // 4 - started_at
         warmth = cfg.initial_warmth + (1 - cfg.initial_warmth) * age / cfg.slow_start_ns
         planned = 30 * OVERLOAD_FRACTION * cfg.overload_multiple * 4.0 * warmth / 2
         assert abs(got - planned) <= off, (got, planned)
 
 
 @pytest.mark.parametrize("restart", [200, 900, 1700, 2600, 4000])
-def test_a_restart_in_the_middle_of_a_ramp_begins_no_fresh_part(restart: int) -> None:
+def test_a_proxy_restart_during_a_slow_start_gets_no_new_tokens(restart: int) -> None:
     # Guards against a new process with new random tokens, whose attempt followed that of the
     # previous process immediately.
     for seed in range(40):
-        cfg, born = settings(classes=PURE, proxies=30, position=seed), START + NS
+        cfg, started_at = settings(classes=PURE, proxies=30, position=seed), START + NS
         rows = [entry(i) for i in range(1, 4)]
         old, new = Balancer(cfg, seed), Balancer(cfg, seed + 1000)
         old.handle(START, [io.EndpointUpdate(UpdateScope.FULL, 1, rows)])
-        old.handle(born, [io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(3, started=born)])])
+        old.handle(
+            started_at, [io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(3, started=started_at)])]
+        )
         old.slow_start.warm_rate = new.slow_start.warm_rate = 4.0
-        turns = cold_turns(old, 3, born + restart * MS)
+        turns = warming_attempt_times(old, 3, started_at + restart * MS)
         new.handle(
-            born + restart * MS,
-            [io.EndpointUpdate(UpdateScope.FULL, 2, [*rows[:2], entry(3, started=born)])],
+            started_at + restart * MS,
+            [io.EndpointUpdate(UpdateScope.FULL, 2, [*rows[:2], entry(3, started=started_at)])],
         )
-        turns += cold_turns(new, 3, born + 8 * NS)
+        turns += warming_attempt_times(new, 3, started_at + 8 * NS)
         for one, two in pairwise(turns):
             # The interval between attempts is at least the time to refill one token.
             warmth = (
-                cfg.initial_warmth + (1 - cfg.initial_warmth) * (two - born) / cfg.slow_start_ns
+                cfg.initial_warmth
+                + (1 - cfg.initial_warmth) * (two - started_at) / cfg.slow_start_ns
             )
             least = NS / (OVERLOAD_FRACTION * cfg.overload_multiple * 4.0 * warmth)
-            assert two - one >= least - 10 * MS, (seed, one - born, two - born)
+            assert two - one >= least - 10 * MS, (seed, one - started_at, two - started_at)
 
 
-def test_a_backend_that_comes_back_under_its_name_again_and_again_gets_no_fresh_parts() -> None:
+def test_repeated_restarts_of_a_backend_get_no_new_random_tokens() -> None:
     # Guards against new random tokens at every proxy for each restart: the order of the proxies must
     # stay the same, with another start.
     proxies, life = 30, 400 * MS
@@ -484,109 +503,114 @@
     for b in tier:
         b.handle(START, [io.EndpointUpdate(UpdateScope.FULL, 1, [entry(i) for i in range(1, 4)])])
     for i in range(1, 21):
-        born, got = START + i * life, 0
+        started_at, got = START + i * life, 0
         for b in tier:
-            b.handle(born, [io.EndpointUpdate(UpdateScope.DELTA, 1 + i, [entry(3, started=born)])])
+            b.handle(
+                started_at,
+                [io.EndpointUpdate(UpdateScope.DELTA, 1 + i, [entry(3, started=started_at)])],
+            )
             b.slow_start.warm_rate = 4.0
-            got += len(cold_turns(b, 3, born + life - MS))
+            got += len(warming_attempt_times(b, 3, started_at + life - MS))
         # Each proxy: 0.45 x 3 x 4 x a warmth of 0.1 or slightly more, 0.54 to 0.6 attempts per second.
         assert abs(got - proxies * 0.225) <= 2.5, (i, got)
 
 
-def test_turns_that_nobody_looked_for_lapse() -> None:
+def test_unused_tokens_do_not_accumulate() -> None:
     # Guards against saved tokens: proxies that added a backend to their subsets after some seconds
     # all had a full token and used it immediately.
-    drive = Drive(60, classes=PURE, proxies=300)
-    drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
-    cold = drive.balancer.endpoints.by_id[1]
-    drive.balancer.slow_start.warm_rate, cold.slow_start.tokens = 1.0, 0.0
-    drive.balancer.context.now_ns += 9 * NS
-    assert not drive.balancer.slow_start.has_token(cold, 0.3)
-    cfg = drive.balancer.context.settings
-    assert cold.slow_start.tokens == pytest.approx(
+    driver = Driver(60, classes=PURE, proxies=300)
+    driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
+    warming = driver.balancer.endpoints.by_id[1]
+    driver.balancer.slow_start.warm_rate, warming.slow_start.tokens = 1.0, 0.0
+    driver.balancer.context.now_ns += 9 * NS
+    assert not driver.balancer.slow_start.has_token(warming, 0.3)
+    cfg = driver.balancer.context.settings
+    assert warming.slow_start.tokens == pytest.approx(
         OVERLOAD_FRACTION * cfg.overload_multiple * 0.3 * cfg.overload_window_ns / NS
     )
 
 
 # With one class all four backends get equal traffic, (4) makes slots longer, and two must suffice.
-@pytest.mark.parametrize(("classes", "late"), [((cls(), cls(worth=0.5)), 30), (PURE, 50)])
-def test_the_cold_part_follows_a_pace_that_falls(
+@pytest.mark.parametrize(
+    ("classes", "late"), [((request_class(), request_class(priority_weight=0.5)), 30), (PURE, 50)]
+)
+def test_the_warm_rate_follows_a_falling_rate(
     classes: tuple[io.RequestClass, ...], late: int
 ) -> None:
     # Guards against overload when many backends restart: each proxy uses more backends and gets less
     # from each. The 10 s mean lagged behind, and the sum over the fleet was twice the planned rate.
-    drive = Drive(4, classes=classes)
+    driver = Driver(4, classes=classes)
     for _ in range(300):
-        drive.serve(latency=10 * MS)
-    before = drive.balancer.slow_start.warm_rate
+        driver.serve(latency=10 * MS)
+    before = driver.balancer.slow_start.warm_rate
     for _ in range(late):
-        drive.serve(latency=100 * MS)
-    assert drive.balancer.slow_start.warm_rate < 0.55 * before
-    assert drive.balancer.slow_start.warm_rate > 0.1 * before
+        driver.serve(latency=100 * MS)
+    assert driver.balancer.slow_start.warm_rate < 0.55 * before
+    assert driver.balancer.slow_start.warm_rate > 0.1 * before
 
 
-def test_the_cold_part_is_that_of_the_mean_while_the_pace_holds() -> None:
-    drive = Drive(4, classes=PURE)
+def test_the_warm_rate_is_the_mean_while_the_rate_is_constant() -> None:
+    driver = Driver(4, classes=PURE)
     for _ in range(400):
-        drive.serve(latency=20 * MS)
-    assert drive.balancer.slow_start.warm_rate == pytest.approx(50 / 4, rel=0.15)
+        driver.serve(latency=20 * MS)
+    assert driver.balancer.slow_start.warm_rate == pytest.approx(50 / 4, rel=0.15)
 
 
-def test_rejections_shrink_the_room() -> None:
+def test_rejections_reduce_the_capacity() -> None:
     # Guards against a full fleet that rejects immediately, whereupon each proxy retries immediately.
-    drive = Drive(4, classes=PURE)
+    driver = Driver(4, classes=PURE)
     for _ in range(20):
-        drive.serve()
-    before = drive.balancer.limits.capacity
-    rid, to = drive.send()
-    drive.end(rid, to, AttemptResult.REJECTED, latency=MS)
-    assert drive.balancer.limits.capacity < before
+        driver.serve()
+    before = driver.balancer.limits.capacity
+    rid, to = driver.send()
+    driver.end(rid, to, AttemptResult.REJECTED, latency=MS)
+    assert driver.balancer.limits.capacity < before
 
 
-def test_one_failed_connect_or_one_long_silence_ejects() -> None:
+def test_one_failed_connect_or_one_long_timeout_ejects() -> None:
     for result, after in ((AttemptResult.CONNECT_FAILED, MS), (AttemptResult.TIMEOUT, NS)):
-        drive = Drive(4, classes=PURE)
+        driver = Driver(4, classes=PURE)
         for _ in range(20):
-            drive.serve()
-        rid, to = drive.send()
-        drive.now += after
-        drive.end(rid, to, result, latency=after)
-        assert drive.balancer.endpoints.by_id[to].outlier.ejected_until_ns, result
+            driver.serve()
+        rid, to = driver.send()
+        driver.now += after
+        driver.end(rid, to, result, latency=after)
+        assert driver.balancer.endpoints.by_id[to].outlier.ejected_until_ns, result
 
 
-def test_a_jam_from_the_start_is_not_taken_for_calm() -> None:
+def test_congestion_from_the_start_sets_no_baseline() -> None:
     # Guards against a baseline measured during congestion, by which nothing looks congested.
-    drive = Drive(10, classes=PURE, proxies=40)
-    first = drive.balancer.limits.capacity
+    driver = Driver(10, classes=PURE, proxies=40)
+    first = driver.balancer.limits.capacity
     for _ in range(30):
-        drive.serve(latency=480 * MS)
-    assert drive.balancer.limits.capacity < first
+        driver.serve(latency=480 * MS)
+    assert driver.balancer.limits.capacity < first
 
 
-def test_a_part_of_the_traffic_is_read_off_what_was_served() -> None:
+def test_the_traffic_fraction_is_estimated_by_completions() -> None:
     # Guards against client retries that inflate the traffic fraction, most of all the heaviest
     # tenant's.
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.5, 40.0))
-    drive = Drive(60, classes=PURE, proxies=300, tenants=tenants)
-    drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 0.0
+    driver = Driver(60, classes=PURE, proxies=300, tenants=tenants)
+    driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 0.0
     for i in range(60):
-        drive.ask(tenant=i % 2)
-        drive.wait(150 * MS)
-    assert drive.balancer.profiles.traffic_fraction < 1.0 / 300
-    assert drive.balancer.profiles.traffic_fraction > 0.2 / 300
+        driver.arrive(tenant=i % 2)
+        driver.wait(150 * MS)
+    assert driver.balancer.profiles.traffic_fraction < 1.0 / 300
+    assert driver.balancer.profiles.traffic_fraction > 0.2 / 300
 
 
-def test_a_growing_fleet_does_not_starve_its_cold_backends() -> None:
+def test_a_growing_fleet_does_not_starve_its_warming_backends() -> None:
     # Guards against a fleet that grows from sixteen to seventy-five backends and divides the rate of
     # the few warm ones among all of them.
-    drive = Drive(4, classes=PURE)
+    driver = Driver(4, classes=PURE)
     for _ in range(100):
-        drive.serve()
-    before = drive.balancer.slow_start.warm_rate
-    drive.feed(
+        driver.serve()
+    before = driver.balancer.slow_start.warm_rate
+    driver.feed(
         io.EndpointUpdate(
-            UpdateScope.DELTA, 2, [entry(i, started=drive.now) for i in range(10, 30)]
+            UpdateScope.DELTA, 2, [entry(i, started=driver.now) for i in range(10, 30)]
         )
     )
-    drive.balancer.update_rates(NS)
-    assert drive.balancer.slow_start.warm_rate > 0.8 * before
+    driver.balancer.update_rates(NS)
+    assert driver.balancer.slow_start.warm_rate > 0.8 * before
--- a/tests/policy/test_priority_groups.py
+++ b/tests/policy/test_priority_groups.py
@@ -17,18 +17,18 @@
 from mothstall.policy.backend import Backend
 from mothstall.policy.hashing import stable_hash
 from mothstall.policy.slots import MAX_SLOT_NS, MIN_SLOT_NS, OBSERVATION_NS
-from tests.policy.harness import MS, START, Drive, entry, settings
+from tests.policy.harness import MS, START, Driver, entry, settings
 
 
-def backend(drive: Drive, number: int) -> Backend:
-    return drive.balancer.endpoints.by_id[number]
+def backend(driver: Driver, number: int) -> Backend:
+    return driver.balancer.endpoints.by_id[number]
 
 
 def balancer() -> Balancer:
     return Balancer(settings(), 1)
 
 
-def measured(
+def measure_slot(
     b: Backend, at: int, span: int, arrivals: int, done: int, e: float, util: float = 0.5
 ) -> None:
     bal = balancer()
@@ -45,52 +45,56 @@
     bal.groups.measure(b, span)
 
 
-def test_first_measure_is_taken_as_it_is() -> None:
+def test_the_first_measurement_sets_both_estimates() -> None:
     b = Backend(entry(1), START, 1.0)
-    measured(b, START + NS, NS, 8, 8, 10)
-    assert (b.throughput.filtered, b.throughput.corrected, b.throughput.measured) == (8.0, 8.0, 8.0)
+    measure_slot(b, START + NS, NS, 8, 8, 10)
+    assert (b.throughput.filtered, b.throughput.corrected, b.throughput.measured) == (
+        8.0,
+        8.0,
+        8.0,
+    )
 
 
 def test_filter_5_with_weight_6() -> None:
     b = Backend(entry(1), START, 1.0)
-    measured(b, START + NS, NS, 10, 10, 10)
-    measured(b, START + 2 * NS, NS, 4, 4, 4.5)
+    measure_slot(b, START + NS, NS, 10, 10, 10)
+    measure_slot(b, START + 2 * NS, NS, 4, 4, 4.5)
     # (6): A = (9 - 1) / (9 + 1) = 0.8; (5): 0.8 * 10 + 0.2 * (4 + 10) / 2 = 9.4
     assert b.throughput.filtered == pytest.approx(9.4)
 
 
 def test_burst_estimate_7_8() -> None:
     b = Backend(entry(1), START, 1.0)
-    measured(b, START + 1 * NS, NS, 4, 4, 10)  # b = 0: the rate does not exceed its own mean
-    measured(
+    measure_slot(b, START + 1 * NS, NS, 4, 4, 10)  # b = 0: the rate does not exceed its own mean
+    measure_slot(
         b, START + 2 * NS, NS, 8, 8, 10
     )  # above the mean of 6: b = 1/2; b was 0, so (8) adds nothing
     assert b.throughput.burstiness == 0.5
     assert b.throughput.corrected == 4.0
-    measured(b, START + 3 * NS, NS, 12, 10, 10)  # above the mean of 8: b = 2/3
+    measure_slot(b, START + 3 * NS, NS, 12, 10, 10)  # above the mean of 8: b = 2/3
     # (7): (2/3 - 1/2) * (10 - 8) = 1/3; (8): 4 - 1/3 * 0.5 / 0.5 = 3.6667
     assert b.throughput.corrected == pytest.approx(4 - 1 / 3)
 
 
-def test_burst_estimate_rests_when_burstiness_falls_and_never_goes_below_zero() -> None:
+def test_burst_estimate_is_unchanged_when_burstiness_falls_and_never_negative() -> None:
     b = Backend(entry(1), START, 1.0)
-    measured(b, START + 1 * NS, NS, 4, 4, 10)
-    measured(b, START + 2 * NS, NS, 8, 8, 10)
+    measure_slot(b, START + 1 * NS, NS, 4, 4, 10)
+    measure_slot(b, START + 2 * NS, NS, 8, 8, 10)
     before = b.throughput.corrected
-    measured(b, START + 3 * NS, NS, 2, 100, 10)  # b falls from 1/2 to 1/3
+    measure_slot(b, START + 3 * NS, NS, 2, 100, 10)  # b falls from 1/2 to 1/3
     assert b.throughput.corrected == before
     b.throughput.corrected, b.throughput.burstiness, b.throughput.utilization = 0.1, 0.01, 1.0
-    measured(b, START + 4 * NS, NS, 50, 500, 10)
+    measure_slot(b, START + 4 * NS, NS, 50, 500, 10)
     assert b.throughput.corrected == 0.0
 
 
-def test_only_served_answers_count_as_throughput() -> None:
-    drive = Drive(1)
+def test_only_successful_responses_count_as_throughput() -> None:
+    driver = Driver(1)
     for result in (io.AttemptResult.ERROR, io.AttemptResult.OK, io.AttemptResult.OK):
-        rid, to = drive.send(2)
-        drive.now += 10_000_000
-        drive.end(rid, to, result)
-    assert backend(drive, 1).throughput.completions == 2
+        rid, to = driver.send(2)
+        driver.now += 10_000_000
+        driver.end(rid, to, result)
+    assert backend(driver, 1).throughput.completions == 2
 
 
 @pytest.mark.parametrize(
@@ -117,16 +121,16 @@
 
 
 def test_first_slot_is_a_tenth_of_t_and_3_sets_the_next() -> None:
-    drive = Drive()
-    drive.wait(OBSERVATION_NS // 10)
-    assert len(drive.balancer.groups.slots.ended) == 1
-    drive.wait(int(OBSERVATION_NS / drive.balancer.groups.slots.slots_per_period) + 1)
-    assert len(drive.balancer.groups.slots.ended) == 2
+    driver = Driver()
+    driver.wait(OBSERVATION_NS // 10)
+    assert len(driver.balancer.groups.slots.ended) == 1
+    driver.wait(int(OBSERVATION_NS / driver.balancer.groups.slots.slots_per_period) + 1)
+    assert len(driver.balancer.groups.slots.ended) == 2
 
 
 def test_distance_10() -> None:
-    drive = Drive(8)
-    bal = drive.balancer
+    driver = Driver(8)
+    bal = driver.balancer
     source = bal.groups.by_side[0]
     assert len(source) >= 2
     for b in source:
@@ -138,109 +142,111 @@
     assert farthest in bal.groups.by_side[1]
 
 
-def groups(drive: Drive) -> tuple[list[int], list[int]]:
-    best_effort, priority = drive.balancer.groups.by_side
+def groups(driver: Driver) -> tuple[list[int], list[int]]:
+    best_effort, priority = driver.balancer.groups.by_side
     return sorted(b.id for b in best_effort), sorted(b.id for b in priority)
 
 
-def close_with(drive: Drive, priority: float, best_effort: float) -> None:
+def close_slot_with(driver: Driver, priority: float, best_effort: float) -> None:
     """Close a slot with the given ratios of latency to objective for the two sides."""
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    bal = drive.balancer
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    bal = driver.balancer
     for side, ratio in ((0, best_effort), (1, priority)):
         bal.groups.latency[side].total_ratio, bal.groups.latency[side].count = ratio * 10, 10
     bal.context.now_ns += NS
-    drive.now = bal.context.now_ns
+    driver.now = bal.context.now_ns
     bal._close_slot()
 
 
-def test_priority_over_its_aim_takes_the_best_of_b_by_9_and_10() -> None:
-    drive = Drive(6)
-    for i, b in enumerate(drive.balancer.endpoints.by_id.values()):
+def test_priority_over_its_objective_takes_the_best_of_b_by_9_and_10() -> None:
+    driver = Driver(6)
+    for i, b in enumerate(driver.balancer.endpoints.by_id.values()):
         b.throughput.filtered, b.throughput.corrected = float(i), float(i)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    before_b, before_p = groups(drive)
-    for b in drive.balancer.endpoints.by_id.values():
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    before_b, before_p = groups(driver)
+    for b in driver.balancer.endpoints.by_id.values():
         b.throughput.filtered = b.throughput.corrected = b.throughput.measured = float(b.id)
-    close_with(drive, 1.2, 0.1)
-    after_b, after_p = groups(drive)
+    close_slot_with(driver, 1.2, 0.1)
+    after_b, after_p = groups(driver)
     moved = (set(after_p) - set(before_p)).pop()
     assert len(after_p) == len(before_p) + 1
     assert moved == max(before_b)
     assert moved not in after_b
 
 
-def test_priority_under_half_its_aim_gives_back_when_best_effort_is_over() -> None:
-    drive = Drive(6)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    drive.balancer.groups.move_to(1)
-    before = len(groups(drive)[1])
-    close_with(drive, 0.4, 1.2)
-    assert len(groups(drive)[1]) == before - 1
+def test_priority_under_half_its_objective_returns_a_backend_if_b_is_over() -> None:
+    driver = Driver(6)
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    driver.balancer.groups.move_to(1)
+    before = len(groups(driver)[1])
+    close_slot_with(driver, 0.4, 1.2)
+    assert len(groups(driver)[1]) == before - 1
 
 
 @pytest.mark.parametrize(
     ("priority", "best_effort"), [(0.9, 1.5), (0.6, 1.5), (0.4, 0.9), (0.2, 0.1)]
 )
-def test_else_nobody_moves(priority: float, best_effort: float) -> None:
-    drive = Drive(6)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    before = groups(drive)
-    close_with(drive, priority, best_effort)
-    assert groups(drive) == before
+def test_otherwise_no_backend_moves(priority: float, best_effort: float) -> None:
+    driver = Driver(6)
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    before = groups(driver)
+    close_slot_with(driver, priority, best_effort)
+    assert groups(driver) == before
 
 
-def test_each_group_keeps_one() -> None:
-    drive = Drive(2)
-    close_with(drive, 3.0, 0.1)
-    assert [len(g) for g in groups(drive)] == [1, 1]
+def test_each_group_keeps_one_backend() -> None:
+    driver = Driver(2)
+    close_slot_with(driver, 3.0, 0.1)
+    assert [len(g) for g in groups(driver)] == [1, 1]
 
 
 def test_split_follows_shares_in_order_of_hashed_id() -> None:
-    drive = Drive(10, tenants=(io.Tenant(0.7, 70.0), io.Tenant(0.3, 31.0)))
+    driver = Driver(10, tenants=(io.Tenant(0.7, 70.0), io.Tenant(0.3, 31.0)))
     # Before any measurement, quota over share decides: the second tenant, with 0.3 of 10 backends.
-    assert groups(drive)[1] == sorted(sorted(range(1, 11), key=lambda i: (stable_hash(i), i))[:3])
+    assert groups(driver)[1] == sorted(sorted(range(1, 11), key=lambda i: (stable_hash(i), i))[:3])
 
 
 def test_priority_is_the_tenant_with_most_quota_for_its_traffic() -> None:
-    drive = Drive(4, tenants=(io.Tenant(0.5, 50.0), io.Tenant(0.5, 50.0)))
+    driver = Driver(4, tenants=(io.Tenant(0.5, 50.0), io.Tenant(0.5, 50.0)))
     for _ in range(9):
-        drive.serve(tenant=0)
-    drive.serve(tenant=1)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    assert drive.balancer.profiles.priority == 1
+        driver.serve(tenant=0)
+    driver.serve(tenant=1)
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    assert driver.balancer.profiles.priority == 1
 
 
-def test_without_tenants_the_worthiest_class_is_priority() -> None:
-    assert Drive().balancer.profiles.priority == 2
+def test_without_tenants_the_class_with_the_greatest_weight_has_priority() -> None:
+    assert Driver().balancer.profiles.priority == 2
 
 
-def test_newcomer_joins_the_worse_off_group_at_its_mean_estimates() -> None:
-    drive = Drive(4)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    drive.balancer.groups.latency_ratio = [0.2, 0.9]
-    for b in drive.balancer.groups.by_side[1]:
+def test_a_new_backend_joins_the_slower_group_with_its_mean_estimates() -> None:
+    driver = Driver(4)
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    driver.balancer.groups.latency_ratio = [0.2, 0.9]
+    for b in driver.balancer.groups.by_side[1]:
         b.throughput.filtered, b.throughput.corrected = 6.0, 8.0
-    drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=drive.now)]))
-    new = backend(drive, 9)
-    assert new.in_priority_group and new in drive.balancer.groups.by_side[1]
+    driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=driver.now)]))
+    new = backend(driver, 9)
+    assert new.in_priority_group and new in driver.balancer.groups.by_side[1]
     assert (new.throughput.filtered, new.throughput.corrected) == (6.0, 8.0)
 
 
-def test_leavers_leave_both_groups_and_an_empty_group_borrows() -> None:
-    drive = Drive(3)
-    for number in groups(drive)[1]:
-        drive.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(number, health=Health.DRAINING)]))
-    assert groups(drive)[1] == []
-    left = groups(drive)[0]
-    _, to = drive.send(2)  # the priority class
+def test_removed_backends_leave_their_group_and_an_empty_group_uses_the_other() -> None:
+    driver = Driver(3)
+    for number in groups(driver)[1]:
+        driver.feed(
+            io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(number, health=Health.DRAINING)])
+        )
+    assert groups(driver)[1] == []
+    left = groups(driver)[0]
+    _, to = driver.send(2)  # the priority class
     assert to in left
 
 
 def test_round_robin_gives_even_turns() -> None:
-    drive = Drive(5)
-    members = groups(drive)[0]
-    turns = [drive.serve(0) for _ in range(3 * len(members))]
+    driver = Driver(5)
+    members = groups(driver)[0]
+    turns = [driver.serve(0) for _ in range(3 * len(members))]
     assert sorted(turns) == sorted(members * 3)
     assert turns[: len(members)] == turns[len(members) : 2 * len(members)]
 
@@ -253,17 +259,17 @@
 
 
 def test_same_events_give_the_same_actions() -> None:
-    one, two = Drive(6, seed=5), Drive(6, seed=5)
-    for drive in (one, two):
+    first, second = Driver(6, seed=5), Driver(6, seed=5)
+    for driver in (first, second):
         for i in range(200):
-            drive.serve(i % 3)
-    assert one.log == two.log
+            driver.serve(i % 3)
+    assert first.log == second.log
 
 
 # Work that must not grow with the number of backends or tenants
 
 
-class Counted(list[Any]):
+class CountingList(list[Any]):
     """A list that counts its iterations."""
 
     passes = 0
@@ -273,76 +279,78 @@
         return super().__iter__()
 
 
-def test_a_few_changed_rows_find_their_places_in_the_ring() -> None:
-    rng, drive = random.Random(3), Drive(400)
+def test_a_small_change_keeps_the_ring_sorted() -> None:
+    rng, driver = random.Random(3), Driver(400)
     listed = set(range(1, 401))
     for version in range(2, 300):
-        gone = rng.sample(sorted(listed), rng.randrange(3))
-        come = [rng.randrange(1, 10_000) for _ in range(rng.randrange(4))]
-        rows = [entry(n, health=rng.choice((Health.GONE, Health.DRAINING))) for n in gone]
-        rows += [entry(n, started=version) for n in come]
-        drive.feed(io.EndpointUpdate(UpdateScope.DELTA, version, rows))
-        listed = listed - set(gone) | set(come)
-        assert [b.id for b in drive.balancer.endpoints.ring] == sorted(
+        removed = rng.sample(sorted(listed), rng.randrange(3))
+        added = [rng.randrange(1, 10_000) for _ in range(rng.randrange(4))]
+        rows = [entry(n, health=rng.choice((Health.GONE, Health.DRAINING))) for n in removed]
+        rows += [entry(n, started=version) for n in added]
+        driver.feed(io.EndpointUpdate(UpdateScope.DELTA, version, rows))
+        listed = listed - set(removed) | set(added)
+        assert [b.id for b in driver.balancer.endpoints.ring] == sorted(
             listed, key=lambda n: (stable_hash(n), n)
         )
-        assert all(drive.balancer.endpoints.by_id[b.id] is b for b in drive.balancer.endpoints.ring)
+        assert all(
+            driver.balancer.endpoints.by_id[b.id] is b for b in driver.balancer.endpoints.ring
+        )
 
 
-def test_a_few_changed_rows_hash_no_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_small_change_hashes_only_changed_rows(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against sorting the whole list for each changed row."""
-    drive = Drive(400)
-    asked: list[int] = []
+    driver = Driver(400)
+    hashed_ids: list[int] = []
 
     def hashed(number: int) -> int:
-        asked.append(number)
+        hashed_ids.append(number)
         return stable_hash(number)
 
     monkeypatch.setattr("mothstall.policy.hashing.stable_hash", hashed)
-    drive.feed(
+    driver.feed(
         io.EndpointUpdate(
             UpdateScope.DELTA, 2, [entry(7, health=Health.GONE), entry(900, started=5)]
         )
     )
-    assert set(asked) == {
+    assert set(hashed_ids) == {
         7,
         900,
         900 + 5,
     }  # the last: the hash of its start, for its first token
 
 
-def test_members_are_the_run_of_the_ring_from_this_proxys_place_on() -> None:
+def test_members_are_the_ring_section_from_the_offset_of_the_proxy() -> None:
     for position in range(9):
-        drive = Drive(60, proxies=60, position=position)
-        b = drive.balancer
+        driver = Driver(60, proxies=60, position=position)
+        b = driver.balancer
         start = int(b.context.ring_offset * 60)
         turned = b.endpoints.ring[start:] + b.endpoints.ring[:start]
         assert {m.id for m in b.groups.members} == {m.id for m in turned[: b.subset.size]}
 
 
-def test_a_slots_end_goes_through_no_profiles_but_those_that_asked() -> None:
+def test_the_end_of_a_slot_visits_only_active_profiles() -> None:
     """Guards against work for all tenants, or for their square, at the end of each slot."""
-    drive = Drive(4, tenants=tuple(io.Tenant(0.02, 2.0) for _ in range(50)))
-    flows = drive.balancer.profiles.all = Counted(drive.balancer.profiles.all)
-    drive.ask(tenant=7)
-    drive.wait(OBSERVATION_NS // 10 + 1)
-    assert drive.balancer.groups.slots.ended and set(drive.balancer.profiles.active) == {7}
-    assert flows.passes == 0
+    driver = Driver(4, tenants=tuple(io.Tenant(0.02, 2.0) for _ in range(50)))
+    profiles = driver.balancer.profiles.all = CountingList(driver.balancer.profiles.all)
+    driver.arrive(tenant=7)
+    driver.wait(OBSERVATION_NS // 10 + 1)
+    assert driver.balancer.groups.slots.ended and set(driver.balancer.profiles.active) == {7}
+    assert profiles.passes == 0
 
 
-def test_a_slots_end_where_all_tenants_ask_is_linear_in_them() -> None:
+def test_the_end_of_a_slot_is_linear_in_active_tenants() -> None:
     """Guards against quadratic work at the end of a slot, even if all tenants send requests."""
 
     def lines(count: int) -> int:
-        drive = Drive(4, tenants=tuple(io.Tenant(1.0 / count, 2.0) for _ in range(count)))
+        driver = Driver(4, tenants=tuple(io.Tenant(1.0 / count, 2.0) for _ in range(count)))
         for tenant in range(count):
-            drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 1e6
-            drive.serve(latency=MS // 100, tenant=tenant)
+            driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 1e6
+            driver.serve(latency=MS // 100, tenant=tenant)
         assert (
-            all(flow.arrivals for flow in drive.balancer.profiles.all)
-            and not drive.balancer.groups.slots.ended
+            all(profile.arrivals for profile in driver.balancer.profiles.all)
+            and not driver.balancer.groups.slots.ended
         )
-        flows = drive.balancer.profiles.all = Counted(drive.balancer.profiles.all)
+        profiles = driver.balancer.profiles.all = CountingList(driver.balancer.profiles.all)
         ran = 0
 
         def trace(frame: FrameType, event: str, _: object) -> Any:
@@ -353,44 +361,44 @@
         before = sys.gettrace()
         sys.settrace(trace)
         try:
-            drive.now += OBSERVATION_NS // 10 + 1
-            drive.feed(io.TimerFired(drive.now))
+            driver.now += OBSERVATION_NS // 10 + 1
+            driver.feed(io.TimerFired(driver.now))
         finally:
             sys.settrace(before)
-        assert drive.balancer.groups.slots.ended and flows.passes < 10
+        assert driver.balancer.groups.slots.ended and profiles.passes < 10
         return ran
 
     few, many = lines(100), lines(400)
     assert few > 100 and many < 6 * few
 
 
-def test_a_request_goes_through_no_profiles_but_those_that_wait() -> None:
+def test_a_request_visits_only_queued_profiles() -> None:
     """Guards against work for all tenants per request while a few have queued requests."""
-    drive = Drive(1, tenants=tuple(io.Tenant(0.02, 1e3) for _ in range(50)))
-    drive.serve()
-    drive.balancer.limits.capacity = 0.0
-    for flow in drive.balancer.profiles.all:
-        flow.rate = 1e6
-    flows = drive.balancer.profiles.all = Counted(drive.balancer.profiles.all)
+    driver = Driver(1, tenants=tuple(io.Tenant(0.02, 1e3) for _ in range(50)))
+    driver.serve()
+    driver.balancer.limits.capacity = 0.0
+    for profile in driver.balancer.profiles.all:
+        profile.rate = 1e6
+    profiles = driver.balancer.profiles.all = CountingList(driver.balancer.profiles.all)
     for tenant in (0, 1, 0, 2):
-        drive.ask(tenant=tenant)
-    assert drive.balancer.queue.count == 4
-    assert {f.index for f in drive.balancer.queue.queued.values()} == {0, 1, 2}
-    assert flows.passes == 0
-    drive.balancer.limits.capacity = 1e3
-    drive.wait(20_000_000)
-    assert drive.balancer.queue.count == 0
-    drive.wait(OBSERVATION_NS)
-    assert not drive.balancer.queue.queued
-
-
-def test_the_greatest_weight_is_that_of_the_rows_that_are_listed() -> None:
-    rng, drive, listed = random.Random(5), Drive(100), dict.fromkeys(range(1, 101), 1.0)
+        driver.arrive(tenant=tenant)
+    assert driver.balancer.queue.count == 4
+    assert {f.index for f in driver.balancer.queue.queued.values()} == {0, 1, 2}
+    assert profiles.passes == 0
+    driver.balancer.limits.capacity = 1e3
+    driver.wait(20_000_000)
+    assert driver.balancer.queue.count == 0
+    driver.wait(OBSERVATION_NS)
+    assert not driver.balancer.queue.queued
+
+
+def test_max_weight_is_that_of_the_listed_rows() -> None:
+    rng, driver, listed = random.Random(5), Driver(100), dict.fromkeys(range(1, 101), 1.0)
     for version in range(2, 200):
         number, weight = rng.randrange(1, 120), rng.choice((0.5, 1.0, 2.0, 3.5))
         health = rng.choice((Health.READY, Health.READY, Health.GONE))
         started = rng.choice((0, version))
-        drive.feed(
+        driver.feed(
             io.EndpointUpdate(
                 UpdateScope.DELTA, version, [io.Endpoint(number, 0, 0, 0, health, weight, started)]
             )
@@ -398,8 +406,8 @@
         listed.pop(number, None)
         if health == Health.READY:
             listed[number] = weight
-        assert drive.balancer.endpoints.max_weight == max(listed.values())
-    drive.feed(io.EndpointUpdate(UpdateScope.FULL, 500, [entry(7)]))
-    assert drive.balancer.endpoints.max_weight == 1.0 and dict(
-        drive.balancer.endpoints.weights
+        assert driver.balancer.endpoints.max_weight == max(listed.values())
+    driver.feed(io.EndpointUpdate(UpdateScope.FULL, 500, [entry(7)]))
+    assert driver.balancer.endpoints.max_weight == 1.0 and dict(
+        driver.balancer.endpoints.weights
     ) == {1.0: 1}
--- a/tests/policy/test_traffic_profiles.py
+++ b/tests/policy/test_traffic_profiles.py
@@ -17,20 +17,20 @@
 from mothstall.policy import Balancer, traffic_profile
 from mothstall.policy.slots import OBSERVATION_NS
 from mothstall.policy.traffic_profile import EARLY_INACTIVE_BELOW, PRIOR_REQUESTS
-from tests.policy.harness import MS, START, Drive, cls, entry, sends, settings
+from tests.policy.harness import MS, START, Driver, entry, request_class, sends, settings
 
-PURE = (cls(),)
-SAME = pytest.approx
+PURE = (request_class(),)
+approx = pytest.approx
 
 
-class Long:
+class ReferenceProfiles:
     """Reference implementation: updates every profile at the end of each slot, active or not."""
 
     def __init__(self, balancer: Balancer) -> None:
-        self.balancer, self.short = balancer, balancer.update_rates
+        self.balancer, self.update_rates = balancer, balancer.update_rates
         self.count = len(balancer.profiles.all)
-        self.seen, self.good, self.rate = ([0.0] * self.count for _ in range(3))
-        self.seen_ns, self.part, self.priority = (
+        self.arrivals, self.completions, self.rate = ([0.0] * self.count for _ in range(3))
+        self.observed_ns, self.traffic_fraction, self.priority = (
             0.0,
             balancer.profiles.traffic_fraction,
             balancer.profiles.priority,
@@ -38,25 +38,29 @@
         self.slots = 0
         balancer.update_rates = self.close  # type: ignore[method-assign]
 
-    def claim(self, i: int, seen: float) -> float:
-        flow = self.balancer.profiles.all[i]
-        part = max(self.seen[i] / seen if seen > 0 else flow.weight, 1e-3)
-        return flow.quota / part if self.balancer.context.settings.tenants else flow.quota
+    def claim(self, i: int, arrivals: float) -> float:
+        profile = self.balancer.profiles.all[i]
+        fraction = max(self.arrivals[i] / arrivals if arrivals > 0 else profile.weight, 1e-3)
+        return profile.quota / fraction if self.balancer.context.settings.tenants else profile.quota
 
     def close(self, span_ns: int) -> None:
-        flows, keep = self.balancer.profiles.all, math.exp(-span_ns / (3 * OBSERVATION_NS))
-        for i, f in enumerate(flows):
-            self.rate[i] += 0.5 * (f.served_in_slot * NS / span_ns - self.rate[i])
-            self.seen[i], self.good[i] = self.seen[i] * keep, self.good[i] * keep
-        self.seen_ns = self.seen_ns * keep + span_ns
+        profiles, keep = self.balancer.profiles.all, math.exp(-span_ns / (3 * OBSERVATION_NS))
+        for i, profile in enumerate(profiles):
+            self.rate[i] += 0.5 * (profile.served_in_slot * NS / span_ns - self.rate[i])
+            self.arrivals[i], self.completions[i] = (
+                self.arrivals[i] * keep,
+                self.completions[i] * keep,
+            )
+        self.observed_ns = self.observed_ns * keep + span_ns
         even = PRIOR_REQUESTS * self.balancer.context.settings.proxies
         relative_rates = sorted(
-            (self.good[i] + PRIOR_REQUESTS) / (max(f.quota, 1e-6) * self.seen_ns / NS + even)
-            for i, f in enumerate(flows)
+            (self.completions[i] + PRIOR_REQUESTS)
+            / (max(profile.quota, 1e-6) * self.observed_ns / NS + even)
+            for i, profile in enumerate(profiles)
         )
-        self.part = relative_rates[(len(relative_rates) - 1) // 2]
-        seen = sum(self.seen)
-        claims = [self.claim(i, seen) for i in range(self.count)]
+        self.traffic_fraction = relative_rates[(len(relative_rates) - 1) // 2]
+        arrivals = sum(self.arrivals)
+        claims = [self.claim(i, arrivals) for i in range(self.count)]
         best = max(range(self.count), key=lambda i: (claims[i], -i))
         if (
             len(self.balancer.groups.slots.ended) == 1
@@ -64,50 +68,61 @@
         ):
             self.priority = best
         self.slots += 1
-        self.short(span_ns)
-        assert all(f.served_in_slot == 0 for f in flows)
+        self.update_rates(span_ns)
+        assert all(profile.served_in_slot == 0 for profile in profiles)
 
 
-def play(
-    tenants: list[io.Tenant], proxies: int, rng: random.Random, calls: int, quiet: int
-) -> Iterator[tuple[Balancer, Long]]:
-    """Random traffic, mostly from a few profiles, with occasional pauses below `quiet` seconds."""
-    classes = PURE if tenants else tuple(cls(worth=rng.choice((1.0, 2.0, 5.0))) for _ in range(4))
-    drive = Drive(
+def random_traffic(
+    tenants: list[io.Tenant], proxies: int, rng: random.Random, calls: int, max_pause_s: int
+) -> Iterator[tuple[Balancer, ReferenceProfiles]]:
+    """Random traffic, mostly from a few profiles, with occasional pauses below `max_pause_s`."""
+    classes = (
+        PURE
+        if tenants
+        else tuple(request_class(priority_weight=rng.choice((1.0, 2.0, 5.0))) for _ in range(4))
+    )
+    driver = Driver(
         5, seed=rng.randrange(2**32), classes=classes, tenants=tuple(tenants), proxies=proxies
     )
-    long = Long(drive.balancer)
-    count = long.count
-    few = [rng.randrange(count) for _ in range(3)]
+    reference = ReferenceProfiles(driver.balancer)
+    count = reference.count
+    frequent = [rng.randrange(count) for _ in range(3)]
     for _ in range(calls):
-        drive.now += rng.randrange(1, 400) * MS
+        driver.now += rng.randrange(1, 400) * MS
         if rng.random() < 0.02:
-            few[rng.randrange(3)] = rng.randrange(count)
+            frequent[rng.randrange(3)] = rng.randrange(count)
         if rng.random() < 0.02:  # all become idle, or all but one
-            until, one = drive.now + rng.randrange(quiet) * NS, rng.randrange(2)
-            while drive.now < until:
-                drive.now += 2 * NS
-                drive.feed(io.TimerFired(drive.now))
+            until, one = driver.now + rng.randrange(max_pause_s) * NS, rng.randrange(2)
+            while driver.now < until:
+                driver.now += 2 * NS
+                driver.feed(io.TimerFired(driver.now))
                 if one and rng.random() < 0.3:
-                    ask(drive, long, few[0], rng)
-        ask(drive, long, few[rng.randrange(3)] if rng.random() < 0.8 else rng.randrange(count), rng)
-        yield drive.balancer, long
+                    send_request(driver, reference, frequent[0], rng)
+        send_request(
+            driver,
+            reference,
+            frequent[rng.randrange(3)] if rng.random() < 0.8 else rng.randrange(count),
+            rng,
+        )
+        yield driver.balancer, reference
 
 
-def ask(drive: Drive, long: Long, flow: int, rng: random.Random) -> None:
+def send_request(
+    driver: Driver, reference: ReferenceProfiles, index: int, rng: random.Random
+) -> None:
     """Send one request, which is usually served."""
-    drive.balancer.limits.capacity = drive.balancer.limits.spare_capacity = 500.0
-    by_tenant = bool(drive.balancer.context.settings.tenants)
-    drive.feed(io.TimerFired(drive.now))  # a slot that ends now ends before the request
-    rid, acts = drive.ask(0 if by_tenant else flow, tenant=flow if by_tenant else 0)
-    long.seen[flow] += 1
+    driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 500.0
+    by_tenant = bool(driver.balancer.context.settings.tenants)
+    driver.feed(io.TimerFired(driver.now))  # a slot that ends now ends before the request
+    rid, acts = driver.arrive(0 if by_tenant else index, tenant=index if by_tenant else 0)
+    reference.arrivals[index] += 1
     for act in sends(acts):
-        drive.now += 20 * MS
-        drive.feed(io.TimerFired(drive.now))
-        good = rng.random() < 0.9
-        long.good[flow] += good
-        drive.end(rid, act.backend, io.AttemptResult.OK if good else io.AttemptResult.ERROR)
-        drive.balancer.endpoints.by_id[act.backend].outlier.failure_score = 0.0
+        driver.now += 20 * MS
+        driver.feed(io.TimerFired(driver.now))
+        succeeds = rng.random() < 0.9
+        reference.completions[index] += succeeds
+        driver.end(rid, act.backend, io.AttemptResult.OK if succeeds else io.AttemptResult.ERROR)
+        driver.balancer.endpoints.by_id[act.backend].outlier.failure_score = 0.0
 
 
 QUOTAS = st.one_of(st.sampled_from((0.0, 1.0, 5.0, 5.0, 40.0)), st.floats(1e-9, 1e4))
@@ -116,95 +131,103 @@
 
 @hypothesis_settings(max_examples=40)
 @given(rows=TENANTS, proxies=st.sampled_from((1, 2, 300)), seed=st.integers(0, 2**32))
-def test_the_short_way_gives_what_the_long_way_gives(
+def test_profiles_match_the_reference(
     rows: list[tuple[float, float]], proxies: int, seed: int
 ) -> None:
     """Rates, counts, traffic fraction and priority while profiles turn idle, inactive and active again."""
     tenants = [io.Tenant(*row) for row in rows]
-    for balancer, long in play(tenants, proxies, random.Random(seed), 120, 3000):
-        assert balancer.profiles.traffic_fraction == SAME(long.part, rel=1e-12)
-        assert balancer.profiles.priority == long.priority
-        assert balancer.profiles.arrivals == SAME(sum(long.seen), rel=1e-12)
-        for i, f in enumerate(balancer.profiles.all):
-            assert f.arrivals == SAME(
-                long.seen[i], rel=1e-12, abs=1e-15 * max(1.0, balancer.profiles.arrivals)
+    for balancer, reference in random_traffic(tenants, proxies, random.Random(seed), 120, 3000):
+        assert balancer.profiles.traffic_fraction == approx(reference.traffic_fraction, rel=1e-12)
+        assert balancer.profiles.priority == reference.priority
+        assert balancer.profiles.arrivals == approx(sum(reference.arrivals), rel=1e-12)
+        for i, profile in enumerate(balancer.profiles.all):
+            assert profile.arrivals == approx(
+                reference.arrivals[i], rel=1e-12, abs=1e-15 * max(1.0, balancer.profiles.arrivals)
             )
-            assert f.completions == SAME(long.good[i], rel=1e-12, abs=1e-15)
-            assert f.rate == SAME(long.rate[i], rel=1e-12, abs=1e-15)
+            assert profile.completions == approx(reference.completions[i], rel=1e-12, abs=1e-15)
+            assert profile.rate == approx(reference.rate[i], rel=1e-12, abs=1e-15)
             assert (
                 i in balancer.profiles.active
-                or f.arrivals == f.completions == f.rate == f.served_in_slot == 0
+                or profile.arrivals
+                == profile.completions
+                == profile.rate
+                == profile.served_in_slot
+                == 0
             )
-    assert long.slots > 10
+    assert reference.slots > 10
 
 
-def test_while_nobody_was_idle_for_long_the_short_way_is_the_same_to_the_digit() -> None:
+def test_without_long_pauses_profiles_equal_the_reference_exactly() -> None:
     rng = random.Random(3)
     tenants = [io.Tenant(1 / 20, rng.choice((2.0, 7.5, 40.0))) for _ in range(20)]
-    for balancer, long in play(tenants, 30, rng, 400, 60):
+    for balancer, reference in random_traffic(tenants, 30, rng, 400, 60):
         assert (balancer.profiles.traffic_fraction, balancer.profiles.priority) == (
-            long.part,
-            long.priority,
+            reference.traffic_fraction,
+            reference.priority,
         )
-        assert [f.rate for f in balancer.profiles.all] == long.rate
-        assert [f.arrivals for f in balancer.profiles.all] == long.seen
+        assert [profile.rate for profile in balancer.profiles.all] == reference.rate
+        assert [profile.arrivals for profile in balancer.profiles.all] == reference.arrivals
 
 
-def test_tenants_are_forgotten_in_the_plays_above() -> None:
+def test_random_traffic_deactivates_and_reactivates_profiles() -> None:
     """Ensures that the tests above cover profiles that become inactive and active again."""
-    rng, left, back = random.Random(1), 0, 0
+    rng, deactivations, reactivations = random.Random(1), 0, 0
     tenants = [io.Tenant(1 / 20, 5.0) for _ in range(20)]
     before: set[int] = set()
-    gone: set[int] = set()
-    for balancer, _ in play(tenants, 30, rng, 400, 3000):
-        left += len(new := before - set(balancer.profiles.active))
-        back += len(gone & set(balancer.profiles.active))
-        gone = (gone | new) - set(balancer.profiles.active)
+    deactivated: set[int] = set()
+    for balancer, _ in random_traffic(tenants, 30, rng, 400, 3000):
+        deactivations += len(new := before - set(balancer.profiles.active))
+        reactivations += len(deactivated & set(balancer.profiles.active))
+        deactivated = (deactivated | new) - set(balancer.profiles.active)
         before = set(balancer.profiles.active)
-    assert left > 20 and back > 20
+    assert deactivations > 20 and reactivations > 20
 
 
 @hypothesis_settings(max_examples=25)
 @given(seed=st.integers(0, 2**32), rows=st.lists(QUOTAS, min_size=10, max_size=40))
-def test_where_many_ask_the_pace_is_off_by_what_is_forgotten_at_most(
+def test_early_deactivation_bounds_the_error_of_the_traffic_fraction(
     seed: int, rows: list[float]
 ) -> None:
     """Above MANY_PROFILES, profiles below EARLY_INACTIVE_BELOW are inactive; this bounds the error."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(traffic_profile, "MANY_PROFILES", 4)
         tenants = [io.Tenant(1 / len(rows), quota) for quota in rows]
-        for balancer, long in play(tenants, 30, random.Random(seed), 150, 120):
-            assert balancer.profiles.arrivals == SAME(sum(long.seen), rel=1e-9)
-            for i, f in enumerate(balancer.profiles.all):
+        for balancer, reference in random_traffic(tenants, 30, random.Random(seed), 150, 120):
+            assert balancer.profiles.arrivals == approx(sum(reference.arrivals), rel=1e-9)
+            for i, profile in enumerate(balancer.profiles.all):
                 # A profile loses its count when it turns inactive, once per decay time at most.
                 assert (
-                    long.good[i] - 2 * EARLY_INACTIVE_BELOW <= f.completions <= long.good[i] + 1e-12
+                    reference.completions[i] - 2 * EARLY_INACTIVE_BELOW
+                    <= profile.completions
+                    <= reference.completions[i] + 1e-12
                 )
             assert (
-                long.part * PRIOR_REQUESTS / (PRIOR_REQUESTS + 2 * EARLY_INACTIVE_BELOW)
+                reference.traffic_fraction
+                * PRIOR_REQUESTS
+                / (PRIOR_REQUESTS + 2 * EARLY_INACTIVE_BELOW)
                 <= balancer.profiles.traffic_fraction
-                <= long.part * (1 + 1e-12)
+                <= reference.traffic_fraction * (1 + 1e-12)
             )
 
 
-class Counted(list[Any]):
+class CountingList(list[Any]):
     """A list that counts element accesses."""
 
-    looks = 0
+    accesses = 0
 
     def __getitem__(self, at: SupportsIndex | slice) -> Any:
-        self.looks += 1
+        self.accesses += 1
         return super().__getitem__(at)
 
     def __iter__(self) -> Iterator[Any]:
         for one in super().__iter__():
-            self.looks += 1
+            self.accesses += 1
             yield one
 
 
-def test_a_slots_end_looks_at_those_that_ask_and_not_at_all_tenants() -> None:
+def test_the_end_of_a_slot_accesses_only_active_tenants() -> None:
     """Guards against a loop over all tenants, up to half a million, that delays all requests."""
-    rng, looks = random.Random(5), []
+    rng, accesses = random.Random(5), []
     for count in (2_000, 20_000):
         tenants = tuple(io.Tenant(1 / count, rng.uniform(1.0, 50.0)) for _ in range(count))
         balancer = Balancer(settings(classes=PURE, tenants=tenants, proxies=300), 1)
@@ -212,9 +235,9 @@
             START, [io.EndpointUpdate(io.UpdateScope.FULL, 1, [entry(i) for i in range(1, 41)])]
         )
         kept = [
-            Counted(balancer.profiles.all),
-            Counted(balancer.profiles.by_quota),
-            Counted(balancer.profiles.quota_rank),
+            CountingList(balancer.profiles.all),
+            CountingList(balancer.profiles.by_quota),
+            CountingList(balancer.profiles.quota_rank),
         ]
         balancer.profiles.all, balancer.profiles.by_quota, balancer.profiles.quota_rank = kept
         now = START
@@ -229,8 +252,8 @@
                     balancer.handle(now, [done])
         assert len(balancer.profiles.active) > 300 and len(balancer.groups.slots.ended) > 3
         for rows in kept:
-            rows.looks = 0
+            rows.accesses = 0
         balancer.update_rates(NS)
         balancer.groups.split()
-        looks.append(sum(rows.looks for rows in kept))
-    assert looks[1] < 2000 and looks[1] < 1.5 * looks[0]
+        accesses.append(sum(rows.accesses for rows in kept))
+    assert accesses[1] < 2000 and accesses[1] < 1.5 * accesses[0]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,6 +42,6 @@
     assert line_count(ROOT / name) > MAX_MODULE_LINES
 
 
-def test_policy_names_its_interface() -> None:
+def test_policy_docstring_names_its_interface() -> None:
     text = (ROOT / "mothstall" / "policy" / "__init__.py").read_text(encoding="utf-8")
     assert "mothstall.interface" in "\n".join(text.splitlines()[:5])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -53,14 +53,14 @@
     return struct.pack(">I", len(body)) + body
 
 
-def boot(inst: int = 3, setup: str = SETUP) -> bytes:
+def instance_started(instance: int = 3, setup: str = SETUP) -> bytes:
     raw = setup.encode()
-    return struct.pack(">BHQI", 40, inst, 99, len(raw)) + raw
+    return struct.pack(">BHQI", 40, instance, 99, len(raw)) + raw
 
 
-def endpoints(inst: int = 3, scope: int = 0) -> bytes:
+def endpoints(instance: int = 3, scope: int = 0) -> bytes:
     row = struct.pack(">IHBHBfQ", 0x03124A07, 0, 0, 0, 1, 1.0, 0)
-    return struct.pack(">BHBII", 10, inst, scope, 41, 1) + row
+    return struct.pack(">BHBII", 10, instance, scope, 41, 1) + row
 
 
 REQUEST = bytes.fromhex(
@@ -68,12 +68,12 @@
 )
 
 
-def test_records_of_the_wire_page_are_read() -> None:
+def test_records_of_the_protocol_page_are_decoded() -> None:
     ended = bytes.fromhex(
         "5a0003000e30025d3a91c40003124a0700c800000000011a49a001023f1eb85240400000"
     )
     timer = bytes.fromhex("140003000000000000004d")
-    gone = bytes.fromhex("5000050004bdfa0e6f2b19")
+    departed = bytes.fromhex("5000050004bdfa0e6f2b19")
     listed = bytes.fromhex(
         "0a"
         "0003"
@@ -95,15 +95,15 @@
         "3fc00000"
         "000000016b969d00"
     )
-    body = frame(0x1F568BF90, REQUEST, ended, timer, gone, listed)[4:]
+    body = frame(0x1F568BF90, REQUEST, ended, timer, departed, listed)[4:]
     now, records = codec.decode(body)
     assert now == 0x1F568BF90
     assert records[0] == (
         3,
         io.RequestArrived(0x000E30025D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240000000, 12000000, False),
     )
-    inst, outcome = records[1]
-    assert inst == 3 and isinstance(outcome, io.AttemptEnded)
+    instance, outcome = records[1]
+    assert instance == 3 and isinstance(outcome, io.AttemptEnded)
     assert (outcome.result, outcome.finished, outcome.latency_ns) == (
         AttemptResult.OK,
         True,
@@ -118,7 +118,7 @@
     assert change.entries[1] == io.Endpoint(0x2C9011F2, 1, 0, 0, Health.READY, 1.5, 6100000000)
 
 
-def test_actions_are_written_as_on_the_wire_page() -> None:
+def test_actions_are_encoded_as_on_the_protocol_page() -> None:
     reply = codec.encode(
         [
             (3, io.SendAttempt(0x000E30025D3A91C4, 0x03124A07, 80000000)),
@@ -158,7 +158,7 @@
     )
 
 
-def test_peer_messages_probes_and_first_answers_are_read_past() -> None:
+def test_peer_messages_probes_and_response_starts_are_decoded() -> None:
     peer = struct.pack(">BHIH", 60, 3, 1, 3) + b"abc"
     probe = struct.pack(">BHQIHBf", 30, 3, 5, 7, 200, 1, 0.5)
     first = struct.pack(">BHQBIQ", 50, 3, 8, 0, 7, 5)
@@ -177,7 +177,7 @@
         (struct.pack(">I", 0xFFFFFFFF) + b"\0" * 16, "outside"),
     ],
 )
-def test_broken_frames_are_named(raw: bytes, word: str) -> None:
+def test_malformed_frames_raise_an_error_that_names_the_fault(raw: bytes, word: str) -> None:
     with pytest.raises(codec.WireError, match=word):
         codec.read_frame(streams.BytesIO(raw))
 
@@ -195,12 +195,12 @@
         struct.pack(">BHIH", 60, 3, 1, 30) + b"abc",
     ],
 )
-def test_broken_records_are_errors(record: bytes) -> None:
+def test_malformed_records_raise_an_error(record: bytes) -> None:
     with pytest.raises(codec.WireError):
         codec.decode(frame(1, record)[4:])
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_parsed_and_unknown_keys_skipped() -> None:
     cfg = parse(SETUP)
     assert cfg.classes[1].effect == Effect.IDEMPOTENT_WITH_KEY
     assert cfg.classes[1].group == KeyScope.ZONE
@@ -218,15 +218,18 @@
         parse(text)
 
 
-def test_an_unreadable_setting_is_named() -> None:
+def test_an_invalid_setting_is_named() -> None:
     with pytest.raises(SettingsError, match=r"classes\.0\.effect"):
         parse(SETUP.replace("effect=pure", "effect=odd"))
 
 
-def test_host_reports_a_missing_setting_and_lives_on() -> None:
+def test_host_reports_a_missing_setting_and_keeps_other_instances() -> None:
     host = Host()
     reply = host.batch(
-        5, codec.decode(frame(5, boot(setup="zone=1\n"), boot(4), endpoints(4))[4:])[1]
+        5,
+        codec.decode(
+            frame(5, instance_started(setup="zone=1\n"), instance_started(4), endpoints(4))[4:]
+        )[1],
     )
     assert reply[4] in (90, 100)
     assert b"classes.count" in reply
@@ -235,7 +238,7 @@
 
 def test_host_reports_an_exception_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     host = Host()
-    host.batch(5, codec.decode(frame(5, boot(), endpoints())[4:])[1])
+    host.batch(5, codec.decode(frame(5, instance_started(), endpoints())[4:])[1])
     monkeypatch.setattr(host.instances[3], "handle", lambda *_: 1 / 0)
     reply = host.batch(6, [(3, io.TimerFired(1))])
     assert reply[4] == 90 and b"ZeroDivisionError" in reply
@@ -246,16 +249,16 @@
     assert Host().batch(5, [(8, io.TimerFired(1))]) == b"\0\0\0\0"
 
 
-def test_a_kill_voids_what_came_before_it_in_the_batch() -> None:
+def test_the_end_of_an_instance_discards_its_earlier_events_in_the_batch() -> None:
     host = Host()
-    host.batch(5, codec.decode(frame(5, boot(), endpoints())[4:])[1])
+    host.batch(5, codec.decode(frame(5, instance_started(), endpoints())[4:])[1])
     request = codec.decode(frame(6, REQUEST)[4:])[1]
     reply = host.batch(6, [*request, (3, codec.InstanceEnded())])
     assert reply == b"\0\0\0\0"
     assert host.instances == {}
 
 
-def run(raw: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_host(raw: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-m", "mothstall.simhost"],
         input=raw,
@@ -266,51 +269,51 @@
     )
 
 
-def test_process_answers_each_batch_and_ends_clean() -> None:
-    done = run(frame(1) + frame(5, boot(), endpoints()) + frame(6, REQUEST))
+def test_process_replies_to_each_batch_and_exits_with_zero() -> None:
+    done = run_host(frame(1) + frame(5, instance_started(), endpoints()) + frame(6, REQUEST))
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout[:4] == b"\0\0\0\0"
     assert bytes.fromhex("280003000e30025d3a91c403124a07") in done.stdout
 
 
 @pytest.mark.parametrize("raw", [b"\0\0", frame(1)[:-2], frame(1, b"\xee\0\1")])
-def test_process_ends_non_zero_with_a_plain_line_on_bad_input(raw: bytes) -> None:
-    done = run(raw)
+def test_process_exits_non_zero_with_one_line_on_malformed_input(raw: bytes) -> None:
+    done = run_host(raw)
     assert done.returncode == 2
     assert done.stderr.startswith(b"mothstall: bad input: ") and done.stderr.count(b"\n") == 1
 
 
-def _asked() -> tuple[Host, list[bytes], str]:
+def _host_with_request() -> tuple[Host, list[bytes], str]:
     """Return a host whose instance has a list, the record of a request, and the request's id in hex."""
     host = Host()
-    host.batch(0, codec.decode(frame(0, boot(), endpoints())[4:])[1])
+    host.batch(0, codec.decode(frame(0, instance_started(), endpoints())[4:])[1])
     return host, [REQUEST], "000e30025d3a91c4"
 
 
-def _acts(host: Host, now: int, *records: bytes) -> bytes:
+def _reply(host: Host, now: int, *records: bytes) -> bytes:
     at, rows = codec.decode(frame(now, *records)[4:])
     return host.batch(at, rows)
 
 
-def test_a_client_that_leaves_in_the_batch_in_which_it_came_is_sent_on_to_nobody() -> None:
-    host, (request,), number = _asked()
+def test_a_request_whose_client_leaves_in_the_same_batch_is_not_sent() -> None:
+    host, (request,), number = _host_with_request()
     left = bytes.fromhex("500003" + number)
-    assert bytes.fromhex("280003" + number) in _acts(
-        _asked()[0], 1000, request
+    assert bytes.fromhex("280003" + number) in _reply(
+        _host_with_request()[0], 1000, request
     )  # without the departure it is sent
-    assert bytes.fromhex(number) not in _acts(host, 1000, request, left)
+    assert bytes.fromhex(number) not in _reply(host, 1000, request, left)
     assert not host.instances[3].requests.open
 
 
-def test_a_client_that_leaves_in_the_batch_in_which_its_attempt_ends_is_sent_on_to_nobody() -> None:
-    refused = bytes.fromhex("5a0003000e30025d3a91c40003124a07020900000000000003e80000")
+def test_an_attempt_that_ends_in_the_batch_in_which_its_client_leaves_is_not_retried() -> None:
+    rejected = bytes.fromhex("5a0003000e30025d3a91c40003124a07020900000000000003e80000")
     for leaves in (False, True):
-        host, (request,), number = _asked()
+        host, (request,), number = _host_with_request()
         second = struct.pack(">IHBHBfQ", 0x03124A08, 0, 0, 0, 1, 1.0, 0)
-        _acts(host, 10, struct.pack(">BHBII", 10, 3, 3, 42, 1) + second)
-        sent = _acts(host, 1000, request)
+        _reply(host, 10, struct.pack(">BHBII", 10, 3, 3, 42, 1) + second)
+        sent = _reply(host, 1000, request)
         at = sent.index(bytes.fromhex("280003" + number)) + 11
-        ended = refused.replace(bytes.fromhex("03124a07"), sent[at : at + 4])
+        ended = rejected.replace(bytes.fromhex("03124a07"), sent[at : at + 4])
         left = [bytes.fromhex("500003" + number)] if leaves else []
-        again = bytes.fromhex("280003" + number) in _acts(host, 2000, ended, *left)
-        assert again is not leaves
+        is_retried = bytes.fromhex("280003" + number) in _reply(host, 2000, ended, *left)
+        assert is_retried is not leaves
