--- a/mothstall/policy/latency.py
+++ b/mothstall/policy/latency.py
@@ -40,7 +40,7 @@
 
     def __init__(self, mean_ns: float = 0.0, lowest_ns: float = 0.0, count: float = 0.0) -> None:
         self.mean_ns = mean_ns
-        self.lowest_ns = lowest_ns  # 0: not known yet
+        self.lowest_ns = lowest_ns  # 0: not measured yet
         self.count = count
 
     def add(self, latency_ns: float) -> None:
--- a/mothstall/policy/outliers.py
+++ b/mothstall/policy/outliers.py
@@ -60,7 +60,7 @@
             self._on_member_ejected()
 
     def count_hint(self, backend: Backend) -> None:
-        """Record a health hint; hints raise the score to half of what ejects, and no further."""
+        """Record a health hint; hints raise the score to `MAX_HINTED_SCORE`, and no further."""
         if backend.outlier.failure_score < MAX_HINTED_SCORE:
             self.count_failure(backend, MAX_HINTED_SCORE - backend.outlier.failure_score)
 
--- a/mothstall/policy/request_lifecycle.py
+++ b/mothstall/policy/request_lifecycle.py
@@ -23,7 +23,7 @@
 from mothstall.policy.zone_weights import ZoneWeights
 
 QUEUE_WAIT_FRACTION = 0.25  # of the latency objective: how long a request may wait for capacity
-RETRY_AFTER_DIVISOR = 4  # a rejected client is told to wait the latency objective divided by this
+RETRY_AFTER_DIVISOR = 4  # Retry-After of a rejection: the latency objective divided by this
 MIN_TIME_FRACTION = 1 / 2  # of the usual latency: no attempt is sent with less time left
 HEDGE_AFTER = 3.0  # a request is hedged after this multiple of the usual latency without a response
 HEDGE_UNRESPONSIVE_CLASS_AFTER = 2.0  # the same for a class that gets no response at any backend
--- a/mothstall/policy/subset.py
+++ b/mothstall/policy/subset.py
@@ -28,7 +28,7 @@
 
 
 class Subset:
-    """Chooses the members and hands them to the priority groups.
+    """Selects the members of the priority groups.
 
     Attributes:
         size: Wanted number of healthy and warm members.
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -298,9 +298,8 @@
 def test_a_request_whose_client_leaves_in_the_same_batch_is_not_sent() -> None:
     host, (request,), number = _host_with_request()
     left = bytes.fromhex("500003" + number)
-    assert bytes.fromhex("280003" + number) in _reply(
-        _host_with_request()[0], 1000, request
-    )  # without the departure it is sent
+    # Without the departure the request is sent.
+    assert bytes.fromhex("280003" + number) in _reply(_host_with_request()[0], 1000, request)
     assert bytes.fromhex(number) not in _reply(host, 1000, request, left)
     assert not host.instances[3].requests.open
 
