--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -60,10 +60,10 @@
 
 def test_a_non_idempotent_request_skips_a_stalled_backend_earlier() -> None:
     driver = warm_driver(classes=(request_class(), request_class(Effect.NON_IDEMPOTENT)))
-    _, quiet = driver.send()
+    _, unresponsive = driver.send()
     driver.wait(55 * MS)
-    assert skip(driver, quiet, 1) == SkipReason.UNHEALTHY
-    assert skip(driver, quiet, 0) != SkipReason.UNHEALTHY
+    assert skip(driver, unresponsive, 1) == SkipReason.UNHEALTHY
+    assert skip(driver, unresponsive, 0) != SkipReason.UNHEALTHY
 
 
 def test_health_hints_alone_do_not_eject() -> None:
@@ -192,20 +192,20 @@
     driver.balancer.endpoints.by_id[slow].last_progress_ns = driver.now + 1  # it serves others
     assert not sends(driver.wait(NS))
     driver = warm_driver()
-    rid, silent = driver.send()
+    rid, unresponsive_backend = driver.send()
     assert not sends(driver.wait(NS))  # one attempt without a response may be an expensive request
     driver = warm_driver()
-    rid, silent = driver.send()
-    driver.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
+    rid, unresponsive_backend = driver.send()
+    driver.balancer.endpoints.by_id[unresponsive_backend].outlier.failure_score = 1.0
     hedges = sends(driver.wait(NS))
     assert [c.request for c in hedges] == [rid]
-    assert hedges[0].backend != silent
+    assert hedges[0].backend != unresponsive_backend
 
 
 def test_the_other_attempt_is_cancelled_after_a_successful_hedge() -> None:
     driver = warm_driver()
-    rid, silent = driver.send()
-    driver.balancer.endpoints.by_id[silent].outlier.failure_score = 1.0
+    rid, unresponsive_backend = driver.send()
+    driver.balancer.endpoints.by_id[unresponsive_backend].outlier.failure_score = 1.0
     hedge = sends(driver.wait(NS))[0]
     assert io.CancelAttempt(rid, 0) in driver.end(rid, hedge.backend, attempt=1)
 
@@ -281,18 +281,18 @@
 
 def test_timeouts_reduce_the_capacity_only_if_most_backends_do_not_respond() -> None:
     # Guards against overload in which no backend responds: it must reduce the capacity.
-    for silent, shrinks in ((1, False), (4, True)):
+    for count, is_reduced in ((1, False), (4, True)):
         driver = warm_driver()
         in_flight = exhaust_capacity(driver)
-        quiet = [in_flight[0][1], *({1, 2, 3, 4} - {in_flight[0][1]})][:silent]
-        for number in quiet:
+        unresponsive = [in_flight[0][1], *({1, 2, 3, 4} - {in_flight[0][1]})][:count]
+        for number in unresponsive:
             driver.balancer.outliers.count_failure(driver.balancer.endpoints.by_id[number], 1.0)
         before = driver.balancer.limits.capacity
         driver.now += NS
-        mine = [h for h in in_flight if h[1] == quiet[0]]
-        for rid, to in mine:
+        first_in_flight = [h for h in in_flight if h[1] == unresponsive[0]]
+        for rid, to in first_in_flight:
             driver.end(rid, to, AttemptResult.TIMEOUT, latency=NS)
-        assert (driver.balancer.limits.capacity < before) == shrinks
+        assert (driver.balancer.limits.capacity < before) == is_reduced
 
 
 def test_initial_capacity_is_four_attempts_per_backend_over_all_proxies() -> None:
@@ -321,34 +321,34 @@
 def test_a_heavy_tenant_does_not_starve_the_others() -> None:
     tenants = (io.Tenant(0.5, 50.0), io.Tenant(0.5, 50.0))
     driver = warm_driver(3, tenants=tenants)
-    busy = exhaust_capacity(driver, tenant=0)
+    in_flight = exhaust_capacity(driver, tenant=0)
     served = {0: 0, 1: 0}
-    asked = {0: 0, 1: 0}
-    whose = dict.fromkeys(range(driver.next_id), 0)
+    arrived = {0: 0, 1: 0}
+    tenant_of = dict.fromkeys(range(driver.next_id), 0)
     for turn in range(300):
         driver.now += 5 * MS
         tenant = 1 if turn % 10 == 0 else 0
         rid, acts = driver.arrive(tenant=tenant)
-        whose[rid] = tenant
-        asked[tenant] += 1
+        tenant_of[rid] = tenant
+        arrived[tenant] += 1
         if turn % 4 == 0:
             driver.balancer.limits.is_ramping_up = False
-            acts += driver.end(*busy.pop(0))
+            acts += driver.end(*in_flight.pop(0))
         for s in sends(acts):
-            served[whose[s.request]] += 1
-            busy.append((s.request, s.backend))
-    assert served[1] + 2 >= asked[1] * 0.8
+            served[tenant_of[s.request]] += 1
+            in_flight.append((s.request, s.backend))
+    assert served[1] + 2 >= arrived[1] * 0.8
     assert served[0] > served[1]
 
 
 def test_preference_for_the_own_zone_grows_with_the_fee() -> None:
     rows = [entry(i, zone=i % 2) for i in range(1, 9)]
-    near = {}
+    own_zone_fractions = {}
     for fee in (0.0, 0.02, 0.1):
         driver = Driver(entries=rows, classes=PURE, cross_zone_fee=fee)
-        near[fee] = sum(driver.serve() % 2 == 0 for _ in range(200)) / 200
-    assert near[0.0] < near[0.02] < near[0.1]
-    assert near[0.1] > 0.95
+        own_zone_fractions[fee] = sum(driver.serve() % 2 == 0 for _ in range(200)) / 200
+    assert own_zone_fractions[0.0] < own_zone_fractions[0.02] < own_zone_fractions[0.1]
+    assert own_zone_fractions[0.1] > 0.95
 
 
 def test_discovery_is_called_immediately_and_again_after_a_failure() -> None:
@@ -358,21 +358,21 @@
     ]
     driver.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
     assert set(driver.balancer.endpoints.by_id) == {1, 2, 3, 4}
-    again = [a for a in driver.wait(2 * NS) if isinstance(a, io.WatchEndpoints)]
-    assert len(again) == 1
+    retried_calls = [a for a in driver.wait(2 * NS) if isinstance(a, io.WatchEndpoints)]
+    assert len(retried_calls) == 1
 
 
 def test_calls_to_discovery_never_stop() -> None:
     driver = Driver(discovery_push=False)
     cfg = settings()
-    asked = [driver.now]
+    call_times = [driver.now]
     for _ in range(60):
         acts = driver.wait(NS)
         if any(isinstance(a, io.WatchEndpoints) for a in acts):
-            asked.append(driver.now)
-            if len(asked) % 2:
+            call_times.append(driver.now)
+            if len(call_times) % 2:
                 driver.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
-    assert max(b - a for a, b in pairwise(asked)) < cfg.poll_within_ns
+    assert max(b - a for a, b in pairwise(call_times)) < cfg.poll_within_ns
 
 
 @pytest.mark.parametrize("proxies", [1, 6, 30, 200, 400])
@@ -380,13 +380,13 @@
     """Guards against changes read too late after discovery recovers; a call may take 2 s."""
     for seed in range(8):
         driver = Driver(discovery_push=False, proxies=proxies, position=proxies - 1, seed=seed)
-        asked: list[int] = []
+        call_times: list[int] = []
         for _ in range(1200):
             acts = driver.wait(100 * MS, step=100 * MS)
             if any(isinstance(a, io.WatchEndpoints) for a in acts):
-                asked.append(driver.now)
+                call_times.append(driver.now)
                 driver.feed(io.EndpointUpdate(UpdateScope.FAILED, 1, []))
-        assert max(b - a for a, b in pairwise(asked)) + 2 * NS <= settings().poll_within_ns
+        assert max(b - a for a, b in pairwise(call_times)) + 2 * NS <= settings().poll_within_ns
 
 
 def test_an_outdated_list_restores_no_backend() -> None:
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -281,19 +281,19 @@
     """Guards against simultaneous calls at the start: discovery serves all proxies one by one."""
     proxies, rows = 300, [entry(i) for i in range(1, 61)]
     tier = make_tier(proxies, rows, discovery_push=False)
-    asked: Counter[int] = Counter()
+    calls_by_second: Counter[int] = Counter()
     calls = 0
     for tick in range(1, 100):
         now = START + tick * 100 * MS
         for balancer in tier:
             acts = balancer.handle(now, [io.TimerFired(now)])
             n = sum(isinstance(a, io.WatchEndpoints) for a in acts)
-            asked[tick // 10] += n
+            calls_by_second[tick // 10] += n
             calls += n
             if n:
                 balancer.handle(now, [io.EndpointUpdate(UpdateScope.DELTA, 1, [])])
     assert calls == proxies
-    assert max(asked.values()) < proxies / 5
+    assert max(calls_by_second.values()) < proxies / 5
 
 
 def test_initial_budgets_of_all_proxies_stay_small_in_total() -> None:
@@ -307,7 +307,7 @@
     """Guards against random gaps: one request in ten seconds must not exceed the quota."""
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.25, 20.0), io.Tenant(0.25, 20.0))
     rng = random.Random(4)
-    beyond = asked = heavy = 0
+    beyond = requests = heavy = 0
     for seed in range(20):
         driver = Driver(60, classes=PURE, proxies=300, tenants=tenants)
         balancer = driver.balancer
@@ -317,11 +317,11 @@
             driver.feed(io.TimerFired(driver.now))
             balancer.context.now_ns = driver.now
             if rng.random() < 0.1 * 0.8 * 20 / 300:
-                asked += 1
+                requests += 1
                 beyond += balancer.quotas.exceeds(balancer.profiles.all[1])
             if rng.random() < 0.1 * 3 * 40 / 300:
                 heavy += not balancer.quotas.exceeds(balancer.profiles.all[0])
-    assert beyond < 0.25 * asked
+    assert beyond < 0.25 * requests
     assert heavy < 1.8 * 20 * 60 * 40 / 300
 
 
