--- a/tests/lab/test_mutations.py
+++ b/tests/lab/test_mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the policy, each taken out once: some scenario of the lab shows that it is gone."""
+"""Mutation tests: removing a guard of the policy must show in a scenario of the lab."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 TEXTS = policy_source.texts_of(Path(__file__).parents[2] / "mothstall" / "policy")
 
-# The module, what is taken out, what stands in its place, where it shows, how long, which violation.
+# Module, original text, replacement, scenario, duration in seconds, kind of violation.
 VIOLATIONS = [
     (
         "balancer.py",
@@ -64,7 +64,7 @@
     ),
 ]
 
-# The same for what breaks no rule and costs service: the worth that it costs at least.
+# The same for mutations that break no rule but reduce service; the last value is the least loss.
 LOSSES = [
     (
         "outliers.py",
@@ -92,7 +92,7 @@
     ),
     (
         "latency.py",
-        "return part if part < SHARED_ENOUGH else 1.0",
+        "return fraction if fraction < MIN_SHARED_FRACTION else 1.0",
         "return 1.0",
         "dependency-fails",
         20,
@@ -108,7 +108,7 @@
     ),
     (
         "attempt_outcomes.py",
-        "late_ns = min(LATE * request.objective_ns, surely_late_ns)",
+        "late_ns = min(LATE_FRACTION * request.objective_ns, baseline_late_ns)",
         "late_ns = math.inf",
         "burst",
         18,
@@ -118,13 +118,17 @@
 
 
 @cache
-def play(name: str, seconds: float, module: str = "", old: str = "", new: str = "") -> Result:
+def run_scenario(
+    name: str, seconds: float, module: str = "", old: str = "", new: str = ""
+) -> Result:
     texts = dict(TEXTS)
     if module:
-        assert texts[module].count(old) == 1, f"the guard is written differently now: {old}"
+        assert texts[module].count(old) == 1, f"the source text of the guard has changed: {old}"
         texts[module] = texts[module].replace(old, new)
-    made = policy_source.from_package(texts)
-    return runs.play_made(scenario.lasting(scenario.load(name), seconds), made, "mutant", 1)
+    mutated_policy = policy_source.from_package(texts)
+    return runs.play_made(
+        scenario.lasting(scenario.load(name), seconds), mutated_policy, "mutant", 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -132,11 +136,11 @@
     VIOLATIONS,
     ids=[row[5] + " " + row[3] for row in VIOLATIONS],
 )
-def test_without_its_guard_a_rule_breaks(
+def test_removing_a_guard_breaks_a_rule(
     module: str, old: str, new: str, name: str, seconds: float, kind: str
 ) -> None:
-    assert kind in play(name, seconds, module, old, new).verdict.rules
-    assert not play(name, seconds).verdict.rules
+    assert kind in run_scenario(name, seconds, module, old, new).verdict.rules
+    assert not run_scenario(name, seconds).verdict.rules
 
 
 @pytest.mark.parametrize(
@@ -144,8 +148,11 @@
     LOSSES,
     ids=[row[0] + " " + row[1][:30] for row in LOSSES],
 )
-def test_without_its_guard_service_is_lost(
+def test_removing_a_guard_reduces_service(
     module: str, old: str, new: str, name: str, seconds: float, least: float
 ) -> None:
-    loss = play(name, seconds).verdict.worth - play(name, seconds, module, old, new).verdict.worth
+    loss = (
+        run_scenario(name, seconds).verdict.worth
+        - run_scenario(name, seconds, module, old, new).verdict.worth
+    )
     assert loss >= least
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits on size that every source file is held to."""
+"""Size limits of source files."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 MAX_MODULE_LINES = 500
 
-# Files that are still too long, with the length that they must not exceed. This table only shrinks.
+# Files that are still too long, with their maximum lengths. Entries may only be removed or lowered.
 OVERSIZED = {
     "mothstall/lab/fleetplay.py": 869,
     "mothstall/lab/replicas.py": 701,
@@ -42,6 +42,6 @@
     assert line_count(ROOT / name) > MAX_MODULE_LINES
 
 
-def test_policy_names_its_interface() -> None:
+def test_policy_docstring_names_its_interface() -> None:
     text = (ROOT / "mothstall" / "policy" / "__init__.py").read_text(encoding="utf-8")
     assert "mothstall.interface" in "\n".join(text.splitlines()[:5])
