--- a/mothstall/fleet/agent/agent.py
+++ b/mothstall/fleet/agent/agent.py
@@ -1,8 +1,8 @@
-"""A proxy's agent: its part in the fleet, beside the request path, which never waits for it.
+"""A proxy's agent: connects the proxy to the fleet; the request path never waits for it.
 
 The agent composes one object for each concern: the client of the store, the snapshot of the
-replicated state, lease renewal, probing, health hints, local drains, failover. Without contact to
-the store the proxy serves on with the last snapshot.
+replicated state, lease renewal, probing, health hints, local drains, failover. While the store is
+unreachable, the proxy continues with the last snapshot.
 """
 
 from __future__ import annotations
@@ -47,18 +47,18 @@
 
 log = logging.getLogger("mothstall.fleet")
 
-# Between two checks of leases and assignments; a small part of any lease's term.
+# Interval of the checks of leases and assignments; a small fraction of any lease term.
 RECONCILE_INTERVAL_S = 0.1
-# Between two checks of which probes are due; well below any probe interval.
+# Interval of the checks for due probes; well below any probe interval.
 PROBE_TICK_S = 0.05
-STOP_TIMEOUT_S = 0.2  # for giving leases back; their terms end anyway
-# In lease terms: observers remove the proxies of a lost one after 11 terms at most.
+STOP_TIMEOUT_S = 0.2  # for releasing leases at shutdown; unreleased leases expire
+# In lease terms. Observers remove the proxies of a lost observer after at most 11 terms.
 STALL_FORGOTTEN_AFTER_TERMS = 12
-OWNER_SUFFIX_BYTES = 3  # random; tells processes of one name apart
+OWNER_SUFFIX_BYTES = 3  # random; distinguishes processes with the same proxy name
 
 
 class Agent:
-    """One proxy's agent; it loads what was persisted, and connects to nothing before `start`.
+    """One proxy's agent; loads the persisted state, and opens no connection before `start`.
 
     Args:
         operator: The operator file.
@@ -66,7 +66,8 @@
         loop: The event loop that the agent runs on.
         on_change: Called on that loop when drains or health hints may have changed.
         may_probe: Whether health checks are allowed.
-        proxy_traffic: The request path, which failover reads and steers; None: no failover.
+        proxy_traffic: Traffic counts and routing weights of the request path, for failover; None:
+            no failover.
         classes: The names of the request classes.
         latency_objectives_ns: The latency objective of each class.
 
@@ -77,17 +78,16 @@
     Attributes:
         name: The proxy's name.
         owner: The proxy's process, as the owner of leases.
-        backends: The backends of the endpoint list; replaced, never changed, by the discovery's
-            side.
-        counters: What the agent counts.
-        tasks: The background work.
+        backends: The backends of the endpoint list; discovery replaces the mapping and never
+            mutates it.
+        counters: The agent's counters.
+        tasks: The background tasks.
         snapshots: The snapshot of the replicated state.
         leases: The leases of this proxy.
-        state: What the proxy persists over a restart.
+        state: The state that persists across restarts of the proxy.
         client: The client of the store; None before the start.
-        observer_client: The same object where observers stand between proxies and keepers; else
-            None.
-        failover_participant: The part in zone failover; None where failover is off.
+        observer_client: The same object if the fleet has observers; else None.
+        failover_participant: Takes part in zone failover; None if failover is disabled.
     """
 
     def __init__(
@@ -105,8 +105,8 @@
         self.operator = operator
         self.name = name
         self.loop = loop
-        # Two processes of one name are two owners: the second waits until the first one's term is
-        # over.
+        # Processes with the same proxy name are different owners: the second waits until the leases
+        # of the first expire.
         self.owner = f"{name}#{secrets.token_hex(OWNER_SUFFIX_BYTES)}"
         self.backends: dict[str, BackendEndpoint] = {}
         self.client: StoreClient | None = None
@@ -125,7 +125,7 @@
             )
 
     def _compose(self) -> None:
-        """Make the parts, each from those that it stands on."""
+        """Create the components in the order of their dependencies."""
         self.tasks = TaskSupervisor(self.loop)
         self.snapshots = SnapshotTracker(self.counters, self._on_snapshot)
         self.leases = LeaseRenewal(
@@ -154,7 +154,7 @@
 
     @property
     def failover(self) -> FailoverController | None:
-        """What decides on failover, and what the request path reports to; None: failover is off."""
+        """The failover controller, which the request path reports to; None: it is disabled."""
         return self.failover_participant.controller if self.failover_participant else None
 
     @property
@@ -169,30 +169,30 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether the replicated state has this proxy: by its lease or its attachment."""
+        """Whether this proxy is a member in the replicated state, by lease or by attachment."""
         if self.observer_client:
             return self.observer_client.is_attached
         return self.membership_lease in self.leases.holder.held
 
     @property
     def lease_holder(self) -> LeaseHolder:
-        """The leases that this proxy holds, by its own count."""
+        """The leases that this proxy holds, by its own clock."""
         return self.leases.holder
 
     def active_drains(self) -> ActiveDrains:
-        """Return the drains that hold here: those of the store and the local ones."""
+        """Return the drains in effect at this proxy: stored and local ones."""
         return self._local_drains.active()
 
     def take_unhealthy_backends(self) -> list[str]:
-        """Return the backends that their prober calls unhealthy, each once under the same token."""
+        """Return the backends with an unhealthy health hint, each once per fencing token."""
         return self._hints.take_unhealthy_backends()
 
     def snapshot_age_ms(self) -> int:
-        """Return how old the snapshot may be; -1: there was never one."""
+        """Return the maximum age of the snapshot; -1: no keeper with a leader was reached yet."""
         return self.snapshots.age_ms()
 
     def metrics(self) -> dict[str, int]:
-        """Return what the counters page shows of the fleet."""
+        """Return the fleet metrics of the counters page."""
         counters = self.counters.as_dict()
         return {
             "fleet_snapshot_version": self.snapshot.version,
@@ -208,7 +208,7 @@
         }
 
     async def start(self) -> None:
-        """Listen, connect, and begin to work.
+        """Start listening, connect, and start the background tasks.
 
         Raises:
             OSError: The listener's address is not available.
@@ -226,7 +226,7 @@
             self._on_change()
 
     async def stop(self) -> None:
-        """End, and give the leases back where the store answers at once."""
+        """Stop, and release the leases if the store answers within `STOP_TIMEOUT_S`."""
         await self.tasks.cancel_all()
         self._listener.close()
         if self.client:
@@ -246,7 +246,7 @@
                 known_version=self._known_version,
                 on_reports=self._on_reports,
             )
-        # A fleet without observers loads none of their modules.
+        # Imported here so that a fleet without observers does not load their modules.
         from mothstall.fleet.agent.observer_client import ObserverClient
 
         self.observer_client = ObserverClient(
@@ -263,15 +263,15 @@
     # Events; the lab's hollow proxies extend these
 
     def _on_watch_event(self, event: WatchEvent) -> None:
-        """Take in what a keeper pushed."""
+        """Apply a state change that a keeper pushed."""
         self.snapshots.on_watch_event(event)
 
     def _on_state_update(self, delta: StateDelta, age_ms: int) -> None:
-        """Take in what an observer sent."""
+        """Apply a state change that an observer sent."""
         self.snapshots.on_state_update(delta, age_ms)
 
     def _on_lease_acquired(self, name: str) -> None:
-        """Note that a lease was granted."""
+        """Do nothing; called when a lease was granted."""
 
     def _on_snapshot(self, change: SnapshotChange) -> None:
         self._prober.on_snapshot(change)
@@ -312,7 +312,7 @@
     async def _reconcile_failover(
         self, participant: FailoverParticipant, client: StoreClient
     ) -> None:
-        """Make the plan while this proxy holds its lease; the lab's hollow proxies extend this."""
+        """Write the plan while this proxy holds its lease; the lab's hollow proxies extend this."""
         await participant.reconcile(client, self._live_proxies())
 
     async def _ensure_membership(self, client: StoreClient) -> bool:
@@ -329,12 +329,12 @@
             await asyncio.sleep(PROBE_TICK_S)
 
     def _live_proxies(self) -> frozenset[str]:
-        """The proxies that share the work; the same object while they are unchanged.
+        """The proxies that share probing and failover; the same object while they are unchanged.
 
-        Through an observer an agent knows those of its zone, and those that move over from a lost
-        one, less the stalled ones. Where one proxy of each zone finds itself assigned, the first to
-        acquire the lease does the work. Without an observer a stalled proxy's own membership lease
-        ends with its others.
+        Through an observer, an agent receives the proxies of its zone and those that are moving
+        from a lost observer; stalled proxies are left out. Where proxies of several zones find
+        themselves assigned the same work, the first to acquire the lease does it. Without
+        observers, a stalled proxy's membership lease expires together with its other leases.
         """
         snapshot = self.snapshot
         if self.observer_client is None:
--- a/mothstall/fleet/agent/backend_endpoint.py
+++ b/mothstall/fleet/agent/backend_endpoint.py
@@ -1,4 +1,4 @@
-"""Backends as the agent knows them. Pure."""
+"""The backends of the endpoint list, as the agent uses them. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendEndpoint:
-    """A backend as the endpoint list has it."""
+    """A backend of the endpoint list."""
 
     address: Address
     zone: str
--- a/mothstall/fleet/agent/client_config.py
+++ b/mothstall/fleet/agent/client_config.py
@@ -30,15 +30,16 @@
     """Timing of one client.
 
     Attributes:
-        connect_timeout_s: Bound on connecting and greeting; a peer on the same network needs
+        connect_timeout_s: Timeout of connecting and the handshake; a peer on the same network needs
             milliseconds.
-        attempt_timeout_s: Silence after which a peer is left. One that has sent anything since the
-            attempt began is alive, and gets the same request again. Longer than the
-            default election timeout (0.3 to 0.6 s), so that a keeper is not left during one.
+        attempt_timeout_s: Time after which a peer that has sent nothing since the attempt began is
+            disconnected; a peer that has sent anything gets the same request again. Longer than the
+            default election timeout (0.3 to 0.6 s), so that a keeper is not disconnected during an
+            election.
         reconnect_backoff: Pauses between two attempts to connect to keepers.
-        retry_backoff: Pauses after a peer rejected a request for the time being.
-        bounds_retry_by_deadline: Whether such a pause ends at the latest with the time that the
-            request had left when its attempt began.
+        retry_backoff: Pauses after a retryable rejection.
+        bounds_retry_by_deadline: Whether such a pause is limited to the time that the request had
+            left when its attempt began.
     """
 
     connect_timeout_s: float = 1.0
@@ -50,7 +51,7 @@
 
 KEEPER_CLIENT_CONFIG = ClientConfig()
 
-# All proxies of a zone share one observer, so that they retry at it less often, at a steady pace.
+# All proxies of a zone share one observer, so they retry less often, at a constant interval.
 OBSERVER_CLIENT_CONFIG = ClientConfig(
     retry_backoff=BackoffConfig(initial_s=0.4, growth=1.0, max_s=0.4),
     bounds_retry_by_deadline=True,
--- a/mothstall/fleet/agent/cluster_snapshot.py
+++ b/mothstall/fleet/agent/cluster_snapshot.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of the replicated state: one complete immutable snapshot at a time. Pure."""
+"""A proxy's view of the replicated state: one complete immutable snapshot at a time. Pure."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     """The replicated state at one version.
 
     Attributes:
-        version: Of the state; 0: nothing was received yet.
+        version: Version of the state; 0: nothing was received yet.
         leases: Leases that are held, by name.
         drains: Drains, by `drain_key`.
         values: Values that lease holders stored, by key.
         members: The proxies that hold their own membership lease.
         attached: The proxies that are attached to observers, or were until that observer's lease
             ended.
-        proxies: The names of both kinds.
+        proxies: The names of `members` and `attached` together.
     """
 
     version: int = 0
@@ -39,12 +39,12 @@
     def apply(self, delta: StateDelta) -> ClusterSnapshot | None:
         """Return the next snapshot, never an older one.
 
-        The delta of a keeper that lags changes nothing. Linear in the delta, and in the members
-        where these change.
+        The delta of a lagging keeper changes nothing. Takes time linear in the delta, and also in
+        the members if these change.
 
         Returns:
-            The next snapshot; this one where the delta holds nothing new; None where it does not
-            follow this version, so that the complete state has to be requested.
+            The next snapshot; this one if the delta contains nothing new; None if the delta does
+            not follow this version, so that the complete state has to be requested.
         """
         if delta.version < self.version:
             return self
@@ -73,7 +73,7 @@
         return any((row is None) == (name in self.attached) for name, row in changes.items())
 
     def _apply_membership_leases(self, leases: Mapping[str, Lease | None]) -> frozenset[str]:
-        """Return the members after a change of leases; the same object where they are the same."""
+        """Return the members after a change of leases; the same object if they are unchanged."""
         changes = {
             name.removeprefix(MEMBER_LEASE_PREFIX): lease
             for name, lease in leases.items()
--- a/mothstall/fleet/agent/counters.py
+++ b/mothstall/fleet/agent/counters.py
@@ -1,4 +1,4 @@
-"""What an agent counts. Pure."""
+"""Counters of an agent. Pure."""
 
 from __future__ import annotations
 
--- a/mothstall/fleet/agent/failover_participant.py
+++ b/mothstall/fleet/agent/failover_participant.py
@@ -1,4 +1,4 @@
-"""The agent's part in zone failover: reports, following the plan, and making it under its lease."""
+"""The agent's part in zone failover: it reports traffic, and applies and writes the plan."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 log = logging.getLogger("mothstall.fleet")
 
 STEER_INTERVAL_S = (
-    0.05  # between two checks of the routing weights; half of the controller's own interval
+    0.05  # between checks for due routing weights; half of the controller's own interval
 )
 
 
@@ -26,7 +26,7 @@
     """Connects a `FailoverController` with the store.
 
     Attributes:
-        controller: What decides, and what the request path reports to.
+        controller: Decides on failover; the request path reports to it.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         self._snapshots = snapshots
 
     def on_reports(self, reports: tuple[bytes, ...]) -> None:
-        """Take in other proxies' reports."""
+        """Pass other proxies' reports to the controller."""
         self.controller.receive_reports(reports, _now_ms())
 
     def on_snapshot(self, received_at_ns: int) -> None:
-        """Take in the current snapshot, which may hold a new plan."""
+        """Pass the current snapshot, which may contain a new plan, to the controller."""
         self.controller.apply_snapshot(self._snapshots.current, received_at_ns // NS_PER_MS)
 
     async def run(self, client: StoreClient) -> None:
-        """Follow the plan and report, until cancelled."""
+        """Apply due routing weights and publish reports, until cancelled."""
         while True:
             now_ms = _now_ms()
             self.controller.apply_due_weights(now_ms, self._snapshots.age_ms())
@@ -60,14 +60,14 @@
             await asyncio.sleep(STEER_INTERVAL_S)
 
     async def reconcile(self, client: StoreClient, live_proxies: Collection[str]) -> None:
-        """Make the plan while this proxy holds its lease.
+        """Write the plan while this proxy holds the failover lease.
 
-        Where nobody holds it, the proxy that the rendezvous hash names acquires it.
+        If nobody holds the lease, the proxy selected by the rendezvous hash acquires it.
 
-        Guards against a holder that could not renew while there was no quorum: its own count is
-        over, the row at the store is still its own, and nobody else may acquire it before that
-        expires, a complete term behind the next leader's election. It holds the lease by that row,
-        whoever the hash names by now.
+        Guards against a lease without a usable holder after a loss of quorum: the lease has expired
+        by the holder's own clock, but its row at the store is still the holder's, and no other
+        proxy may acquire it before the row expires, a full term after the next leader's election.
+        The owner of such a row acquires the lease again, whichever proxy the hash selects by then.
         """
         name = FAILOVER_LEASE
         if name not in self._leases.holder.held and self._may_acquire(live_proxies):
@@ -75,8 +75,9 @@
         token = self._leases.token(name)
         client.subscribe_reports(bool(token))
         if token and self._snapshots.current.version < self._leases.acquired_version(name):
-            # Guards against an owner that goes on from a plan older than the last owner's: its
-            # snapshot is older than its own lease, and the rest is still to come.
+            # Guards against a new owner that continues from a plan older than the previous owner's
+            # last one: its snapshot is older than its lease, and later changes have not arrived
+            # yet.
             return
         await self._write_plan(client, token)
 
--- a/mothstall/fleet/agent/health_hints.py
+++ b/mothstall/fleet/agent/health_hints.py
@@ -1,4 +1,4 @@
-"""Health hints: what this proxy's probes say to others, and what others' say to this proxy."""
+"""Health hints: probe results that proxies share through the store."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HealthHints:
-    """Writes hints to the store under the probe's lease, and reads those of all proxies."""
+    """Writes hints to the store under the backend's probe lease, and reads those of all proxies."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
                     self._counters.hints_written += 1
 
     def take_unhealthy_backends(self) -> list[str]:
-        """Return the backends that their prober calls unhealthy, each once under the same token.
+        """Return the backends with an unhealthy hint, each once per fencing token.
 
         A hint counts only while its writer still holds the lease to probe the backend.
         """
--- a/mothstall/fleet/agent/health_prober.py
+++ b/mothstall/fleet/agent/health_prober.py
@@ -17,7 +17,7 @@
 from mothstall.fleet.units import NS_PER_S
 
 MAX_PROBES_IN_FLIGHT = 32  # bounds sockets, and the load of a proxy that has just started
-MAX_EVIDENCE_BYTES = 40  # of a status line
+MAX_EVIDENCE_BYTES = 40  # kept of a status line
 MAX_ERROR_CHARACTERS = 100
 STATUS_OK = b" 200 "
 STATUS_STALE_TOKEN = b" 412 "  # the backend has seen a newer fencing token
@@ -27,7 +27,7 @@
     """Sends probes when they are due.
 
     Attributes:
-        checker: What the results say of each backend.
+        checker: The health of each backend by its probe results.
     """
 
     def __init__(
@@ -40,16 +40,16 @@
         self.checker = HealthChecker()
         self._timeout_s = operator.probing.timeout_ns / NS_PER_S
         self._schedule = ProbeSchedule(int(operator.probing.interval_ns))
-        self._scheduled_backends: Backends = {}  # those whose times are kept
+        self._scheduled_backends: Backends = {}  # those with probe times in the schedule
         self._leases = leases
         self._tasks = tasks
         self._counters = counters
         self._in_flight = 0
 
     def on_snapshot(self, change: SnapshotChange) -> None:
-        """Note the probe leases that others held up to now.
+        """Record when changed probe leases were last held by other proxies.
 
-        The reconcile loop may wait for a slow keeper; this does not.
+        Not done in the reconcile loop, which may be waiting for a slow keeper.
         """
         previous = change.previous.leases
         for name in change.delta.leases if change.delta.since_version else previous:
@@ -59,7 +59,7 @@
                 self._schedule.last_held_elsewhere_ns[name] = change.received_at_ns
 
     def start_due_probes(self, backends: Backends) -> None:
-        """Start the probes that are due, as far as their leases and the limit allow."""
+        """Start the due probes whose lease is valid, up to `MAX_PROBES_IN_FLIGHT`."""
         now_ns = time.monotonic_ns()
         held = self._leases.held_names(PROBE_LEASE_PREFIX)
         self.checker.retain(name.removeprefix(PROBE_LEASE_PREFIX) for name in held)
@@ -97,11 +97,11 @@
         self.checker.record_probe(backend_name, is_healthy, evidence, time.monotonic_ns())
 
     async def _request_health(self, lease_name: str, backend: BackendEndpoint) -> bytes | None:
-        """Return the status line; None where this proxy must not probe the backend any more."""
+        """Return the status line; None if this proxy must not probe the backend any more."""
         reader, writer = await asyncio.open_connection(backend.address.host, backend.address.port)
         try:
-            # The last check before the request; one that comes late all the same is rejected by the
-            # receiver.
+            # The last check before the request; a backend that has seen a newer token rejects a
+            # late one.
             token = self._leases.token(lease_name)
             if not token:
                 return None
--- a/mothstall/fleet/agent/keeper_client.py
+++ b/mothstall/fleet/agent/keeper_client.py
@@ -1,4 +1,4 @@
-"""A client of the keepers: one connection at a time, to another keeper when it is lost."""
+"""A client of the keepers: one connection at a time, to the next keeper when it is lost."""
 
 from __future__ import annotations
 
@@ -16,18 +16,17 @@
 
 
 class KeeperClient(StoreClient):
-    """Connects to the keepers in an order of its own, each in turn, from its construction on.
+    """Connects to the keepers in turn, in a random order; starts when constructed.
 
     Args:
         operator: The operator file, which names the keepers.
-        name: The client's name, of its session and its connections.
-        role: The role that it greets with.
+        name: The client's name, for its session and its connections.
+        role: The role that it sends in the handshake.
         loop: The event loop that it runs on.
-        on_watch_event: Gets what keepers push to a watcher; without it the state is not
-            watched.
-        known_version: The version of the state from which on changes are wanted.
+        on_watch_event: Receives the watch events of keepers; None: the state is not watched.
+        known_version: Returns the known version of the state; only later changes are requested.
         only_keeper: The one keeper to connect to; empty: any.
-        on_reports: Gets proxies' reports while they are subscribed to.
+        on_reports: Receives proxies' reports while subscribed.
         config: Timeouts and backoff.
     """
 
@@ -92,6 +91,6 @@
     def _is_final_rejection(self, reason: str, wait_for_quorum: bool) -> bool:
         if not reason.startswith(NO_QUORUM):
             return False
-        # Guards against a keeper that was removed, or is in the minority partition.
+        # Guards against staying with a keeper that was removed, or is in the minority partition.
         self.disconnect(reason)
         return not wait_for_quorum and len(self._last_faults) >= len(self._keepers)
--- a/mothstall/fleet/agent/lease_renewal.py
+++ b/mothstall/fleet/agent/lease_renewal.py
@@ -1,4 +1,4 @@
-"""The agent's leases: acquiring, renewing and releasing them at the store."""
+"""Acquires, renews and releases the agent's leases at the store."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 log = logging.getLogger("mothstall.fleet")
 
 PROPOSAL_TIMEOUT_S = (
-    1.5  # of one proposal of the reconcile loop; what still matters is proposed again
+    1.5  # of one proposal of the reconcile loop; a change still needed is proposed again
 )
-RENEWALS_PER_TERM = 3  # so that two renewals in a row may be lost
-FINAL_RELEASE_TIMEOUT_S = 0.1  # of one lease when the agent ends: their terms end anyway
+RENEWALS_PER_TERM = 3  # so that two consecutive renewals may fail
+FINAL_RELEASE_TIMEOUT_S = 0.1  # of one lease at shutdown; unreleased leases expire
 
 
 class LeaseRenewal:
-    """Keeps the leases of one agent, whatever they are for.
+    """Holds and renews the leases of one agent, for any purpose.
 
     Attributes:
         owner: The owner's name at the store.
-        holder: The leases that are held, by this owner's own count.
+        holder: The leases that are held, by this owner's own clock.
     """
 
     def __init__(
@@ -53,10 +53,10 @@
         self._counters = counters
         self._on_acquired = on_acquired
         self._renewed_at_ns = 0
-        self._acquired_versions: dict[str, int] = {}  # of the state, by lease
+        self._acquired_versions: dict[str, int] = {}  # versions of the state, by lease
 
     def token(self, name: str) -> int:
-        """Return the token to act with under a lease now; 0: the agent must not act."""
+        """Return the fencing token of a lease; 0: the agent must not act under it now."""
         return self.holder.valid_token(name, time.monotonic_ns())
 
     def held_names(self, prefix: str) -> list[str]:
@@ -68,12 +68,12 @@
         return self._acquired_versions.get(name, 0)
 
     def is_renewal_due(self, now_ns: int) -> bool:
-        """Return whether leases are held and the time for the next renewal has come."""
+        """Return whether leases are held and their renewal is due."""
         interval_ns = self._term_ns // RENEWALS_PER_TERM
         return bool(self.holder.held) and now_ns - self._renewed_at_ns >= interval_ns
 
     async def reconcile(self, client: StoreClient, now_ns: int) -> None:
-        """Forget the leases that are over, and renew the others when that is due."""
+        """Drop the leases that have expired, and renew the others when a renewal is due."""
         for name in self.holder.drop_expired(now_ns):
             self._log_lost(name, "not renewed in time")
         if self.is_renewal_due(now_ns):
@@ -96,20 +96,20 @@
         return True
 
     async def release(self, client: StoreClient, name: str) -> None:
-        """Stop acting under a lease, and give it back to the store."""
+        """Stop acting under a lease, and release it at the store."""
         token = self.holder.held[name].token
         self.holder.forget(name)
         await client.propose(ReleaseLease(name, token), PROPOSAL_TIMEOUT_S)
 
     async def release_all(self, client: StoreClient) -> None:
-        """Give all leases back as the agent ends, as far as the store answers at once."""
+        """Release all leases at shutdown, without waiting for a quorum."""
         for name, lease in list(self.holder.held.items()):
             self.holder.forget(name)
             request = ReleaseLease(name, lease.token)
             await client.propose(request, FINAL_RELEASE_TIMEOUT_S, wait_for_quorum=False)
 
     def forget(self, name: str) -> None:
-        """Stop acting under a lease that another owner turned out to hold."""
+        """Stop acting under a lease that another owner has acquired since."""
         self.holder.forget(name)
 
     def forget_rejected(self, name: str) -> None:
--- a/mothstall/fleet/agent/local_drains.py
+++ b/mothstall/fleet/agent/local_drains.py
@@ -1,4 +1,4 @@
-"""Drains that operators request at this proxy: in force at once, stored when possible."""
+"""Drains that operators request at this proxy: in effect at once, stored when possible."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from mothstall.store.state.machine import StateMachine
 from mothstall.store.state.rows import drain_key
 
-MAX_LOCAL_DRAINS = 256  # that the store does not have yet; bounds the file
-# How long a local drain waits for the store before it is answered as held here only.
+MAX_LOCAL_DRAINS = 256  # drains that the store does not have yet; bounds the persisted file
+# Wait for the store, after which the response says that only this proxy has the drain.
 LOCAL_PROPOSAL_TIMEOUT_S = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class LocalDrainOutcome:
-    """The answer to a request: why it was rejected (empty: it was not), and where it holds."""
+    """The result of a request: why it was rejected (empty: accepted), and where it took effect."""
 
     rejected_reason: str = ""
     text: str = ""
 
 
 class LocalDrains:
-    """Holds local drains until a snapshot has them, so that there is no gap between the two."""
+    """Keeps local drains in effect until a snapshot contains them, without a gap in between."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         self._snapshots = snapshots
         self._tasks = tasks
         self._on_change = on_change
-        self._stored_versions: dict[str, int] = {}  # of the state that first has them, by key
+        self._stored_versions: dict[str, int] = {}  # first version of the state with it, by key
 
     def active(self) -> ActiveDrains:
-        """Return the drains that hold here: those of the store and the local ones."""
+        """Return the drains in effect at this proxy: stored and local ones."""
         return ActiveDrains.merge(self._snapshots.current.drains, self._state.drains.values())
 
     def on_snapshot(self, version: int) -> None:
-        """Forget the local drains that the state has from `version` on, or had before."""
+        """Drop the local drains that are stored in the state at `version`."""
         stored = [key for key, first in self._stored_versions.items() if first <= version]
         for key in stored:
             del self._stored_versions[key]
@@ -67,7 +67,7 @@
                 await self._propose_drain(client, key, PutDrain(drain), PROPOSAL_TIMEOUT_S)
 
     async def apply(self, change: PutDrain | RemoveDrain) -> LocalDrainOutcome:
-        """Carry out a request: it holds here and is on disk before it is answered."""
+        """Apply a request; changed local drains are in effect and on disk when this returns."""
         if isinstance(change, PutDrain):
             return await self._put(change)
         return await self._remove(change)
@@ -78,7 +78,7 @@
             return LocalDrainOutcome(invalid_reason)
         if len(self._state.drains) >= MAX_LOCAL_DRAINS:
             return LocalDrainOutcome(
-                f"{MAX_LOCAL_DRAINS} drains given here wait for the store already"
+                f"{MAX_LOCAL_DRAINS} drains requested here already wait for the store"
             )
         key = drain_key(change.drain.kind, change.drain.name)
         self._state.drains[key] = change.drain
@@ -108,7 +108,7 @@
                 async with asyncio.timeout(LOCAL_PROPOSAL_TIMEOUT_S):
                     result = await client.propose(change, LOCAL_PROPOSAL_TIMEOUT_S)
                     return _stored_outcome(result.rejected_reason)
-        return LocalDrainOutcome("no contact with the store: an undrain must be said there")
+        return LocalDrainOutcome("no connection to the store: only the store can remove this drain")
 
     def _connected_client(self) -> StoreClient | None:
         client = self._snapshots.client
@@ -117,7 +117,7 @@
     async def _propose_drain(
         self, client: StoreClient, key: str, change: PutDrain, timeout_s: float
     ) -> str:
-        """Return why the store rejects the drain; empty: it has it."""
+        """Propose a drain; return why the store rejects it, empty if it is stored."""
         result = await client.propose(change, timeout_s)
         if not result.rejected_reason:
             self._stored_versions[key] = result.version
--- a/mothstall/fleet/agent/local_request_listener.py
+++ b/mothstall/fleet/agent/local_request_listener.py
@@ -1,4 +1,4 @@
-"""The agent's own listener, where operators and lease owners send requests to this one proxy."""
+"""The agent's listener for requests that operators and lease owners send to this proxy."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LocalRequestListener:
-    """Answers each `LocalDrainRequest` after its effect holds and is on disk.
+    """Answers each `LocalDrainRequest` once it is in effect and on disk.
 
     Attributes:
         port: The port that it listens on; 0: it does not listen.
@@ -46,7 +46,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Listen, where the operator file names an address.
+        """Start listening if the operator file gives an address.
 
         Raises:
             OSError: The address is not available.
@@ -79,7 +79,7 @@
         try:
             request = msgspec.msgpack.decode(payload, type=LocalDrainRequest)
         except (msgspec.DecodeError, ValueError):
-            link.close("a payload that cannot be read")
+            link.close("payload cannot be decoded")
             return
         self._tasks.spawn(self._respond(link, request))
 
--- a/mothstall/fleet/agent/observer_client.py
+++ b/mothstall/fleet/agent/observer_client.py
@@ -1,7 +1,7 @@
-"""A proxy's client of the store where observers relay between it and the keepers.
+"""A proxy's client of the store in a fleet whose observers relay between proxies and keepers.
 
-It carries out what `ObserverSelector` decides: where to attach, and when to leave. Keepers are
-never connected to.
+`ObserverSelector` decides which observer to attach to and when to leave it; the client carries that
+out. It never connects to keepers.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 
 log = logging.getLogger("mothstall.fleet")
 
-TICK_INTERVAL_S = 0.2  # between two checks of whether to stay; well below any limit on silence
-UNKNOWN_AGE_NS = 1 << 62  # of a state whose observer has heard no keeper yet: older than any limit
+TICK_INTERVAL_S = 0.2  # between checks whether to leave; well below any observer timeout
+UNKNOWN_AGE_NS = 1 << 62  # of a state whose observer has not reached a keeper yet; above any limit
 
 
 def reachable_observers(
     operator: OperatorConfig,
 ) -> tuple[list[ObserverConfig], list[ObserverConfig]]:
-    """Return the observers of this proxy's zone, and the others of its region.
+    """Return the observers of this proxy's zone, and the other observers of its region.
 
     Raises:
         OperatorError: There are none.
@@ -63,26 +63,26 @@
 
 
 class ObserverClient(StoreClient):
-    """Attaches a proxy to one observer at a time, from its construction on.
+    """Attaches a proxy to one observer at a time; starts when constructed.
 
     Args:
         operator: The operator file, which names the observers.
         proxy_name: The proxy to attach.
         owner: The proxy's process, as the owner of leases.
         loop: The event loop that the client runs on.
-        on_state_update: Gets each delta, and how old it is in ms; -1: not known.
-        known_version: The version of the state from which on changes are wanted.
-        on_reports: Gets proxies' reports while they are subscribed to.
+        on_state_update: Receives each delta, and the age of its state in ms; -1: unknown.
+        known_version: Returns the known version of the state; only later changes are requested.
+        on_reports: Receives proxies' reports while subscribed.
         config: Timeouts and backoff.
 
     Raises:
         OperatorError: There is no observer in this proxy's region.
 
     Attributes:
-        selector: Which observer to attach to, and when to leave it.
-        epoch: The epoch of the present attachment; 0: there was none yet.
-        is_attached: Whether the replicated state has this proxy at this observer.
-        attached_at_s: When that was first so, by the machine's monotonic clock; 0: never.
+        selector: Decides which observer to attach to, and when to leave it.
+        epoch: The epoch of the current attachment; 0: there was none yet.
+        is_attached: Whether the replicated state has this proxy under the current observer.
+        attached_at_s: When `is_attached` was first set, by the machine's monotonic clock; 0: never.
     """
 
     def __init__(
@@ -129,27 +129,27 @@
         }
 
     def request_resync(self) -> None:
-        """Request what is newer than the known version, or the complete state."""
+        """Request the changes since the known version, or else the complete state."""
         self._send(ResyncRequest(self._known_version()))
 
     def describe_unavailability(self) -> str:
-        """Return which observers were of no use, and the last fault of each."""
+        """Return an error text with the observers and the last fault of each."""
         names = list(self._observers)
         faults = [f"{name}: {self._last_faults.get(name, 'not asked')}" for name in names]
         return f"no observer of {', '.join(names)} answers for the keepers ({'; '.join(faults)})"
 
     def disconnect(self, reason: str) -> None:
-        """Turn to another observer, except for a lack of quorum: the others have none either."""
+        """Leave for another observer, unless the quorum is lost: other observers lack it too."""
         if self.link and not reason.startswith(NO_QUORUM):
             self._leave_reason = reason
             super().disconnect(reason)
 
     async def close(self) -> None:
-        """Detach from the observer, and end the client and its connection."""
+        """Detach from the observer, stop the client and close its connection."""
         if self.link and self.epoch:
             self._send(DetachRequest(self.epoch))
             self.epoch = 0  # no heartbeat follows
-            await asyncio.sleep(0)  # the request leaves before the connection ends
+            await asyncio.sleep(0)  # the request is sent before the connection closes
         await super().close()
 
     async def _run(self) -> None:
@@ -208,7 +208,7 @@
 
     def _on_message(self, link: FrameConnection, message: Any) -> None:
         if link is not self.link:
-            return  # of a connection that was left
+            return  # from an earlier connection
         if isinstance(message, StateUpdate):
             self._state_age_ms = message.age_ms
             self.selector.record_update(_age_ns(message.age_ms), time.monotonic_ns())
--- a/mothstall/fleet/agent/overlay_map.py
+++ b/mothstall/fleet/agent/overlay_map.py
@@ -1,4 +1,4 @@
-"""An immutable mapping whose successors share most of their rows. Pure."""
+"""An immutable mapping whose changed copies share most of its rows. Pure."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 
 class OverlayMap(Mapping[str, V]):
-    """A base that several maps share, and the rows in which this one differs from it.
+    """A base that several maps share, and an overlay of the rows in which this map differs.
 
-    A change costs as much as differs, not as much as there is: the base is copied only once more
-    than about its square root differs. None in the overlay stands for a row that was removed.
+    The cost of a change depends on the size of the overlay, not of the map: the base is copied only
+    once the overlay has more rows than about the square root of the base. None in the overlay marks
+    a removed row.
     """
 
     __slots__ = ("_base", "_count", "_overlay")
 
     def __init__(self, base: dict[str, V], overlay: dict[str, V | None] | None = None) -> None:
-        """Take both as they are, without a copy: nobody changes them from now on."""
+        """Use both without a copy: callers must not change them afterwards."""
         self._base = base
         self._overlay = overlay or {}
         self._count = len(base)
@@ -49,7 +50,7 @@
         return self._count
 
     def apply(self, changes: Mapping[str, V | None]) -> OverlayMap[V]:
-        """Return the map with rows replaced or (None) removed; this one without changes."""
+        """Return the map with rows replaced or (None) removed; this map if there are no changes."""
         if not changes:
             return self
         overlay = {**self._overlay, **changes}
--- a/mothstall/fleet/agent/peer_connection.py
+++ b/mothstall/fleet/agent/peer_connection.py
@@ -13,15 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionHandlers:
-    """What the owner of a `PeerConnection` does on its events.
+    """Callbacks of the owner of a `PeerConnection`.
 
     Attributes:
-        accepts_peer: Whether the peer that has greeted is one that the owner wants; if not, the
-            owner ends the connection.
-        on_connected: An accepted peer has greeted; the connection is the current one.
+        accepts_peer: Whether to accept a peer after the handshake; if not, this callback closes the
+            connection.
+        on_connected: The handshake with an accepted peer is done; its connection is the current
+            one.
         on_payload: A payload arrived on any connection of the owner.
-        on_lost: A connection is gone; the second argument is the reason.
-        on_connect_failed: A peer was not reached; the arguments are its name and the reason.
+        on_lost: A connection is closed; the second argument is the reason.
+        on_connect_failed: Connecting to a peer failed; the arguments are its name and the reason.
     """
 
     accepts_peer: Callable[[FrameConnection], bool]
@@ -32,13 +33,13 @@
 
 
 class PeerConnection:
-    """At most one current connection, and the events of its life.
+    """At most one current connection, and its events.
 
     Attributes:
-        link: The current connection, after both sides have greeted; None while there is none.
+        link: The current connection, after the handshake; None while there is none.
         established: Set while there is a current connection.
-        last_received_at_s: When any payload arrived last, by the event loop's clock; 0: never.
-        established_count: Attempts to connect that ended well, so far.
+        last_received_at_s: When the last payload arrived, by the event loop's clock; 0: never.
+        established_count: Number of connections established so far.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
     async def connect_and_wait(
         self, peer_name: str, address: Address, connect_timeout_s: float
     ) -> bool:
-        """Connect to one peer, and return once that connection is gone.
+        """Connect to one peer, and return once that connection is closed.
 
         Returns:
             Whether the connection was established at all.
@@ -92,7 +93,7 @@
         return is_established
 
     def end(self, reason: str) -> None:
-        """End the current connection, if there is one."""
+        """Close the current connection, if there is one."""
         if self.link:
             self.link.close(reason)
 
--- a/mothstall/fleet/agent/pending_requests.py
+++ b/mothstall/fleet/agent/pending_requests.py
@@ -11,7 +11,7 @@
 
 
 class PendingRequests:
-    """Gives each request a number of its own, and its response to whoever waits for it."""
+    """Numbers requests, and matches responses to them by number."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -26,13 +26,13 @@
         return self._last_number, response
 
     def resolve(self, response: Response) -> None:
-        """Hand a response over; one that nobody waits for any more is dropped."""
+        """Deliver a response; one without a pending request is dropped."""
         waiting = self._responses.pop(response.request_id, None)
         if waiting and not waiting.done():
             waiting.set_result(response)
 
     def close(self, number: int) -> None:
-        """Forget a request that was answered, or given up."""
+        """Remove a request that was answered or abandoned."""
         self._responses.pop(number, None)
 
     def fail_all(self, reason: str) -> None:
--- a/mothstall/fleet/agent/persisted_state.py
+++ b/mothstall/fleet/agent/persisted_state.py
@@ -1,4 +1,4 @@
-"""What a proxy persists over a restart: local drains, and the highest fencing tokens seen."""
+"""State that a proxy persists across restarts: local drains and the highest fencing tokens seen."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     @property
     def is_configured(self) -> bool:
-        """Whether there is a place to persist anything."""
+        """Whether there is a directory to persist the state in."""
         return self._path is not None
 
     def load(self) -> PersistedState:
@@ -41,7 +41,7 @@
 
         Raises:
             OSError: The file cannot be read.
-            ValueError: The file is no state, or too large; the message is one line.
+            ValueError: The file is invalid or too large; the message is one line.
         """
         if self._path is None or not self._path.exists():
             return PersistedState()
@@ -75,7 +75,7 @@
 
 
 class LocalState:
-    """The part of an agent's state that is its own, in memory and on disk.
+    """The state of a single agent, in memory and on disk.
 
     Attributes:
         drains: Drains that were requested here and that the store does not have yet, by
@@ -84,7 +84,7 @@
     """
 
     def __init__(self, directory: str | None, name: str, loop: asyncio.AbstractEventLoop) -> None:
-        """Load what was saved; OSError or ValueError as `PersistedStateFile.load`."""
+        """Load the saved state; raises OSError or ValueError as `PersistedStateFile.load` does."""
         self._file = PersistedStateFile(directory, name)
         self._loop = loop
         self._save_lock = asyncio.Lock()
@@ -93,7 +93,7 @@
         self.fencing_tokens = FencingTokens(highest=dict(loaded.tokens))
 
     async def save(self) -> str:
-        """Save the state; return why that failed, empty: it is on disk, or there is no file."""
+        """Save the state, if there is a directory; return why that failed, empty: it did not."""
         if not self._file.is_configured:
             return ""
         async with self._save_lock:
@@ -102,11 +102,11 @@
             try:
                 await self._loop.run_in_executor(None, self._file.save, data)
             except OSError as error:
-                return f"cannot be kept: {error.strerror or error}"
+                return f"cannot be saved: {error.strerror or error}"
         return ""
 
     async def save_or_log(self) -> None:
-        """Save the state to disk where nobody waits for the outcome."""
+        """Save the state, and log a failure."""
         reason = await self.save()
         if reason:
             log.error("state not persisted", extra={"kv": {"reason": reason}})
--- a/mothstall/fleet/agent/probe_leases.py
+++ b/mothstall/fleet/agent/probe_leases.py
@@ -1,4 +1,4 @@
-"""The leases on the backends that this proxy has to probe."""
+"""The leases for the backends that this proxy has to probe."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from mothstall.fleet.leases.names import PROBE_LEASE_PREFIX
 from mothstall.fleet.probing import assignment
 
-# Bounds the store's load and the time of one tick; renewals come between two ticks.
+# Bounds the load on the store and the duration of one tick; renewals run between ticks.
 MAX_LEASE_CHANGES_PER_TICK = 16
 
 
 class ProbeLeases:
-    """Acquires and releases probe leases until they are those of the rendezvous hash."""
+    """Acquires and releases probe leases to match the assignment by the rendezvous hash."""
 
     def __init__(self, proxy_name: str, leases: LeaseRenewal, snapshots: SnapshotTracker) -> None:
         self._proxy_name = proxy_name
@@ -28,7 +28,7 @@
     async def reconcile(
         self, client: StoreClient, backends: Backends, live_proxies: Collection[str]
     ) -> None:
-        """Release leases that are another proxy's now, and acquire those that are this one's.
+        """Release leases now assigned to other proxies, and acquire those assigned to this one.
 
         Args:
             client: The client of the store.
@@ -50,7 +50,7 @@
         remaining = max_acquired
         for name in names:
             if remaining <= 0 or self._leases.is_renewal_due(time.monotonic_ns()):
-                return  # renewals go first
+                return  # renewals take precedence
             lease = self._snapshots.current.leases.get(name)
             if lease is None or lease.owner == self._leases.owner:
                 await self._leases.acquire(client, name)
--- a/mothstall/fleet/agent/proposal_session.py
+++ b/mothstall/fleet/agent/proposal_session.py
@@ -1,4 +1,4 @@
-"""A client's session with the store, in which each proposal is made at most once."""
+"""A client's session with the store, in which each proposal is applied at most once."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 
 from mothstall.store.state.changes import Change, ChangeResult, OpenSession, Proposal
 
-NONCE_BITS = 60  # fits into a signed 64-bit integer; two clients never draw the same in practice
+NONCE_BITS = 60  # fits into a signed 64-bit integer; collisions are negligibly rare
 
-# Sends a proposal until it is answered: proposal, deadline by the loop's clock, whether to wait for
-# a quorum.
+# Sends a proposal until there is a response; the arguments are the proposal, the deadline by the
+# loop's clock, and whether to wait for a quorum.
 SendProposal = Callable[[Proposal, float, bool], Awaitable[ChangeResult]]
 
 
 class ProposalSession:
-    """Numbers proposals, so that the store applies each once, however often it is sent.
+    """Numbers proposals, so that the store applies each at most once, even if it is resent.
 
-    One proposal is in flight at a time: the session takes no sequence number below its last one.
+    One proposal is in flight at a time: the store accepts no sequence number below the session's
+    last one.
     """
 
     def __init__(
@@ -35,11 +36,10 @@
     async def propose(
         self, change: Change, timeout_s: float, *, wait_for_quorum: bool
     ) -> ChangeResult:
-        """Make a change at most once, opening a session first where there is none.
+        """Propose a change, which is applied at most once; opens a session first if there is none.
 
         Raises:
-            KeeperUnavailableError: There was no answer in time; whether the change is made is not
-                known.
+            KeeperUnavailableError: There was no response in time; the change may have been applied.
         """
         async with self._lock:
             deadline_s = self._loop.time() + timeout_s
@@ -55,7 +55,7 @@
             return result
 
     async def _open(self, deadline_s: float, wait_for_quorum: bool) -> ChangeResult:
-        # The nonce stays the same over several calls: an answer that was lost opens no second
+        # The nonce is kept until the session is open: a retry after a lost response opens no second
         # session.
         self._nonce = self._nonce or secrets.randbits(NONCE_BITS) + 1
         proposal = Proposal(0, self._nonce, OpenSession(self._client_name))
--- a/mothstall/fleet/agent/request_channel.py
+++ b/mothstall/fleet/agent/request_channel.py
@@ -1,4 +1,4 @@
-"""Requests over a client's current connection, each sent until it is answered or given up."""
+"""Requests over a client's current connection, resent until there is a response or a timeout."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from mothstall.store.protocol.connection import FrameConnection
 from mothstall.store.protocol.keeper_messages import CallerMessage, CancelRequest
 
-# Makes a request from its number and the time that is left for it, in seconds.
+# Makes a request from its number and the remaining time until its deadline, in seconds.
 RequestFactory = Callable[[int, float], CallerMessage]
 
 
 class RequestChannel:
-    """Sends requests to the peer of the current connection; a request outlives no connection.
+    """Sends requests over the current connection; they fail when that connection is lost.
 
     Attributes:
         pending: The requests in flight.
@@ -37,9 +37,9 @@
         Args:
             make_request: Makes the request.
             timeout_s: Bound on the whole call.
-            resend_after_s: After that long, a peer that has sent anything meanwhile gets the same
-                request again, under the same number; one that has not is given up. 0: it is sent
-                once.
+            resend_after_s: Time without a response after which the request is sent again under the
+                same number if the peer has sent anything meanwhile, and fails with a TimeoutError
+                otherwise. 0: it is sent once.
 
         Raises:
             TimeoutError: There was no answer in time, or the peer is silent.
@@ -56,7 +56,7 @@
                 remaining_s = deadline_s - sent_at_s
                 request = msgspec.msgpack.encode(make_request(number, remaining_s))
                 if not self._is_current(link) or not link.send(request):
-                    raise ConnectionResetError("the connection went")
+                    raise ConnectionResetError("the connection was lost")
                 wait_s = min(resend_after_s, remaining_s) if resend_after_s else remaining_s
                 await asyncio.wait((response,), timeout=wait_s)
                 if response.done():
@@ -67,7 +67,7 @@
         finally:
             self.pending.close(number)
             if not response.done() and self._is_current(link):
-                # Guards against work that a keeper does for nobody.
+                # Guards against work at the peer on a request that nobody waits for any more.
                 link.send(msgspec.msgpack.encode(CancelRequest(number)))
 
     def _is_current(self, link: FrameConnection | None) -> TypeGuard[FrameConnection]:
--- a/mothstall/fleet/agent/single_requests.py
+++ b/mothstall/fleet/agent/single_requests.py
@@ -17,7 +17,7 @@
     LocalDrainRequest,
 )
 
-TOOL_NAME = "tool"  # that these connections greet with
+TOOL_NAME = "tool"  # sent in the handshake of these connections
 
 
 async def send_observer_command(
@@ -46,7 +46,7 @@
 
 
 class _ResponseWaiter:
-    """Sends one request on a connection once that is greeted, and waits for its response."""
+    """Sends one request on a connection after the handshake, and waits for its response."""
 
     def __init__(self, peer_name: str, request: msgspec.Struct) -> None:
         self.response: asyncio.Future[AdminResponse] = asyncio.get_running_loop().create_future()
@@ -60,7 +60,7 @@
         try:
             message = msgspec.msgpack.decode(payload, type=AdminResponse)
         except (msgspec.DecodeError, ValueError):
-            link.close("a payload that cannot be read")
+            link.close("payload cannot be decoded")
             return
         if not self.response.done():
             self.response.set_result(message)
--- a/mothstall/fleet/agent/snapshot_tracker.py
+++ b/mothstall/fleet/agent/snapshot_tracker.py
@@ -1,4 +1,4 @@
-"""The agent's current snapshot of the replicated state, and how old it may be."""
+"""The agent's current snapshot of the replicated state, and its maximum age."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from mothstall.store.protocol.keeper_messages import WatchEvent
 from mothstall.store.state.rows import StateDelta
 
-# For how long a keeper may report no leader until the agent turns to another one: longer than the
-# default election timeout (0.3 to 0.6 s).
+# Time without a leader at a keeper after which the agent connects to another keeper: longer than
+# the default election timeout (0.3 to 0.6 s).
 MAX_LEADERLESS_NS = 1_500_000_000
 
 
@@ -25,8 +25,8 @@
     Attributes:
         previous: The snapshot before.
         current: The snapshot now.
-        delta: What led from one to the other.
-        received_at_ns: When it came, by the machine's monotonic clock.
+        delta: The delta from the previous snapshot to the current one.
+        received_at_ns: When the delta arrived, by the machine's monotonic clock.
     """
 
     previous: ClusterSnapshot
@@ -36,7 +36,7 @@
 
     @property
     def may_change_drains_or_hints(self) -> bool:
-        """Whether drains or values differ; of the same object nothing has changed."""
+        """Whether drains or values may differ; a table that is the same object is unchanged."""
         return (
             self.previous.drains is not self.current.drains
             or self.previous.values is not self.current.values
@@ -44,12 +44,12 @@
 
 
 class SnapshotTracker:
-    """Applies what keepers or an observer send, one complete immutable snapshot after the other.
+    """Applies deltas from keepers or an observer; each snapshot is complete and immutable.
 
     Attributes:
         current: The latest snapshot.
         client: The client that the state comes from; None before the agent's start.
-        heard_leader_at_ns: When a keeper that hears a leader last sent anything; 0: never.
+        heard_leader_at_ns: When a keeper that has a leader last sent anything; 0: never.
     """
 
     def __init__(
@@ -63,24 +63,24 @@
         self._on_change = on_change
 
     def age_ms(self) -> int:
-        """Return how old the snapshot may be; -1: there was never one."""
+        """Return the maximum age of the snapshot; -1: no keeper with a leader was reached yet."""
         if not self.heard_leader_at_ns:
             return -1
         return (time.monotonic_ns() - self.heard_leader_at_ns) // NS_PER_MS
 
     def on_watch_event(self, event: WatchEvent) -> None:
-        """Take in what a keeper pushed; leave a keeper that has heard no leader for too long."""
+        """Apply a watch event; disconnect from a keeper that has had no leader for too long."""
         now_ns = time.monotonic_ns()
         if event.has_leader:
             self.heard_leader_at_ns = now_ns
             self._leaderless_since_ns = now_ns
         elif self.client and now_ns - self._leaderless_since_ns > MAX_LEADERLESS_NS:
             self._leaderless_since_ns = now_ns
-            self.client.disconnect("it hears no leader")
+            self.client.disconnect("the keeper has no leader")
         self._apply(event.delta)
 
     def on_state_update(self, delta: StateDelta, age_ms: int) -> None:
-        """Take in what an observer sent; `age_ms` is how old that is, -1: not known."""
+        """Apply an observer's update; `age_ms` is the age of its state, -1: unknown."""
         if age_ms >= 0:
             heard_at_ns = time.monotonic_ns() - age_ms * NS_PER_MS
             self.heard_leader_at_ns = max(self.heard_leader_at_ns, heard_at_ns)
--- a/mothstall/fleet/agent/store_client.py
+++ b/mothstall/fleet/agent/store_client.py
@@ -1,4 +1,4 @@
-"""What clients of the store share, whether they reach it at keepers or through an observer."""
+"""The common base of store clients, which connect to keepers or to an observer."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from mothstall.store.state.changes import Change, ChangeResult, Proposal
 from mothstall.store.state.rows import StateDelta
 
-# How rejections begin that say nothing of the request itself: the same request may succeed later.
+# Prefixes of temporary rejections: the same request may succeed later.
 RETRYABLE_REJECTIONS = ("no quorum", "the leader is busy", "too many callers")
 NO_QUORUM = RETRYABLE_REJECTIONS[0]
 NO_ANSWER = "no answer in time"
@@ -45,9 +45,9 @@
 class StoreClient(ABC):
     """Keeps one connection at a time, and retries requests over it.
 
-    Subclasses say where to connect (`_run`), what to send first (`_on_connected`), how to read
-    messages (`_decode`, `_on_message`), and when a rejection is final (`_is_final_rejection`).
-    Each spawns `_run` at the end of its constructor.
+    Subclasses define where to connect (`_run`), the first message (`_send_first_message`), the
+    decoding and handling of messages (`_decode`, `_on_message`), and which rejections are final
+    (`_is_final_rejection`). Each spawns `_run` at the end of its constructor.
     """
 
     def __init__(
@@ -60,13 +60,12 @@
         config: ClientConfig,
         on_reports: ReportHandler | None,
     ) -> None:
-        """Prepare the client; `on_reports` gets proxies' reports while they are subscribed to."""
+        """Prepare the client; `on_reports` receives proxies' reports while subscribed."""
         self.operator = operator
         self.name = name
         self.loop = loop
         self._config = config
-        # Guards against a crowd that comes back at one instant: each client waits by its own random
-        # numbers.
+        # Guards against many clients that reconnect at the same instant: each draws its own jitter.
         self._rng = random.Random(f"{name} {role} {secrets.randbits(32)}")
         self._connection = PeerConnection(operator, name, role, loop, self._connection_handlers())
         self._channel = RequestChannel(self._connection, loop)
@@ -85,7 +84,7 @@
             on_connect_failed=self._on_connect_failed,
         )
 
-    # What callers use
+    # Interface for callers
 
     @property
     def link(self) -> FrameConnection | None:
@@ -94,28 +93,28 @@
 
     @property
     def peer_name(self) -> str:
-        """The peer at the other end of the current connection; empty: there is none."""
+        """The peer of the current connection; empty: there is none."""
         return self._connection.peer_name
 
     async def propose(
         self, change: Change, timeout_s: float, *, wait_for_quorum: bool = True
     ) -> ChangeResult:
-        """Make a change at most once, and retry until it is answered.
+        """Propose a change, which is applied at most once, and retry until there is a response.
 
         Args:
             change: What to apply to the state.
-            timeout_s: For how long to retry.
-            wait_for_quorum: Whether to retry while there is no quorum; otherwise that answer is
-                final.
+            timeout_s: Bound on all attempts together.
+            wait_for_quorum: Whether to retry while there is no quorum; otherwise such a rejection
+                is final.
 
         Raises:
-            KeeperUnavailableError: There was no answer in time. Whether the change was made is not
-                known; it is never made after one that was proposed later.
+            KeeperUnavailableError: There was no response in time. The change may have been applied;
+                it is never applied after a change that was proposed later.
         """
         return await self._session.propose(change, timeout_s, wait_for_quorum=wait_for_quorum)
 
     async def forward_proposal(self, proposal: Proposal, timeout_s: float) -> ChangeResult:
-        """Send another client's proposal as it is, once: that client retries.
+        """Send another client's proposal unchanged, without retry: that client retries.
 
         Raises:
             KeeperUnavailableError: There was no answer.
@@ -125,7 +124,7 @@
         return response.result
 
     async def read_state(self, timeout_s: float, *, wait_for_quorum: bool = True) -> StateDelta:
-        """Return the complete state, with all that was acknowledged before this call.
+        """Return the complete state, including every change acknowledged before this call.
 
         Raises:
             KeeperUnavailableError: There was no answer in time.
@@ -151,22 +150,22 @@
         return response
 
     def publish_report(self, data: bytes) -> bool:
-        """Send a report to all subscribers; False where there is no connection to send it on."""
+        """Publish a report to all subscribers; False if there is no connection."""
         link = self._connection.link
         return link is not None and link.send(msgspec.msgpack.encode(PublishReport(data)))
 
     def subscribe_reports(self, enabled: bool) -> None:
-        """Begin or end to receive proxies' reports, on this connection and later ones."""
+        """Subscribe to proxies' reports, or unsubscribe, on this connection and later ones."""
         if enabled != self._is_subscribed:
             self._is_subscribed = enabled
             self._send(SubscribeReports(enabled))
 
     def disconnect(self, reason: str) -> None:
-        """End the current connection, and turn to another peer."""
+        """Close the current connection, so that the client connects to another peer."""
         self._connection.end(reason)
 
     async def close(self) -> None:
-        """End the client and its connection."""
+        """Stop the client and close its connection."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -176,32 +175,32 @@
 
     @abstractmethod
     def request_resync(self) -> None:
-        """Request the state anew, as a delta did not fit what is known."""
+        """Request the missing state after a delta that does not follow the known version."""
 
     @abstractmethod
     def describe_unavailability(self) -> str:
-        """Return which peers were of no use, and the last fault of each."""
+        """Return an error text with the peers and the last fault of each."""
 
-    # What subclasses provide
+    # Overridden by subclasses
 
     @abstractmethod
     async def _run(self) -> None:
-        """Connect to one peer after the other, until cancelled."""
+        """Connect to one peer after another, until cancelled."""
 
     @abstractmethod
     def _decode(self, payload: bytes) -> Any:
-        """Return the message in a payload; ValueError or msgspec.DecodeError if there is none."""
+        """Return the message in a payload; ValueError or msgspec.DecodeError if it is malformed."""
 
     @abstractmethod
     def _is_final_rejection(self, reason: str, wait_for_quorum: bool) -> bool:
-        """React to a retryable rejection; True where the request is to be given up."""
+        """Handle a retryable rejection; return True if the request must not be retried."""
 
     def _accepts_peer(self, link: FrameConnection) -> bool:
-        """Return whether a peer that has greeted is a right one; if not, end its connection."""
+        """Return whether to accept a peer after the handshake; if not, close its connection."""
         return True
 
     def _on_connected(self, link: FrameConnection) -> None:
-        """Send what begins a connection; subclasses send theirs first."""
+        """Send the subclass's first message, and renew the subscription to reports."""
         self._last_faults.pop(link.peer, None)
         self._send_first_message(link)
         if self._is_subscribed:
@@ -209,10 +208,10 @@
 
     @abstractmethod
     def _send_first_message(self, link: FrameConnection) -> None:
-        """Say to a peer that has just greeted what this client wants of it."""
+        """Send the first message after the handshake, such as a watch or attach request."""
 
     def _on_malformed_payload(self, link: FrameConnection, error: Exception) -> None:
-        link.close(f"a payload that cannot be read: {error}")
+        link.close(f"payload cannot be decoded: {error}")
 
     # Connections
 
@@ -238,7 +237,7 @@
         self._on_message(link, message)
 
     def _on_message(self, link: FrameConnection, message: Any) -> None:
-        """Handle what every peer sends; subclasses handle what only theirs sends."""
+        """Handle the messages of all kinds of peers; subclasses handle those of their own kind."""
         if isinstance(message, ReportBatch):
             if self._on_reports and self._is_subscribed:
                 self._on_reports(message.reports)
@@ -263,7 +262,7 @@
     async def _request_with_retry(
         self, make_request: RequestFactory, deadline_s: float, wait_for_quorum: bool
     ) -> Response:
-        """Retry until there is an answer that counts, or `deadline_s` by the loop's clock."""
+        """Retry until a response is final, or until `deadline_s` by the loop's clock."""
         backoff = self._config.retry_backoff
         pause_s = backoff.initial_s
         while (remaining_s := deadline_s - self.loop.time()) > 0:
@@ -284,7 +283,7 @@
             self._last_faults[self.peer_name] = reason
             if self._is_final_rejection(reason, wait_for_quorum):
                 break
-            # Guards against a crowd that was rejected and comes back as one.
+            # Guards against clients that were rejected together and would retry together.
             await self._pause(jittered_s(pause_s, self._rng), remaining_s)
             pause_s = backoff.next_nominal_s(pause_s)
         raise KeeperUnavailableError(self.describe_unavailability())
--- a/mothstall/fleet/observers/__init__.py
+++ b/mothstall/fleet/observers/__init__.py
@@ -1,5 +1,5 @@
-"""What relays the replicated state to the proxies: attachments, subscriptions and reports. Pure.
+"""The pure parts of observers: attachments, subscriptions and the aggregation of reports.
 
-At an observer: which proxies are attached, what each subscriber lacks of the state, and the sums of
-the proxies' reports. At a proxy: which observer it attaches to, and when it leaves it.
+At an observer: the attached proxies, the state updates for each subscriber, and the aggregates of
+the proxies' reports. At a proxy: the choice of its observer, and when to leave it.
 """
--- a/mothstall/fleet/observers/attachment.py
+++ b/mothstall/fleet/observers/attachment.py
@@ -13,11 +13,11 @@
 
     Attributes:
         name: The proxy.
-        owner: The process behind the name.
-        epoch: Counts the attachments of this process, one observer each.
+        owner: Name of the proxy's process, which differs after a restart.
+        epoch: Number of this attachment of the process; each attachment is to one observer.
         zone: The proxy's zone.
         last_heard_ns: When the proxy last sent a heartbeat.
-        is_connected: Whether its connection stands.
+        is_connected: Whether its connection is open.
         lease_token: Token of the observer's lease under which the proxy is a member; 0: it is not.
         rejected_joins: Consecutive joins that were rejected, up to a bound.
     """
--- a/mothstall/fleet/observers/attachment_table.py
+++ b/mothstall/fleet/observers/attachment_table.py
@@ -1,8 +1,8 @@
-"""Which proxies are attached to an observer, and what it proposes to the keepers about them. Pure.
+"""The proxies attached to an observer, and the membership changes that it proposes. Pure.
 
-Timeouts of attachments run on the observer's clock and are never sent: a proxy sends heartbeats,
-and only joins and leaves are changes of the replicated state, in batches under the observer's
-lease. What the state has after a batch counts, not what was requested.
+Timeouts of attachments run on the observer's clock and are not replicated: proxies send heartbeats
+to the observer, and only joins and leaves change the replicated state, in batches under the
+observer's lease. The result of a batch decides who is a member, not the request.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from mothstall.store.state.rows import Member
 
 MAX_ATTACHMENTS = 4096  # proxies at one observer; bounds its connections and memory
-MAX_JOIN_BACKOFF_STEPS = 5  # of a quarter of the disconnect grace each
+MAX_JOIN_BACKOFF_STEPS = 5  # each is a quarter of the disconnect grace
 
 
 class AttachmentTable:
-    """The proxies of one observer. Every call is linear in its arguments and its result."""
+    """The proxies of one observer. Every call takes time linear in its arguments and its result."""
 
     def __init__(
         self,
@@ -43,14 +43,15 @@
             timings: Timeouts of proxies.
             max_attachments: Further proxies are rejected.
             batch_size: Joins and leaves in one change, at most.
-            fenced: A guard; tests alone take it out.
+            fenced: Whether membership counts only under the current token; only tests disable this.
         """
         self.lease_name = lease_name
         self.timings = timings
         self.max_attachments = max_attachments
         self.fenced = fenced
-        self.lease_token = NO_TOKEN  # of this observer's lease, as far as it may act under it
-        # In the order of `last_heard_ns`, so that a check ends at the first proxy that is in time.
+        self.lease_token = NO_TOKEN  # of this observer's lease, while it is valid
+        # Ordered by `last_heard_ns`, so that a check stops at the first proxy that has not timed
+        # out.
         self.attachments: OrderedDict[str, Attachment] = OrderedDict()
         self._own_members: dict[str, Member] = {}  # rows of the state under this observer's lease
         self._requests = MembershipRequests(lease_name, batch_size, 2 * max_attachments)
@@ -77,7 +78,7 @@
         return attachment.lease_token == token == self.lease_token or not self.fenced
 
     def set_lease_token(self, token: int) -> None:
-        """Record the token of this observer's lease, under which all join again; 0: it has none."""
+        """Set the token of this observer's lease, and queue all joins again under it; 0: none."""
         if token == self.lease_token:
             return
         self.lease_token = token
@@ -117,7 +118,7 @@
         return ""
 
     def record_heartbeat(self, name: str, owner: str, epoch: int, now_ns: int) -> bool:
-        """Record that a proxy lives; False if it is not attached here and has to attach again."""
+        """Record a heartbeat; False if the proxy is not attached here and has to attach again."""
         attachment = self._find(name, owner, epoch)
         if attachment is None:
             return False
@@ -132,14 +133,14 @@
             self._depart(attachment)
 
     def disconnected(self, name: str, owner: str, epoch: int, now_ns: int) -> None:
-        """Record a lost connection: the proxy has a grace period to come back or to move."""
+        """Record a lost connection: the proxy has a grace period to reconnect or to move."""
         attachment = self._find(name, owner, epoch)
         if attachment is not None and attachment.is_connected:
             attachment.is_connected = False
             self._departures.record_disconnection(attachment, now_ns)
 
     def tick(self, now_ns: int) -> list[str]:
-        """Do periodic work; return the proxies that are declared gone."""
+        """Remove proxies that are gone, and queue due joins again; return the removed names."""
         gone: list[str] = []
         if self._departures.tick(now_ns):
             for attachment in list(self._departures.silent(self.attachments.values(), now_ns)):
@@ -168,7 +169,7 @@
         self._request_leave_of(attachment)
 
     def _request_leave_of(self, attachment: Attachment) -> None:
-        """Request the leave also where no join has a result yet: it may be applied all the same."""
+        """Request the leave even if the join has no result yet: it may still be applied."""
         if self.lease_token:
             self.request_leave(
                 MemberLeave(attachment.name, attachment.owner, attachment.epoch, self.lease_token)
@@ -176,7 +177,7 @@
         self._request_leave_of_earlier_member(attachment)
 
     def _request_leave_of_earlier_member(self, attachment: Attachment) -> None:
-        """Guards against a row of an earlier attachment here that a later one never took over."""
+        """Guards against a leftover row of an earlier attachment that no later join replaced."""
         member = self._own_members.get(attachment.name)
         if member is None or member.token != self.lease_token:
             return
@@ -186,7 +187,7 @@
     # The replicated state
 
     def request_leave(self, leave: MemberLeave) -> None:
-        """Request that a row is removed from the state."""
+        """Request the removal of a member from the state."""
         self._requests.add_leave(leave)
 
     def next_batch(self) -> UpdateMembers | None:
@@ -216,8 +217,8 @@
         Args:
             batch: What was proposed.
             rejected_joins: Names of proxies whose joins were rejected; None: the result is unknown,
-                so that all is requested again, which changes nothing if it was applied.
-            now_ns: The steady clock.
+                so all changes are requested again, which has no effect on those that were applied.
+            now_ns: The monotonic clock.
         """
         if not self._requests.end_batch(batch):
             return []
@@ -254,7 +255,7 @@
         self._requests.delay_join(attachment.name, now_ns + delay_ns)
 
     def apply_changes(self, changes: MemberChanges) -> list[Attachment]:
-        """Follow the state; return the attachments that ended, as their proxies have moved on."""
+        """Apply changes of the state; return the attachments whose proxies moved elsewhere."""
         moved: list[Attachment] = []
         for name, change in changes.items():
             self._remember_own_member(name, change.after)
@@ -264,7 +265,7 @@
         return moved
 
     def apply_snapshot(self, members: Mapping[str, Member]) -> list[Attachment]:
-        """Follow the complete state, once after this observer acquired its lease."""
+        """Apply the complete state, once after this observer acquired its lease."""
         relevant = {
             name: RowChange(None, member)
             for name, member in members.items()
@@ -279,12 +280,12 @@
             self._own_members.pop(name, None)
 
     def _apply_change(self, name: str, change: RowChange[Member]) -> Attachment | None:
-        """Follow one row; return its attachment if the proxy has moved to another observer."""
+        """Apply one changed row; return the attachment if the proxy moved to another observer."""
         attachment = self.attachments.get(name)
         member = change.after
         if member is not None and self._is_under_current_lease(member):
             if attachment is None or attachment.owner != member.owner:
-                # A join of this observer that was applied late: no such process is attached here.
+                # A join that was applied late: that process is no longer attached here.
                 self.request_leave(_leave_of(member))
         elif attachment is None:
             return None
@@ -294,8 +295,9 @@
             self.counts["moved"] += 1
             return attachment
         elif self._is_row_of(change.before, attachment):
-            # The row was removed though the proxy is attached. A copy of the state that lags shows
-            # older rows than the result that made this proxy a member: those are ignored.
+            # The row was removed although the proxy is attached. A lagging copy of the state may
+            # still report rows older than the join that made this proxy a member: those are
+            # ignored.
             attachment.lease_token = NO_TOKEN
             self._requests.add_joins([name])
         return None
--- a/mothstall/fleet/observers/attachment_timings.py
+++ b/mothstall/fleet/observers/attachment_timings.py
@@ -6,23 +6,24 @@
 
 from mothstall.fleet.units import NS_PER_MS
 
-MAX_RECONNECT_JITTER_NS = 400 * NS_PER_MS  # longer would leave proxies without an observer
+MAX_RECONNECT_JITTER_NS = 400 * NS_PER_MS  # a longer one leaves proxies without an observer
 
 
 @dataclass(slots=True, frozen=True)
 class AttachmentTimings:
     """Intervals and timeouts, all in ns, derived from the duration of leases.
 
-    Guards against the removal of a live proxy's membership: a proxy that hears nothing attaches
-    elsewhere before its observer may declare it gone, `observer_timeout_ns` and
-    `reconnect_jitter_ns` together being less than `proxy_timeout_ns`.
+    Guards against the removal of a live proxy's membership: a proxy that receives nothing attaches
+    to another observer before its observer may declare it gone, as `observer_timeout_ns` plus
+    `reconnect_jitter_ns` is less than `proxy_timeout_ns`.
 
     Attributes:
         proxy_heartbeat_ns: Interval of a proxy's heartbeats.
         observer_heartbeat_ns: Interval of an observer's heartbeats.
-        observer_timeout_ns: Silence of the observer after which a proxy leaves it.
-        reconnect_jitter_ns: Interval in which a proxy draws the moment of its reconnection.
-        proxy_timeout_ns: Silence of a connected proxy after which its observer declares it gone.
+        observer_timeout_ns: Time without an update from the observer after which a proxy leaves it.
+        reconnect_jitter_ns: Upper bound of the random delay before a proxy reconnects.
+        proxy_timeout_ns: Time without a heartbeat of a connected proxy after which its observer
+            declares it gone.
         disconnect_grace_ns: Time after a lost connection until the proxy is declared gone.
     """
 
--- a/mothstall/fleet/observers/change_history.py
+++ b/mothstall/fleet/observers/change_history.py
@@ -1,4 +1,4 @@
-"""The keys that changed last in a copy of the replicated state. Pure."""
+"""The most recently changed keys of a copy of the replicated state. Pure."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 from mothstall.store.state.rows import StateSection
 
-# One key that changed: the version of the copy that the change led to, the row's table, its key in
-# it, and the zone of the proxy that the row is about, empty for other rows. A plain tuple, as one
-# is made for each changed row of the fleet at each observer.
+# A changed key: the version of the copy after the change, the row's table, the row's key in it, and
+# the zone of the proxy that the row describes, empty for other rows. A plain tuple, as each
+# observer makes one for every changed row of the fleet.
 ChangedKey = tuple[int, StateSection, str, str]
 
 
 class ChangeHistory:
-    """The last changes, bounded, and the versions of the copy that they connect."""
+    """A bounded history of the changes, and of the versions of the copy that they connect."""
 
     def __init__(self, max_changes: int) -> None:
-        """Start empty; `max_changes`: keys and versions that are remembered."""
+        """Start empty; `max_changes` limits both the changes and the versions that are kept."""
         self._max_changes = max_changes
         self._changes: deque[ChangedKey] = deque()
-        # The versions that the copy has had. What changed and changed back between two of them is
-        # not known here, so that a subscriber with a version between them, which it has from
+        # The versions that the copy has had. A row that changed and changed back between two of
+        # them is not recorded, so a subscriber with a version in between, which it received from
         # another observer, needs a snapshot.
         self._versions: OrderedDict[int, None] = OrderedDict()
-        self._oldest_version = 0  # changes up to this version are forgotten
+        self._oldest_version = 0  # changes up to this version are discarded
 
     @property
     def change_count(self) -> int:
-        """Changes that are remembered."""
+        """Number of changes in the history."""
         return len(self._changes)
 
     @property
     def version_count(self) -> int:
-        """Versions that are remembered."""
+        """Number of versions in the history."""
         return len(self._versions)
 
     def record(self, change: ChangedKey) -> None:
-        """Remember a change; `end_version` follows."""
+        """Add a change; `end_version` must follow."""
         self._changes.append(change)
 
     def end_version(self, version: int, *, is_first: bool) -> None:
-        """Remember a version of the copy, and forget what exceeds the bound.
+        """Add a version of the copy, and discard what exceeds the bound.
 
         Args:
-            version: Of the copy, after the recorded changes.
-            is_first: Whether this is the copy's first version: what changed before it is not known.
+            version: Version of the copy after the recorded changes.
+            is_first: Whether this is the copy's first version; earlier changes are unknown.
         """
         if is_first:
             self._changes.clear()
--- a/mothstall/fleet/observers/departures.py
+++ b/mothstall/fleet/observers/departures.py
@@ -16,10 +16,10 @@
 
 
 class DepartureDetector:
-    """Finds proxies that are silent for too long, or whose connection did not come back.
+    """Finds proxies that have sent no heartbeat for too long, or have not reconnected in time.
 
-    An observer that stood still takes its own lateness into account (Lifeguard; Dadgar and others,
-    2018): it declares no proxy gone before it has listened for a complete timeout.
+    An observer that was stalled allows for its own delay (Lifeguard; Dadgar and others, 2018): it
+    declares no proxy gone until a complete timeout after the stall.
     """
 
     def __init__(self, timings: AttachmentTimings) -> None:
@@ -42,7 +42,7 @@
         return now_ns >= self._suspended_until_ns
 
     def silent(self, by_last_heard: Iterable[Attachment], now_ns: int) -> Iterator[Attachment]:
-        """Return the silent proxies of an iterable in the order of `last_heard_ns`."""
+        """Return the proxies that timed out, from an iterable ordered by `last_heard_ns`."""
         for attachment in by_last_heard:
             if now_ns - attachment.last_heard_ns < self._timings.proxy_timeout_ns:
                 return
--- a/mothstall/fleet/observers/membership_requests.py
+++ b/mothstall/fleet/observers/membership_requests.py
@@ -1,4 +1,4 @@
-"""Joins and leaves that an observer is to propose to the keepers, in batches. Pure."""
+"""Joins and leaves that an observer proposes to the keepers, in batches. Pure."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 from mothstall.store.state.changes import MemberJoin, MemberLeave, UpdateMembers
 
-# Leaves that wait. Guards against a list that grows without end while there is no quorum: the row
-# of a leave that is left out stays in the state, where this observer sees it and requests it again.
+# Limit of queued leaves. Guards against a queue that grows without bound while there is no quorum:
+# the row of a dropped leave stays in the state, where this observer finds it and requests the leave
+# again.
 MAX_PENDING_LEAVES = 16_384
 
 
@@ -19,15 +20,15 @@
 
 
 class MembershipRequests:
-    """Pending joins and leaves, and the one batch that waits for its result."""
+    """Pending joins and leaves, and the one batch in flight."""
 
     def __init__(self, lease_name: str, batch_size: int, max_delayed: int) -> None:
         """Start empty.
 
         Args:
             lease_name: The observer's lease, under which batches are proposed.
-            batch_size: Joins and leaves in one batch, at most.
-            max_delayed: Joins that wait to be retried, at most.
+            batch_size: Maximum number of joins and leaves in one batch.
+            max_delayed: Maximum number of rejected joins that wait for their retry.
         """
         self._lease_name = lease_name
         self._batch_size = batch_size
@@ -43,25 +44,25 @@
         return len(self._joins) + len(self._leaves) + len(self._delayed)
 
     def reset(self) -> None:
-        """Forget the batch in flight and all leaves: they belong to a token that is over."""
+        """Discard the batch in flight and all leaves: they belong to an outdated token."""
         self._in_flight = None
         self._leaves.clear()
 
     def add_joins(self, names: Iterable[str]) -> None:
-        """Request joins; one that is pending already keeps its place."""
+        """Queue joins; one that is already queued keeps its place."""
         self._joins.update(dict.fromkeys(names))
 
     def discard_join(self, name: str) -> None:
-        """Take a pending join back."""
+        """Remove a queued join."""
         self._joins.pop(name, None)
 
     def add_leave(self, leave: MemberLeave) -> None:
-        """Request a leave, unless too many are pending."""
+        """Queue a leave, unless the queue is full."""
         if len(self._leaves) < MAX_PENDING_LEAVES:
             self._leaves[leave] = None
 
     def delay_join(self, name: str, due_ns: int) -> None:
-        """Retry a rejected join at a later time, unless too many wait."""
+        """Retry a rejected join at `due_ns`, unless too many joins are delayed."""
         if len(self._delayed) < self._max_delayed:
             self._delayed.append(_DelayedJoin(due_ns, name))
 
@@ -76,7 +77,7 @@
         """Take the next batch; None while one is in flight, or if nothing is pending.
 
         Args:
-            token: Of the observer's lease.
+            token: Token of the observer's lease.
             join_of: Returns the join of a proxy; None if it is no longer needed.
         """
         if self._in_flight is not None or not (self._joins or self._leaves):
@@ -97,7 +98,7 @@
         return self._in_flight
 
     def end_batch(self, batch: UpdateMembers) -> bool:
-        """Record that a batch has its result; False for one that is not in flight."""
+        """Record that the result of a batch is known; False if the batch is not in flight."""
         if batch is not self._in_flight:
             return False
         self._in_flight = None
--- a/mothstall/fleet/observers/observer_selector.py
+++ b/mothstall/fleet/observers/observer_selector.py
@@ -1,4 +1,4 @@
-"""Which observer a proxy attaches to, and when it leaves it. Pure."""
+"""A proxy's choice of an observer, and the decision when to leave it. Pure."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @dataclass(slots=True)
 class ObserverEndpoint:
-    """An observer as one proxy knows it.
+    """An observer, and one proxy's backoff for it.
 
     Attributes:
         name: The observer.
         is_home: Whether it serves the proxy's own zone.
         retry_not_before_ns: End of its backoff.
-        failures: Consecutive failures, until an update that is not stale.
+        failures: Consecutive failures; reset by an update that is not stale.
     """
 
     name: str
@@ -41,28 +41,28 @@
 
 @dataclass(slots=True)
 class ObserverSelector:
-    """A proxy's choice among observers; times in ns of its steady clock.
+    """A proxy's choice among observers; times in ns of its monotonic clock.
 
-    Guards against a crowd that moves at one instant: every wait is drawn by the proxy itself, and
-    waits after failures grow exponentially.
+    Guards against many proxies that move at the same instant: each proxy randomizes its delays, and
+    the backoff after failures grows exponentially.
 
     Attributes:
         rng: The proxy's own random numbers.
-        observer_timeout_ns: Silence after which the proxy leaves its observer.
+        observer_timeout_ns: Time without an update after which the proxy leaves its observer.
         max_staleness_ns: Age of the state up to which an observer counts as fresh.
-        home_return_delay_ns: A proxy at an observer of another zone returns after this, or up to
-            half as much later.
+        home_return_delay_ns: Time after which a proxy at an observer of another zone returns; a
+            random delay of up to half as much is added.
         max_backoff_ns: Bound of the backoff of one observer.
-        reconnect_jitter_ns: Interval over which the proxies of a lost observer reconnect.
+        reconnect_jitter_ns: Upper bound of the random delay before a reconnection.
         endpoints: All observers: those of the own zone, then those of the region.
         epoch: Counts this proxy's attachments.
         current: The observer that was chosen; empty: none.
-        attached_since_ns: Since when it is chosen or connected.
-        last_heard_ns: When it last sent something.
-        is_connected: Whether the connection stands.
-        connect_not_before_ns: When the next connection may be made.
+        attached_since_ns: When the current observer was chosen, or connected.
+        last_heard_ns: When the current observer last sent an update, or was chosen or connected.
+        is_connected: Whether the connection is established.
+        connect_not_before_ns: Earliest time of the next connection.
         stale_departures: Consecutive observers that were left because their state was stale.
-        home_return_not_before_ns: When the proxy may return to its own zone.
+        home_return_not_before_ns: Earliest time of a return to the own zone.
         is_fresh: Whether the last update was not stale.
         is_half_open: Whether the proxy left a fresh observer to return to its own zone, and has not
             received a fresh update there yet.
@@ -94,7 +94,7 @@
             self.endpoints += shuffled
 
     def choose_next(self, now_ns: int) -> tuple[str, int]:
-        """Return the observer to connect to, and how long to wait before, in ns.
+        """Return the observer to connect to, and the delay before connecting, in ns.
 
         The first one without a backoff is chosen; if there is none, the one whose backoff ends
         first.
@@ -107,7 +107,7 @@
         return best.name, max(0, earliest_ns - now_ns)
 
     def connected(self, now_ns: int) -> int:
-        """Record that the connection stands; return the epoch of this attachment."""
+        """Record an established connection; return the epoch of this attachment."""
         self.epoch += 1
         self.is_connected = True
         self.attached_since_ns = now_ns
@@ -117,7 +117,7 @@
         return self.epoch
 
     def record_update(self, staleness_ns: int, now_ns: int) -> None:
-        """Record an update of the state that was this old."""
+        """Record an update whose state has the given age."""
         self.last_heard_ns = now_ns
         self.is_fresh = staleness_ns < self.max_staleness_ns
         if not self.is_fresh:
@@ -140,7 +140,7 @@
 
     def _is_too_stale(self, staleness_ns: int, now_ns: int) -> bool:
         if self.is_half_open and staleness_ns > self.max_staleness_ns:
-            # Guards against a proxy that waits here until the observer it left declares it gone.
+            # Guards against a proxy that stays here until its previous observer declares it gone.
             return True
         patience_ns = self.max_staleness_ns << min(self.stale_departures, MAX_STALENESS_DOUBLINGS)
         attached_for_ns = now_ns - self.attached_since_ns
@@ -164,7 +164,7 @@
 
         Args:
             reason: A `LeaveReason`, or any other text for a fault of the connection.
-            now_ns: The steady clock.
+            now_ns: The monotonic clock.
         """
         is_return_home = reason == LeaveReason.HOME_AVAILABLE
         self.is_half_open = is_return_home and self.is_fresh
--- a/mothstall/fleet/observers/orphan_sweeper.py
+++ b/mothstall/fleet/observers/orphan_sweeper.py
@@ -15,23 +15,24 @@
 
 
 class OrphanSweeper:
-    """Members that were written under leases which are over.
+    """Members that joined under observer leases that have ended.
 
-    They stay for `grace_ns`, as their proxies are moving to other observers; then they are removed.
-    The observer that rendezvous hashing selects removes them first; the others wait twice as long.
+    They are kept for `grace_ns` while their proxies move to other observers, then removed. The
+    observer selected by rendezvous hashing removes them first; the others wait twice as long.
     """
 
     def __init__(self, observer: str, grace_ns: int) -> None:
         """Start without members; `observer`: the name of this observer."""
         self.grace_ns = grace_ns
         self._own_lease = OBSERVER_LEASE_PREFIX + observer
-        # Ordered, not sets: what is requested has the same order in every process.
+        # Dictionaries instead of sets, so that leaves are requested in the same order in every
+        # process.
         self._members: dict[_LeaseTerm, dict[str, None]] = {}
         self._orphaned_since_ns: dict[_LeaseTerm, int] = {}
         self._live_tokens: dict[str, int] = {}  # by the name of an observer's lease
 
     def apply_changes(self, leases: LeaseChanges, members: MemberChanges, now_ns: int) -> None:
-        """Follow the state; linear in what has changed."""
+        """Apply changes of leases and members; linear in the changes."""
         touched = self._apply_leases(leases) + self._apply_members(members)
         for term in touched:
             name, token = term
@@ -70,11 +71,11 @@
 
     @property
     def orphan_count(self) -> int:
-        """Proxies whose observer's lease is over and that no observer has taken over yet."""
+        """Number of proxies whose observer's lease ended and that no observer took over yet."""
         return sum(len(self._members.get(term, ())) for term in self._orphaned_since_ns)
 
     def due_leaves(self, members: Mapping[str, Member], now_ns: int) -> list[MemberLeave]:
-        """Return the removals to request now; linear in the leases that are over."""
+        """Return the removals to request now; linear in the ended leases and their members."""
         leaves: list[MemberLeave] = []
         for term, since_ns in self._orphaned_since_ns.items():
             if now_ns - since_ns < self._grace_ns(term):
@@ -85,11 +86,11 @@
                     leaves.append(
                         MemberLeave(member.name, member.owner, member.epoch, member.token)
                     )
-            self._orphaned_since_ns[term] = now_ns  # what remains is requested again later
+            self._orphaned_since_ns[term] = now_ns  # members that remain are requested again later
         return leaves
 
     def _grace_ns(self, term: _LeaseTerm) -> int:
-        """How long this observer waits: the selected one once, the others twice the grace."""
+        """The grace at this observer: `grace_ns` if it is selected, otherwise twice as long."""
         lease, token = term
         selected = assignment.assigned_prober(f"{lease} {token}", self._live_tokens)
         return self.grace_ns if selected == self._own_lease else 2 * self.grace_ns
--- a/mothstall/fleet/observers/report_aggregator.py
+++ b/mothstall/fleet/observers/report_aggregator.py
@@ -1,10 +1,11 @@
 """Aggregation of the proxies' traffic reports by zone. Pure.
 
-The holder of the failover lease receives one report for each zone and observer, and none for each
-proxy. What the assessment needs of single proxies is in the histograms (docs/failover.md): for each
-zone that was sent to, proxies are counted by their fraction of bad attempts, and before the sums
-each counts at most `MAX_RATIO_TO_MEDIAN` times the median proxy of its zone. A proxy's report
-counts as if it came alone; one that claims to be an aggregate is rejected.
+The holder of the failover lease receives one report for each zone and observer instead of one for
+each proxy. The histograms contain what the assessment needs to know about single proxies
+(docs/failover.md): for each destination zone, proxies are counted by their fraction of bad
+attempts, and the attempts of each are capped at `MAX_RATIO_TO_MEDIAN` times those of the median
+proxy of its zone before they are summed. Each proxy has the same effect as if its report had been
+sent alone; a proxy's report that claims to be an aggregate is rejected.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 )
 from mothstall.fleet.failover.robust_statistics import MAX_RATIO_TO_MEDIAN, weighted_median
 
-# Fractions of bad attempts between two buckets of a histogram, finer where zones are still healthy.
+# Boundaries of the histogram buckets by fraction of bad attempts, finer where zones are healthy.
 BUCKET_BOUNDARIES = (0.02, 0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.35, 0.5, 0.75)
 MAX_REPORTS_PER_PROXY = 4  # in one aggregate; a proxy sends one in each interval
-ROUNDED_WEIGHT = 100  # weights from here on are sent as whole numbers: an error below 0.5%
+ROUNDED_WEIGHT = 100  # larger or equal weights are sent as integers: an error below 0.5%
 
 
 class ReportAggregator:
-    """Reports of single proxies until the next `flush`; bounded by proxies and reports of each."""
+    """Reports of proxies until the next `flush`; bounded in proxies and in reports of each."""
 
     def __init__(self, observer: str, max_proxies: int = MAX_AGGREGATED_PROXIES) -> None:
         """Start empty.
@@ -48,7 +49,7 @@
         self._sequence_number = 0
 
     def add(self, proxy: str, data: bytes) -> bool:
-        """Add a proxy's report; False for one that is invalid, another proxy's, or too many."""
+        """Add a proxy's report; False if it is invalid, another proxy's, repeated or surplus."""
         report = decode_report(data)
         if report is None or report.proxy_count or report.proxy != proxy:
             return False
@@ -65,7 +66,7 @@
         return True
 
     def flush(self) -> list[TrafficReport]:
-        """Return one aggregate for each zone that reports came from, and forget the reports."""
+        """Return one aggregate for each zone with reporting proxies, and discard the reports."""
         reports_by_proxy = self._reports
         self._reports = {}
         self._sequence_number += 1
@@ -97,21 +98,21 @@
 
 @dataclass(slots=True, frozen=True)
 class _Attempts:
-    """Attempts of one proxy to one zone, and those of them that are not good."""
+    """Attempts of one proxy to one zone, and the bad ones among them."""
 
     attempts: float
     bad_attempts: float
 
 
 class _ProxyWindow:
-    """The reports of one proxy since the last flush, added up."""
+    """The sums of one proxy's reports since the last flush."""
 
     def __init__(self, reports: Sequence[TrafficReport]) -> None:
         self.last_report = reports[-1]
         self.interval_ms = sum(report.interval_ms for report in reports)
         self._requests = sum(report.requests for report in reports)
         self._rejected = sum(report.rejected for report in reports)
-        self.attempts: dict[str, int] = {}  # by the zone that was sent to
+        self.attempts: dict[str, int] = {}  # by destination zone
         self._bad_attempts: dict[str, int] = {}
         for report in reports:
             for zone, by_class in report.outcomes.items():
@@ -121,15 +122,15 @@
                 self._bad_attempts[zone] = self._bad_attempts.get(zone, 0) + bad_attempts
 
     def requests_in(self, interval_ms: float) -> float:
-        """Requests at this proxy's rate in an interval."""
+        """Requests of this proxy, scaled to an interval."""
         return self._requests * interval_ms / self.interval_ms
 
     def rejected_in(self, interval_ms: float) -> float:
-        """Rejected requests at this proxy's rate in an interval."""
+        """Rejected requests of this proxy, scaled to an interval."""
         return self._rejected * interval_ms / self.interval_ms
 
     def attempts_in(self, zone: str, interval_ms: float) -> _Attempts:
-        """Attempts to a zone at this proxy's rate in an interval."""
+        """Attempts of this proxy to a zone, scaled to an interval."""
         factor = interval_ms / self.interval_ms
         return _Attempts(self.attempts[zone] * factor, self._bad_attempts[zone] * factor)
 
@@ -144,7 +145,7 @@
 def _histograms(
     windows: Sequence[_ProxyWindow], interval_ms: float
 ) -> dict[str, tuple[HistogramBucket, ...]]:
-    """Histograms by the zone that was sent to; zones without attempts are left out."""
+    """Histograms by destination zone; zones without attempts are left out."""
     zones = sorted({zone for window in windows for zone in window.attempts})
     histograms: dict[str, tuple[HistogramBucket, ...]] = {}
     for zone in zones:
@@ -161,7 +162,7 @@
 
 
 def _histogram(rows: Sequence[_Attempts]) -> tuple[HistogramBucket, ...]:
-    """Guards against one proxy that speaks for its zone: what exceeds the cap is scaled down."""
+    """Guards against one proxy that dominates its zone: attempts above the cap are scaled down."""
     if not rows:
         return ()
     cap = MAX_RATIO_TO_MEDIAN * weighted_median([(1, row.attempts) for row in rows])
@@ -183,7 +184,7 @@
 
 
 def _capped_sum(values: Sequence[float]) -> int:
-    """Add the values above zero up, each at most `MAX_RATIO_TO_MEDIAN` times their median."""
+    """Sum the positive values, each capped at `MAX_RATIO_TO_MEDIAN` times their median."""
     positive = [value for value in values if value > 0]
     if not positive:
         return 0
@@ -192,7 +193,7 @@
 
 
 def _medians(rows: Sequence[Mapping[str, float]]) -> dict[str, float]:
-    """The median of each name over the rows that have it."""
+    """The median value of each name over the rows that contain it."""
     names = sorted({name for row in rows for name in row})
     return {
         name: weighted_median([(1, row[name]) for row in rows if name in row]) for name in names
@@ -200,10 +201,10 @@
 
 
 def _round_weights(weights: Mapping[str, float]) -> dict[str, float]:
-    """Round weights for the wire, where whole numbers are shorter.
+    """Round weights, as integers are encoded in fewer bytes.
 
-    The holder of the failover lease receives each zone's weight from every observer every second: a
-    third of what it received.
+    The holder of the failover lease receives each zone's weight from every observer every second;
+    unrounded weights were a third of the bytes that it received.
     """
     return {
         name: round(weight) if weight >= ROUNDED_WEIGHT or weight.is_integer() else weight
--- a/mothstall/fleet/observers/state_copy.py
+++ b/mothstall/fleet/observers/state_copy.py
@@ -34,7 +34,7 @@
     """The tables of the state at one version, and the changes that led to it."""
 
     def __init__(self, max_changes: int) -> None:
-        """Start at version 0, which knows nothing; `max_changes`: bound of the history."""
+        """Start empty at version 0; `max_changes` limits the history."""
         self.version = 0
         self.leases: dict[str, Lease] = {}
         self.drains: dict[str, Drain] = {}
@@ -45,7 +45,7 @@
     def merge(self, delta: StateDelta) -> AppliedChanges:
         """Apply a delta that starts from this version, or a complete state.
 
-        Linear in the delta, and in the copy too where the delta is a complete state.
+        Takes time linear in the delta, and also in the copy if the delta is a complete state.
         """
         is_first = self.version == 0
         is_complete = delta.since_version == 0
@@ -81,7 +81,7 @@
         return changes
 
     def snapshot_for(self, subscription: Subscription) -> StateDelta:
-        """Return the complete state as far as it is subscribed to."""
+        """Return the subscribed part of the complete state."""
 
         def included(section: StateSection, table: Mapping[str, RowT]) -> dict[str, RowT | None]:
             return {
@@ -100,9 +100,9 @@
         )
 
     def delta_for(self, subscription: Subscription, since_version: int) -> StateDelta:
-        """Return what changed since a version to which the history reaches back.
+        """Return the subscribed changes since a version to which the history reaches back.
 
-        A row that is no longer included counts as removed.
+        A row that the subscription no longer includes is sent as removed.
         """
         changed: dict[StateSection, dict[str, None]] = {section: {} for section in StateSection}
         for _, section, key, zone in self.history.changes_since(since_version):
@@ -137,7 +137,7 @@
 
 
 def _zone_of(row: Row) -> str:
-    """The zone of the proxy that a row is about; empty for other rows."""
+    """The zone of the proxy that a row describes; empty for other rows."""
     if isinstance(row, Member):
         return row.zone
     if isinstance(row, Lease):
--- a/mothstall/fleet/observers/subscription.py
+++ b/mothstall/fleet/observers/subscription.py
@@ -1,4 +1,4 @@
-"""Which part of the replicated state a proxy receives. Pure."""
+"""The part of the replicated state that a proxy receives. Pure."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 # Rows that every proxy receives.
 SHARED_KEYS = frozenset((FAILOVER_LEASE, PLAN_VALUE_NAME, OVERRIDES_VALUE_NAME))
 
-# Looked up once: members of an enumeration are slow to reach, and `includes` runs for each changed
-# row and each different subscription.
+# Looked up once: access to enumeration members is slow, and `includes` runs for each changed row
+# and each distinct subscription.
 _MEMBERS = StateSection.MEMBERS
 _DRAINS = StateSection.DRAINS
 _BACKEND_DRAIN = DrainKind.BACKEND
@@ -28,7 +28,7 @@
 
     Attributes:
         zone: The zone whose proxies are included.
-        backends: Beginnings of the names of the backends that are included; "" is all of them.
+        backends: Prefixes of the names of the included backends; "" includes all.
     """
 
     zone: str = ""
@@ -40,7 +40,7 @@
         Args:
             section: The row's table.
             key: The row's key in it.
-            zone: The zone of the proxy that the row is about; empty for other rows.
+            zone: The zone of the proxy that the row describes; empty for other rows.
         """
         if section is _MEMBERS or key.startswith(MEMBER_LEASE_PREFIX):
             return zone == self.zone
@@ -64,5 +64,5 @@
             f"a subscription names a zone and 1 to {MAX_PREFIXES} prefixes"
         )
     if any(len(prefix) > MAX_NAME_LENGTH for prefix in backends):
-        raise InvalidSubscriptionError(f"a prefix has {MAX_NAME_LENGTH} letters at most")
+        raise InvalidSubscriptionError(f"a prefix has {MAX_NAME_LENGTH} characters at most")
     return Subscription(zone, tuple(sorted(set(backends))))
--- a/mothstall/fleet/observers/subscription_fanout.py
+++ b/mothstall/fleet/observers/subscription_fanout.py
@@ -1,11 +1,11 @@
-"""Which subscriber receives which update of the replicated state. Pure.
-
-An observer holds one copy of the state, the keys that changed last, and no queue for any
-subscriber: a subscriber is a number, the version that it has. What it lacks is computed when it can
-receive, from the rows as they are then, so that a slow subscriber costs no memory: it receives one
-delta in place of many, or a snapshot once its version is older than the history (as etcd's watchers
-catch up, and as xDS resends the state of the world). Subscribers with equal subscriptions and
-versions share one encoding. No subscriber receives a version older than its own.
+"""Fan-out of updates of the replicated state to subscribers. Pure.
+
+An observer holds one copy of the state and a history of changed keys, but no queue for any
+subscriber: it only records the version that each subscriber has. The missing changes are computed
+from the current rows when the subscriber can receive, so that a slow subscriber costs no memory: it
+receives one delta in place of many, or a snapshot once its version is older than the history (as
+etcd's watchers catch up, and as xDS resends the state of the world). Subscribers with equal
+subscriptions and versions share one encoding. No subscriber receives a version older than its own.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from mothstall.fleet.units import NS_PER_S
 from mothstall.store.state.rows import Drain, Lease, Member, StateDelta, StoredValue
 
-MAX_CHANGES = 8192  # keys in the history; a subscriber that is further behind gets a snapshot
+MAX_CHANGES = 8192  # keys in the history; a subscriber further behind gets a snapshot
 MAX_SUBSCRIBERS = 4096  # as many as an observer has attachments
 MAX_SHARED_ENCODINGS = 64  # held in memory while one round of updates is made
-NEVER_NS = -(1 << 62)  # before any time of a steady clock
+NEVER_NS = -(1 << 62)  # before any time of a monotonic clock
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     Attributes:
         subscription: The part of the state that it receives.
         version: The version that it has.
-        last_sent_ns: When it was last sent something.
+        last_sent_ns: When an update was last sent to it.
     """
 
     subscription: Subscription
@@ -68,18 +68,20 @@
         """Start without a copy and without subscribers.
 
         Args:
-            newer_only: A guard against versions that go back; tests alone take it out.
-            bounded: A guard against queues for slow subscribers; tests alone take it out.
-            max_changes: Bound of the history.
+            newer_only: Whether a version is never replaced by an older one; only tests disable
+                this.
+            bounded: Whether subscribers with unsent bytes are skipped; only tests disable this.
+            max_changes: Limit of changes in the history.
             max_subscribers: Further subscribers are rejected.
-            heartbeat_ns: An update is sent after this also where nothing has changed.
+            heartbeat_ns: Interval after which an update is sent even without changes.
         """
         self.newer_only = newer_only
         self.bounded = bounded
         self.max_subscribers = max_subscribers
         self.heartbeat_ns = heartbeat_ns
         self.state = StateCopy(max_changes)
-        # In the order of `last_sent_ns`, so that a round ends at the first that lacks nothing.
+        # Ordered by `last_sent_ns`, so that a round ends at the first subscriber that is up to
+        # date.
         self.subscribers: OrderedDict[str, Subscriber] = OrderedDict()
         self.counts = dict.fromkeys(
             ("deltas", "snapshots", "told", "shared", "left_out", "older"), 0
@@ -111,9 +113,9 @@
         return self.state.members
 
     def apply(self, delta: StateDelta) -> AppliedChanges | None:
-        """Follow a keeper; return what has changed, or None where a complete state is needed.
+        """Apply a keeper's delta; return the changes, or None if a complete state is needed.
 
-        Guards against a keeper that lags: a version older than the copy is ignored.
+        Guards against a lagging keeper: a version older than the copy is ignored.
         """
         if delta.version < self.version and self.newer_only:
             self.counts["older"] += 1
@@ -125,7 +127,7 @@
         return self.state.merge(delta)
 
     def subscribe(self, name: str, subscription: Subscription, known_version: int) -> str:
-        """Add a subscriber that has this version; return why it is rejected, empty if it is not."""
+        """Add a subscriber at a known version; return why it is rejected, empty if it is not."""
         if name not in self.subscribers and len(self.subscribers) >= self.max_subscribers:
             self.counts["left_out"] += 1
             return f"{self.max_subscribers} proxies are attached already"
@@ -138,7 +140,7 @@
         self.subscribers.pop(name, None)
 
     def delta_since(self, subscription: Subscription, known_version: int) -> StateDelta:
-        """Return what a subscriber of this version lacks; empty where it has as much, or more."""
+        """Return what a subscriber lacks; empty if its version is not older than the copy's."""
         if known_version and known_version >= self.version and self.newer_only:
             return StateDelta(self.version, self.version)
         if self.state.history.reaches_back_to(known_version):
@@ -152,16 +154,17 @@
         encode: Callable[[StateDelta], bytes],
         unsent_bytes: Callable[[str], int],
     ) -> Iterator[EncodedUpdate]:
-        """Return the updates to send now; linear in the subscribers that lack something.
+        """Return the updates to send now; linear in the subscribers that are behind.
 
-        A subscriber that has not received its last update yet is skipped: what it lacks waits here
-        as its version.
+        A subscriber with unsent bytes is skipped; a later update is computed from its recorded
+        version.
 
         Args:
             now_ns: The steady clock.
-            limit: Updates of this round; the other subscribers are next.
-            encode: Makes the frame of a delta.
-            unsent_bytes: Bytes that wait on a subscriber's connection, by its name.
+            limit: Maximum number of updates in this round; the remaining subscribers are first in
+                the next.
+            encode: Encodes a delta.
+            unsent_bytes: Returns the unsent bytes on a subscriber's connection, by its name.
         """
         encodings: dict[tuple[Subscription, int], _SharedEncoding] = {}
         sent = 0
@@ -177,7 +180,8 @@
                 encoding = self._encode(encodings, key, encode)
             else:
                 self.counts["shared"] += 1
-            # Guards against a crowd elsewhere: rows that are not subscribed to cause no frame.
+            # Guards against frames for every change in the fleet: changes outside the subscription
+            # cause none.
             if encoding.is_empty and not self._is_heartbeat_due(subscriber, now_ns):
                 continue
             self._record_sent(name, subscriber, now_ns)
@@ -187,7 +191,7 @@
     def _receptive_subscribers(
         self, now_ns: int, unsent_bytes: Callable[[str], int]
     ) -> Iterator[tuple[str, Subscriber, bool]]:
-        """Subscribers that lack something or are due a heartbeat, and have nothing unsent.
+        """Subscribers that are behind or due a heartbeat, and have no unsent bytes.
 
         Yields the name, the subscriber, and whether its version is behind the copy's.
         """
@@ -195,14 +199,14 @@
             subscriber = self.subscribers[name]
             is_behind = self._is_behind(subscriber)
             if is_behind or self._is_heartbeat_due(subscriber, now_ns):
-                # Guards against the backlog of a slow subscriber: nothing is made while it has
+                # Guards against a backlog for a slow subscriber: no update is encoded while it has
                 # unsent bytes.
                 if not self.bounded or unsent_bytes(name) == 0:
                     yield name, subscriber, is_behind
             elif subscriber.version <= self.version:
                 return
             # Guards against a subscriber that has, or claims, a later version than this copy and
-            # would hold up all others: the round goes on behind it.
+            # would block all others: the round continues with the next one.
 
     def _is_heartbeat_due(self, subscriber: Subscriber, now_ns: int) -> bool:
         return now_ns - subscriber.last_sent_ns >= self.heartbeat_ns
@@ -218,7 +222,7 @@
         key: tuple[Subscription, int],
         encode: Callable[[StateDelta], bytes],
     ) -> _SharedEncoding:
-        """Make an encoding, and add it to those of this round."""
+        """Encode an update, and cache it for this round."""
         subscription, since_version = key
         delta = self.delta_since(subscription, since_version)
         is_snapshot = delta.since_version == 0
--- a/mothstall/observer/__init__.py
+++ b/mothstall/observer/__init__.py
@@ -1,1 +1,1 @@
-"""An observer: a process between keepers and proxies, which never votes."""
+"""An observer: a process that relays between keepers and proxies and never votes."""
--- a/mothstall/observer/attached_proxies.py
+++ b/mothstall/observer/attached_proxies.py
@@ -26,16 +26,16 @@
 log = logging.getLogger("mothstall.fleet")
 
 MAX_LOGGED_NAMES = 8  # in one log line
-MAX_EPOCH = 1 << 62  # exclusive: beyond, it would not fit into an integer of the protocol
-ATTACHED_ELSEWHERE = "it is attached elsewhere"
+MAX_EPOCH = 1 << 62  # exclusive; larger values may not fit into an integer of the protocol
+ATTACHED_ELSEWHERE = "the proxy is attached to another observer"
 
 
 class AttachedProxies:
-    """Connects attachments, which the log knows, with connections, subscriptions and proposals.
+    """Maps attachments to connections, subscriptions and proposals.
 
     Attributes:
         forwarder: Proposals of the proxies.
-        reports: Reports of the proxies, and to them.
+        reports: Reports from and to the proxies.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         forwarder: ProposalForwarder,
         reports: ReportRelay,
     ) -> None:
-        """Keep these in step with who is attached."""
+        """Keep these in step with the attached proxies."""
         self.forwarder = forwarder
         self.reports = reports
         self._table = model.table
@@ -68,7 +68,7 @@
         """Attach the proxy behind a connection, or reject it.
 
         Raises:
-            ValueError: The request cannot come from this connection, or from any proxy.
+            ValueError: The request is not allowed on this connection, or is invalid.
         """
         _check_attach_request(connection, request)
         subscription = checked_subscription(request.zone, request.backend_prefixes)
@@ -79,7 +79,7 @@
         if not reason:
             if previous is not None:
                 self.forget(previous.connection)
-                previous.connection.close("it came anew")
+                previous.connection.close("replaced by a newer attachment")
             reason = self._fanout.subscribe(request.name, subscription, request.known_version)
             if reason:
                 self._table.detach(request.name, owner, request.epoch)
@@ -91,7 +91,7 @@
         self._by_name[request.name] = proxy
 
     def forget(self, connection: FrameConnection) -> None:
-        """Serve a connection no longer; nothing follows for its attachment."""
+        """Remove a connection and its proxy; the attachment stays in the table."""
         self._server.forget_client(connection)
         self.reports.subscribers.discard(connection)
         proxy: AttachedProxy | None = connection.owner_state
@@ -103,7 +103,7 @@
         self.forwarder.cancel_all(proxy)
 
     def on_disconnected(self, connection: FrameConnection) -> None:
-        """A connection is closed: its attachment ends unless the proxy comes back in time."""
+        """Remove a closed connection; its attachment ends unless the proxy reconnects in time."""
         self.forget(connection)
         proxy: AttachedProxy | None = connection.owner_state
         if proxy is not None:
@@ -119,18 +119,18 @@
         for name in gone:
             proxy = self._by_name.get(name)
             if proxy is not None:
-                proxy.connection.close("it says nothing")
+                proxy.connection.close("the attachment timed out")
                 self.forget(proxy.connection)
 
     def confirm(self, attachments: Iterable[Attachment]) -> None:
-        """Tell proxies that the log has them under this observer."""
+        """Notify proxies that they are members under this observer."""
         for attachment in attachments:
             proxy = self._by_name.get(attachment.name)
             if proxy is not None and proxy.epoch == attachment.epoch:
                 send_message(proxy.connection, AttachAccepted(attachment.epoch))
 
     def reject_moved(self, attachments: Iterable[Attachment]) -> None:
-        """Tell proxies that the log has them under another observer, and forget them."""
+        """Notify proxies that they are members under another observer, and remove them."""
         for attachment in attachments:
             proxy = self._by_name.get(attachment.name)
             if proxy is None:
@@ -142,10 +142,10 @@
 
 
 def _check_attach_request(connection: FrameConnection, request: AttachRequest) -> None:
-    """Guards against one process that speaks for another: its connection bears its name."""
+    """Guards against a process that attaches in another's name: the connection has its own name."""
     owner = connection.peer
     is_own_name = owner.partition("#")[0] == request.name
     if connection.owner_state is not None or connection.role != PeerRole.AGENT or not is_own_name:
-        raise UnexpectedMessageError(f"{owner} comes as {request.name}")
+        raise UnexpectedMessageError(f"{owner} may not attach as {request.name}")
     if not 0 < request.epoch < MAX_EPOCH or not 0 < len(request.name) <= MAX_NAME_LENGTH:
-        raise UnexpectedMessageError("an attachment that cannot be")
+        raise UnexpectedMessageError("epoch or proxy name is out of bounds")
--- a/mothstall/observer/attached_proxy.py
+++ b/mothstall/observer/attached_proxy.py
@@ -13,13 +13,13 @@
 
 @dataclass(slots=True, eq=False)
 class PendingProposal:
-    """A proposal of a proxy that is queued here or on its way to a keeper.
+    """A proposal of a proxy that is queued here or in flight to a keeper.
 
     Attributes:
-        proxy: Who is to be answered.
+        proxy: The proxy that receives the response.
         request: The proposal as the proxy sent it.
-        deadline_s: Until when the proxy waits, by the loop's clock.
-        is_cancelled: The proxy is gone, or waits no longer.
+        deadline_s: When the proxy stops waiting, by the loop's clock.
+        is_cancelled: Whether the proxy is gone, or no longer waits.
         task: The task that forwards it; None while it is queued.
     """
 
@@ -34,20 +34,20 @@
         return not self.is_cancelled and self.deadline_s > now_s
 
     def respond(self, result: ChangeResult) -> None:
-        """Answer the proxy."""
+        """Send the result to the proxy."""
         self.proxy.respond(self.request.request_id, result)
 
 
 @dataclass(slots=True, eq=False)
 class AttachedProxy:
-    """The proxy behind a connection.
+    """An attached proxy, and its connection.
 
     Attributes:
         connection: The connection, whose `owner_state` is this object.
         name: The proxy's name.
         owner: The name of its process, under which it holds leases.
-        epoch: Which attachment of this process it is.
-        pending: Its proposals that are not answered yet, by the proxy's id of the request.
+        epoch: Number of this attachment of the process.
+        pending: Its proposals that are not answered yet, by the proxy's request id.
     """
 
     connection: FrameConnection
@@ -57,6 +57,6 @@
     pending: dict[int, PendingProposal] = field(default_factory=dict)
 
     def respond(self, request_id: int, result: ChangeResult) -> None:
-        """Answer a proposal, which is pending no longer."""
+        """Send the result of a proposal, and remove it from `pending`."""
         self.pending.pop(request_id, None)
         send_message(self.connection, ProposeResponse(request_id, result))
--- a/mothstall/observer/keeper_contact.py
+++ b/mothstall/observer/keeper_contact.py
@@ -1,4 +1,4 @@
-"""The observer's connections to keepers, and how fresh what it learns there is."""
+"""The observer's connections to keepers, and the freshness of the state received from them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class KeeperClients:
-    """Three clients of the keepers, so that a slow change of one kind holds up no other.
+    """Three clients of the keepers, so that a slow change of one kind does not delay the others.
 
     Attributes:
         state: Watches the state and forwards proposals of proxies.
@@ -28,7 +28,7 @@
     renewals: KeeperClient
 
     def __init__(self, operator: OperatorConfig, owner: str) -> None:
-        """Prepare clients under the observer's name `owner`; `start` begins to dial."""
+        """Prepare clients under the observer's name `owner`; they connect after `start`."""
         self._operator = operator
         self._owner = owner
 
@@ -38,12 +38,12 @@
         known_version: Callable[[], int],
         on_reports: Callable[[tuple[bytes, ...]], None],
     ) -> None:
-        """Begin to dial.
+        """Create the clients, which connect at once.
 
         Args:
-            on_event: Gets the events of the watched state.
+            on_event: Receives the events of the watched state.
             known_version: Returns the version from which the state is watched.
-            on_reports: Gets proxies' reports while they are subscribed to.
+            on_reports: Receives proxies' reports while subscribed.
         """
         loop = asyncio.get_running_loop()
         role = PeerRole.OBSERVER
@@ -66,14 +66,14 @@
 
 
 class KeeperContact:
-    """When a keeper that hears a leader last sent anything, and what follows from that.
+    """Time since a keeper with a leader last sent anything, and the decisions that depend on it.
 
     Attributes:
         clients: The connections to keepers.
     """
 
     def __init__(self, name: str, clients: KeeperClients, stale_ns: int) -> None:
-        """Count contact older than `stale_ns` as none; `name` is the observer's, for reasons."""
+        """Treat contact older than `stale_ns` as lost; the observer's `name` appears in reasons."""
         self.clients = clients
         self._name = name
         self._stale_ns = stale_ns
@@ -81,25 +81,25 @@
         self._changed_keeper_ns = 0
 
     def record_leader_contact(self, now_ns: int) -> None:
-        """A keeper that hears a leader sent the current state or that nothing is new."""
+        """Record that a keeper with a leader sent the current state, or that it is unchanged."""
         self._leader_contact_ns = now_ns
         self._changed_keeper_ns = now_ns
 
     def age_ms(self) -> int:
-        """Return how old the copy of the state may be; -1: never heard a keeper with a leader."""
+        """Return the maximum age of the copy; -1: no keeper with a leader was reached yet."""
         if not self._leader_contact_ns:
             return -1
         return (time.monotonic_ns() - self._leader_contact_ns) // NS_PER_MS
 
     def unavailable_reason(self) -> str:
-        """Return why nothing can be proposed to keepers; empty where it can."""
+        """Return why keepers cannot take proposals; empty if they can."""
         is_connected = bool(self.clients.state.peer_name and self._leader_contact_ns)
         if is_connected and time.monotonic_ns() - self._leader_contact_ns < self._stale_ns:
             return ""
-        return f"no quorum: {self._name} has heard no keeper with a leader for {self.age_ms()} ms"
+        return f"no quorum: {self._name} has had no contact with a leader for {self.age_ms()} ms"
 
     def change_keeper_if_stale(self, now_ns: int) -> None:
-        """Turn to another keeper where this one hears no leader, or sends nothing."""
+        """Connect to another keeper if this one has no leader or sends nothing."""
         if now_ns - max(self._leader_contact_ns, self._changed_keeper_ns) > self._stale_ns:
             self._changed_keeper_ns = now_ns
-            self.clients.state.disconnect("it hears no leader, or says nothing")
+            self.clients.state.disconnect("the keeper has no leader, or sends nothing")
--- a/mothstall/observer/limits.py
+++ b/mothstall/observer/limits.py
@@ -10,28 +10,28 @@
     """Bounds and intervals of one observer process; tests vary them.
 
     Attributes:
-        max_connections: Proxies and tools at once; further ones are closed.
+        max_connections: Maximum connections of proxies and tools; further ones are closed.
         tick_s: Interval of ticks: expiry of leases and attachments, state updates.
-        max_updates_per_tick: State updates sent without giving other work its time.
-        lease_step_s: Pause between two steps of the observer's own lease and its membership
-            batches.
-        max_change_wait_s: How long an acquisition or a batch may take, where a third of the lease's
-            term is not less: a late one must not hold up a renewal.
-        min_renewal_wait_s: How long a renewal of the own lease may take at least.
-        stale_ns: Without a keeper that hears a leader for this long, another keeper is tried and
-            proposals of proxies are rejected.
-        max_forwarded_proposals: Proposals of proxies on their way to a keeper.
-        max_queued_proposals: Proposals and renewals that wait behind these; further ones are
-            rejected.
-        max_proposal_wait_s: How long a proxy's proposal waits here, where the proxy does not say
-            less.
+        max_updates_per_tick: Maximum state updates sent before other work on the event loop can
+            run.
+        lease_step_s: Pause between steps, each of which acquires or renews the observer's own
+            lease, or writes a membership batch.
+        max_change_wait_s: Timeout of a lease acquisition or a batch, unless a third of the lease
+            term is shorter: a slow one must not delay a renewal.
+        min_renewal_wait_s: Minimum timeout of a renewal of the observer's own lease.
+        stale_ns: Time without a message from a keeper that has a leader, after which another keeper
+            is tried and proposals of proxies are rejected.
+        max_forwarded_proposals: Maximum proposals of proxies in flight to a keeper.
+        max_queued_proposals: Maximum queued proposals and renewals; further ones are rejected.
+        max_proposal_wait_s: Timeout of a proxy's proposal here, unless the proxy sets a shorter
+            one.
         renewal_interval_s: Interval at which the renewals of all proxies are proposed together.
-        max_renewal_wait_s: How long one such proposal may take.
-        report_interval_s: Interval at which subscriptions to reports are reconsidered.
-        max_unsent_report_bytes: Send buffer of a subscriber from which on reports to it are left
-            out.
+        max_renewal_wait_s: Timeout of one such proposal.
+        report_interval_s: Interval at which the subscription to reports is updated.
+        max_unsent_report_bytes: Unsent bytes to a subscriber from which on reports to it are
+            dropped.
         orphan_grace_terms: Lease terms for which proxies of a lost observer count as moving.
-        release_timeout_s: How long an observer that stops waits for its lease to be released.
+        release_timeout_s: Timeout of the release of the lease at shutdown.
     """
 
     max_connections: int = 4608
--- a/mothstall/observer/model.py
+++ b/mothstall/observer/model.py
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ObserverModel:
-    """What an observer knows.
+    """The pure state of an observer.
 
     Attributes:
-        table: Attachments of its proxies, and what the log knows of them.
+        table: Attachments of its proxies, and their membership in the replicated state.
         fanout: The copy of the state, and the version that each proxy has.
         sweeper: Members whose observer is lost.
     """
@@ -28,7 +28,7 @@
     def create(
         cls, name: str, lease_name: str, term_ns: int, orphan_grace_terms: int
     ) -> ObserverModel:
-        """Return the model of an observer that knows nothing yet."""
+        """Return the initial model of an observer."""
         timings = AttachmentTimings.from_lease_term(term_ns)
         return cls(
             AttachmentTable(lease_name, timings),
--- a/mothstall/observer/own_lease.py
+++ b/mothstall/observer/own_lease.py
@@ -21,17 +21,17 @@
 
 NS_PER_S = 1_000_000_000
 RENEWALS_PER_TERM = 3
-RELEASE_WAIT_S = 0.2  # for one attempt; the whole release is bounded by the limits
+RELEASE_WAIT_S = 0.2  # for one attempt; `ObserverLimits.release_timeout_s` bounds the whole release
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseIdentity:
-    """What an observer acquires.
+    """The lease that an observer acquires.
 
     Attributes:
         name: Name of the lease.
         owner: Name of the observer's process.
-        info: Zone and region, for whoever reads the lease.
+        info: Zone and region, stored with the lease.
     """
 
     name: str
@@ -69,17 +69,17 @@
         self._renewed_at_ns = 0
 
     def valid_token(self) -> int:
-        """Return the token under which the observer may act now; 0: it may not."""
+        """Return the token under which the observer may act now; 0: it must not act."""
         return self._holder.valid_token(self._identity.name, time.monotonic_ns())
 
     def drop_expired(self, now_ns: int) -> None:
-        """Notice that the lease ended by the observer's own clock."""
+        """Give up the lease if it has expired by the observer's own clock."""
         for name in self._holder.drop_expired(now_ns):
             self._record_loss(name, "not renewed in time")
         self._model.table.set_lease_token(self._holder.valid_token(self._identity.name, now_ns))
 
     async def run(self) -> None:
-        """Take one step after another until it is cancelled."""
+        """Hold the lease and write batches, until cancelled."""
         while True:
             try:
                 await self._step()
@@ -88,7 +88,7 @@
             await asyncio.sleep(self._limits.lease_step_s)
 
     async def release(self) -> None:
-        """Release the lease where a keeper answers at once, so that the proxies move at once."""
+        """Release the lease if a keeper answers in time, so that the proxies move at once."""
         token = self.valid_token()
         if not token:
             return
@@ -134,7 +134,8 @@
         log.info("lease acquired", extra={"kv": {"lease": identity.name, "token": result.token}})
 
     async def _renew(self, token: int, now_ns: int) -> None:
-        # It may take as long as the term lasts: a renewal that is given up early is proposed again.
+        # The timeout is the rest of the term: a renewal abandoned earlier would only be proposed
+        # again.
         name = self._identity.name
         remaining_s = self._holder.remaining_ns(name, now_ns) / NS_PER_S
         change = RenewLeases(self._identity.owner, ((name, token),))
@@ -143,7 +144,7 @@
         self._renewed_at_ns = now_ns
         if result.lost_leases:
             self._holder.forget(name)
-            self._record_loss(name, "the store says so")
+            self._record_loss(name, "lost at the store")
         elif not result.rejected_reason:
             self._holder.record_renewal([(name, token)], now_ns, time.monotonic_ns())
 
--- a/mothstall/observer/process.py
+++ b/mothstall/observer/process.py
@@ -1,8 +1,8 @@
-"""The observer's process: composes sockets and a clock round the pure parts of `fleet.observers`.
+"""The observer's process: connects the pure parts of `fleet.observers` to sockets and a clock.
 
-An observer is a client of the keepers as an agent is: it watches the state, holds a lease of its
-own, and writes under it who is attached. Proposals of its proxies go through it, bounded; renewals
-go together in one change.
+Like an agent, an observer is a client of the keepers: it watches the state, holds a lease of its
+own, and writes under it which proxies are attached. It forwards a bounded number of its proxies'
+proposals at a time, and combines renewals in one change.
 """
 
 from __future__ import annotations
@@ -62,23 +62,23 @@
 
 
 class Observer:
-    """One observer in service.
+    """A running observer.
 
     Attributes:
         name: The observer's name in the operator file.
-        counts: Counters since the start; their names stand on the operators' pages.
-        stop_requested: Set when the process is to end, by a defect of its own or from outside.
-        fault: The defect that ended it; empty: none.
-        server: Its connections with proxies and tools.
+        counts: Counters since the start; their names are documented for operators.
+        stop_requested: Set when the process has to stop, after an internal fault or on request.
+        fault: The internal fault that stopped it; empty: none.
+        server: Its connections to proxies and tools.
         contact: Its connections to keepers.
-        model: What it knows.
+        model: Its pure state.
         proxies: The proxies that are attached.
     """
 
     def __init__(
         self, operator: OperatorConfig, name: str, *, limits: ObserverLimits | None = None
     ) -> None:
-        """Compose an observer; nothing is bound or dialled before `start`.
+        """Create an observer; it neither listens nor connects before `start`.
 
         Args:
             operator: The operator file's content.
@@ -120,7 +120,7 @@
         return self.server.port
 
     async def start(self) -> None:
-        """Listen, dial keepers and begin to work.
+        """Start listening, connect to keepers, and start the tasks.
 
         Raises:
             OSError: The address cannot be bound.
@@ -138,7 +138,7 @@
         log.info("listening", extra={"kv": {"name": self.name, "port": self.port}})
 
     async def stop(self) -> None:
-        """Release the lease, where a keeper answers at once, and end: the proxies move."""
+        """Release the lease if a keeper answers in time, and close all connections."""
         self.server.stop_listening()
         await self._tasks.cancel_all()
         await self._lease.release()
@@ -146,20 +146,20 @@
         await self.contact.clients.close()
 
     def status(self) -> dict[str, Any]:
-        """Return what an operator is to know of this observer."""
+        """Return the status of this observer for operators."""
         return self._status.status()
 
     def message_received(self, connection: FrameConnection, payload: bytes) -> None:
         """Handle one payload of a proxy or tool.
 
         Raises:
-            ValueError: The payload cannot be read or must not be sent.
+            ValueError: The payload cannot be decoded, or must not be sent by this peer.
         """
         message = msgspec.msgpack.decode(payload, type=ProxyMessage)
         self._handler.handle(connection, message)
 
     def client_disconnected(self, connection: FrameConnection) -> None:
-        """A proxy's connection is closed: it has a while to come back or move."""
+        """Start the grace period in which a disconnected proxy may reconnect or move."""
         self.proxies.on_disconnected(connection)
 
     async def _tick_forever(self) -> None:
@@ -168,7 +168,7 @@
             await asyncio.sleep(self._tick_s)
 
     def _tick(self, now_ns: int) -> None:
-        """Linear in ended attachments, orphaned members and proxies that lack something."""
+        """Do periodic work; linear in ended attachments, orphans and proxies that are behind."""
         model = self.model
         self._lease.drop_expired(now_ns)
         self.proxies.drop_silent(now_ns)
@@ -194,7 +194,7 @@
 
 
 def _lease_identity(config: ObserverConfig) -> LeaseIdentity:
-    """Return the lease of an observer, for a process that differs from earlier ones of its name."""
+    """Return an observer's lease; the owner name differs from that of earlier processes."""
     owner = f"{config.name}#{secrets.token_hex(3)}"
     info = {"zone": config.zone, "region": config.region}
     return LeaseIdentity(OBSERVER_LEASE_PREFIX + config.name, owner, info)
--- a/mothstall/observer/proposal_forwarder.py
+++ b/mothstall/observer/proposal_forwarder.py
@@ -1,4 +1,4 @@
-"""Proposals of proxies, forwarded to the keepers as they are."""
+"""Forwards proposals of proxies unchanged to the keepers."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 class ProposalForwarder:
-    """Forwards a bounded number of proposals at a time; what its proxy gave up is dropped.
+    """Forwards a bounded number of proposals at a time; drops those that their proxy abandoned.
 
     Attributes:
         limits: Bounds; tests vary them.
         renewals: Renewals, which are proposed together.
         queued: Proposals that wait to be forwarded.
-        in_flight: Number of proposals on their way to a keeper.
+        in_flight: Number of proposals in flight to a keeper.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._loop = asyncio.get_running_loop()
 
     def submit(self, proxy: AttachedProxy, request: ProposeRequest) -> None:
-        """Take a proposal, or the same one again, which is still wanted then."""
+        """Accept a proposal; if the proxy has resent one, only update its deadline."""
         max_wait_s = self.limits.max_proposal_wait_s
         deadline_s = self._loop.time() + min(request.wait_ms / 1000 or max_wait_s, max_wait_s)
         if request.request_id in proxy.pending:
@@ -85,18 +85,18 @@
             self.forward_queued()
 
     def cancel_request(self, proxy: AttachedProxy, request_id: int) -> None:
-        """A proxy waits no longer for one of its proposals."""
+        """Cancel a proposal that its proxy no longer waits for."""
         pending = proxy.pending.get(request_id)
         if pending is not None:
             self._cancel(pending)
 
     def cancel_all(self, proxy: AttachedProxy) -> None:
-        """A proxy is gone."""
+        """Cancel all proposals of a proxy that is gone."""
         for pending in list(proxy.pending.values()):
             self._cancel(pending)
 
     def forward_queued(self) -> None:
-        """Forward what is queued, as far as the bound goes."""
+        """Forward queued proposals up to the limit of proposals in flight."""
         while self.queued and self.in_flight < self.limits.max_forwarded_proposals:
             pending = self.queued.popleft()
             if not self._is_awaited(pending):
@@ -110,13 +110,13 @@
         if reason:
             return reason
         if _changes_observers(change):
-            return "a proxy answers for no observer"
+            return "a proxy may not change leases or members of observers"
         if len(self.queued) + len(self.renewals) >= self.limits.max_queued_proposals:
             return "too many callers wait at the observer"
         return ""
 
     def _is_awaited(self, pending: PendingProposal) -> bool:
-        """Guards against work that nobody waits for: the proxy is gone, or has given it up."""
+        """Guards against work that nobody waits for: the proxy is gone or no longer waits."""
         if pending.is_awaited(self._loop.time()):
             return True
         if not pending.is_cancelled:
@@ -124,7 +124,7 @@
         return False
 
     def _cancel(self, pending: PendingProposal) -> None:
-        """Drop it when its place in the queue comes up, or cancel it at the keeper that has it."""
+        """Mark a queued proposal to be dropped, or cancel one that is in flight to a keeper."""
         pending.is_cancelled = True
         pending.proxy.pending.pop(pending.request.request_id, None)
         self._counts["asks_dropped"] += 1
@@ -147,7 +147,7 @@
 
 
 def _changes_observers(change: Change) -> bool:
-    """Guards against a proxy that changes an observer's lease, and so who is a member."""
+    """Guards against a proxy that changes an observer's lease, and thereby its members."""
     if isinstance(change, RenewLeases):
         return any(name.startswith(OBSERVER_LEASE_PREFIX) for name, _ in change.leases)
     if isinstance(change, AcquireLease | ReleaseLease | RevokeLease):
--- a/mothstall/observer/proxy_handler.py
+++ b/mothstall/observer/proxy_handler.py
@@ -1,4 +1,4 @@
-"""What proxies and operators' tools send to an observer."""
+"""Handles messages that proxies and operators' tools send to an observer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ProxyHandler:
-    """Dispatches messages: whoever is not attached may attach or read the status alone."""
+    """Dispatches messages; a peer that is not attached may only attach or read the status."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         model: ObserverModel,
         status: Callable[[], dict[str, Any]],
     ) -> None:
-        """Dispatch to these; `status` returns what operators are to know of the observer."""
+        """Dispatch to these; `status` returns the observer's status for operators."""
         self._proxies = proxies
         self._table = model.table
         self._fanout = model.fanout
@@ -36,7 +36,7 @@
         """Handle one message.
 
         Raises:
-            ValueError: The message must not be sent by this peer, or not now.
+            ValueError: This peer must not send the message, or not in its current state.
         """
         if isinstance(message, keeper_messages.AdminCommand):
             self._execute(connection, message)
@@ -46,9 +46,9 @@
             return
         proxy: AttachedProxy | None = connection.owner_state
         if proxy is None:
-            raise UnexpectedMessageError("it asks before it is attached")
+            raise UnexpectedMessageError("message received before the peer attached")
         if self._proxies.get(proxy.name) is not proxy:
-            connection.close("it is not attached here any more")
+            connection.close("the proxy is no longer attached here")
             return
         self._handle_attached(proxy, message)
 
@@ -75,7 +75,9 @@
     def _record_heartbeat(self, proxy: AttachedProxy, message: observer_messages.Heartbeat) -> None:
         now_ns = time.monotonic_ns()
         if not self._table.record_heartbeat(proxy.name, proxy.owner, message.epoch, now_ns):
-            rejection = observer_messages.AttachRejected(message.epoch, "it is not known here")
+            rejection = observer_messages.AttachRejected(
+                message.epoch, "the proxy is not attached here"
+            )
             send_message(proxy.connection, rejection)
 
     def _execute(self, connection: FrameConnection, command: keeper_messages.AdminCommand) -> None:
--- a/mothstall/observer/renewal_batcher.py
+++ b/mothstall/observer/renewal_batcher.py
@@ -1,7 +1,7 @@
 """Renewals of leases of all proxies, proposed together.
 
-The state checks a lease's name and token alone, whoever proposes its renewal, so that one change
-renews for many proxies.
+The replicated state checks only the name and the token of a renewed lease, not who proposes the
+renewal, so that one change can renew leases of many proxies.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class RenewalBatcher:
-    """Queues renewals in the order in which they came and proposes as many as one change holds."""
+    """Queues renewals in order of arrival and proposes as many as fit into one change."""
 
     def __init__(
         self, owner: str, clients: KeeperClients, limits: ObserverLimits, counts: dict[str, int]
@@ -49,14 +49,14 @@
         self._queue.append(QueuedRenewal(pending, change))
 
     async def run(self) -> None:
-        """Propose what is queued, interval after interval, until it is cancelled."""
+        """Propose the queued renewals at each interval, until cancelled."""
         while True:
             await asyncio.sleep(self._limits.renewal_interval_s)
             while batch := self._take_batch():
                 await self._propose(batch)
 
     def _take_batch(self) -> list[QueuedRenewal]:
-        """Take as many as one change holds; those that nobody waits for any more are dropped."""
+        """Take as many renewals as fit into one change; drop those that no proxy waits for."""
         now_s = asyncio.get_running_loop().time()
         batch: list[QueuedRenewal] = []
         lease_count = 0
@@ -77,7 +77,7 @@
         leases = tuple(lease for renewal in batch for lease in renewal.change.leases)
         self._counts["renewals"] += 1
         self._counts["renewed"] += len(leases)
-        # Proxies count their terms from before they sent the renewal: one that takes longer renews
+        # Proxies count a renewed term from before they sent the renewal: a slow renewal extends it
         # less.
         wait_s = self._limits.max_renewal_wait_s
         try:
@@ -101,5 +101,5 @@
 
 
 def unavailable_result(error: KeeperUnavailableError) -> ChangeResult:
-    """Return the answer to a proposal that no keeper took."""
+    """Return the result of a proposal for which no keeper was available."""
     return ChangeResult(rejected_reason=f"no quorum: {error}"[:MAX_REASON_LENGTH])
--- a/mothstall/observer/report_relay.py
+++ b/mothstall/observer/report_relay.py
@@ -1,4 +1,4 @@
-"""Reports of an observer's proxies, added up for keepers, and reports to its subscribers."""
+"""Aggregates reports of an observer's proxies for keepers, and relays reports to subscribers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ReportRelay:
-    """Publishes one report for each zone as often as each proxy reports.
+    """Publishes one aggregate for each zone at the interval at which a proxy reports.
 
     Attributes:
-        subscribers: The proxies here that get the reports of all zones.
+        subscribers: The attached proxies that receive the reports of all zones.
     """
 
     def __init__(
@@ -35,17 +35,17 @@
         self._counts = counts
 
     def add(self, proxy: str, report: bytes) -> None:
-        """Take a proxy's report; one that cannot be read, or is too many, is left out."""
+        """Add a proxy's report; an invalid or surplus one is dropped and counted."""
         is_taken = self._aggregator.add(proxy, report)
         self._counts["reports" if is_taken else "reports_left_out"] += 1
 
     def on_reports(self, reports: tuple[bytes, ...]) -> None:
-        """Send reports that a keeper passed on to the subscribers here."""
+        """Send reports from a keeper to the subscribers."""
         skipped = self.subscribers.send(reports)
         self._counts["reports_left_out"] += skipped * len(reports)
 
     async def run(self) -> None:
-        """Subscribe to reports while a proxy here does, and publish sums, until cancelled."""
+        """Publish aggregates, and subscribe to reports while any proxy does, until cancelled."""
         loop = asyncio.get_running_loop()
         due_s = loop.time()
         while True:
--- a/mothstall/observer/run.py
+++ b/mothstall/observer/run.py
@@ -1,4 +1,4 @@
-"""`mothstall observer`: one observer in the foreground, until a signal or a defect ends it."""
+"""`mothstall observer`: one observer in the foreground, until a signal or a fault stops it."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     """Run the observer of this name in the foreground.
 
     Raises:
-        OSError: It cannot start, or ended by a defect of its own.
+        OSError: The observer cannot start, or stopped because of an internal fault.
         OperatorError: The operator file names no such observer.
     """
     observer = Observer(operator, name)
     await run_until_stopped(observer, log)
     if observer.fault:
-        raise ProcessFaultError(f"observer {name} ended by a fault of its own: {observer.fault}")
+        raise ProcessFaultError(f"observer {name} stopped by an internal fault: {observer.fault}")
--- a/mothstall/observer/state_updates.py
+++ b/mothstall/observer/state_updates.py
@@ -1,4 +1,4 @@
-"""The copy of the state: watch events in, updates to attached proxies out."""
+"""Applies watch events to the copy of the state, and sends updates to attached proxies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StateUpdates:
-    """Applies what keepers send to the copy and sends proxies what is new to them."""
+    """Applies keepers' events to the copy, and sends each proxy the changes that it lacks."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._counts = counts
 
     def on_watch_event(self, event: WatchEvent) -> None:
-        """Apply an event; the complete state is requested where it does not fit the copy."""
+        """Apply an event; request the complete state if it does not follow the copy's version."""
         now_ns = time.monotonic_ns()
         changes = self._model.fanout.apply(event.delta)
         if changes is None:
@@ -47,7 +47,7 @@
         self._proxies.reject_moved(self._model.table.apply_changes(changes.members))
 
     def send_due(self, now_ns: int) -> None:
-        """Send updates; linear in proxies that lack something, what many lack is encoded once."""
+        """Send due updates; linear in the proxies that are behind, equal ones are encoded once."""
         age_ms = self._contact.age_ms()
 
         def encode(delta: StateDelta) -> bytes:
--- a/mothstall/observer/status.py
+++ b/mothstall/observer/status.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReporter:
-    """What an observer tells operators about itself; the keys stand on the operators' pages."""
+    """Makes the status of an observer; its keys are documented for operators."""
 
     config: ObserverConfig
     server: FrameServer
@@ -25,7 +25,7 @@
     proxies: AttachedProxies
 
     def status(self) -> dict[str, Any]:
-        """Return what an operator is to know of this observer."""
+        """Return the status, which is sent as JSON."""
         attachments = self.model.table.attachments.values()
         return {
             "name": self.config.name,
--- a/mothstall/observer/tasks.py
+++ b/mothstall/observer/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of an observer, some of which it must not go on without."""
+"""The tasks of an observer; it must not continue without the essential ones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ObserverTasks(TaskSupervisor):
-    """Runs an observer's tasks, and notices the end of an essential one."""
+    """Runs an observer's tasks, and reports the end of an essential one."""
 
     log = logging.getLogger("mothstall.observer")
     failure_event = "observer task failed"
@@ -24,18 +24,18 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the process is ending, so that nothing new is to be begun."""
+        """Whether the process is stopping, so that no new work may start."""
         return self._is_stopping
 
     def spawn_essential(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine without which the process must not go on.
+        """Run a coroutine whose end stops the process.
 
-        Guards against an observer that holds its lease and does only a part of its work: it ends.
+        Guards against an observer that keeps its lease but does only a part of its work.
         """
         self.spawn(work).add_done_callback(self._on_essential_done)
 
     def cancel(self) -> None:
-        """Cancel all tasks; nothing essential counts as failed any more."""
+        """Cancel all tasks; the end of an essential task is no longer reported."""
         self._is_stopping = True
         super().cancel()
 
--- a/tests/fleet/agent/test_snapshot_tracker.py
+++ b/tests/fleet/agent/test_snapshot_tracker.py
@@ -96,7 +96,7 @@
     fixture.clock.now_ns += 1
     fixture.tracker.on_watch_event(event)
     fixture.tracker.on_watch_event(event)
-    assert fixture.client.disconnect_reasons == ["it hears no leader"]
+    assert fixture.client.disconnect_reasons == ["the keeper has no leader"]
 
 
 def test_delta_that_does_not_follow_the_snapshot_requests_a_resync(fixture: Fixture) -> None:
