--- a/mothstall/fleet/agent/agent.py
+++ b/mothstall/fleet/agent/agent.py
@@ -114,7 +114,7 @@
         self.counters = AgentCounters()
         self._on_change = on_change
         self._may_probe = may_probe and operator.probing.is_enabled
-        self._compose()
+        self._create_components()
         self.failover_participant: FailoverParticipant | None = None
         if proxy_traffic is not None and operator.failover.is_enabled:
             controller = FailoverController(
@@ -124,7 +124,7 @@
                 controller, name, self.leases, self.snapshots
             )
 
-    def _compose(self) -> None:
+    def _create_components(self) -> None:
         """Create the components in the order of their dependencies."""
         self.tasks = TaskSupervisor(self.loop)
         self.snapshots = SnapshotTracker(self.counters, self._on_snapshot)
--- a/mothstall/fleet/agent/failover_participant.py
+++ b/mothstall/fleet/agent/failover_participant.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("mothstall.fleet")
 
-STEER_INTERVAL_S = (
+WEIGHT_CHECK_INTERVAL_S = (
     0.05  # between checks for due routing weights; half of the controller's own interval
 )
 
@@ -57,7 +57,7 @@
             report = self.controller.take_report(now_ms)
             if report:
                 client.publish_report(report)
-            await asyncio.sleep(STEER_INTERVAL_S)
+            await asyncio.sleep(WEIGHT_CHECK_INTERVAL_S)
 
     async def reconcile(self, client: StoreClient, live_proxies: Collection[str]) -> None:
         """Write the plan while this proxy holds the failover lease.
--- a/mothstall/fleet/agent/health_hints.py
+++ b/mothstall/fleet/agent/health_hints.py
@@ -57,7 +57,7 @@
         A hint counts only while its writer still holds the lease to probe the backend.
         """
         snapshot = self._snapshots.current
-        fresh: list[str] = []
+        unhealthy: list[str] = []
         tokens: dict[str, int] = {}
         for key, value in snapshot.values.items():
             lease = snapshot.leases.get(value.lease)
@@ -72,6 +72,6 @@
                 continue
             tokens[key] = value.token
             if self._reported_tokens.get(key) != value.token:
-                fresh.append(key.removeprefix(HEALTH_HINT_PREFIX))
+                unhealthy.append(key.removeprefix(HEALTH_HINT_PREFIX))
         self._reported_tokens = tokens
-        return fresh
+        return unhealthy
--- a/mothstall/fleet/agent/local_request_listener.py
+++ b/mothstall/fleet/agent/local_request_listener.py
@@ -85,13 +85,13 @@
 
     async def _respond(self, link: FrameConnection, request: LocalDrainRequest) -> None:
         self._counters.admin_requests += 1
-        outcome = await self._carry_out(request)
+        outcome = await self._execute_request(request)
         if outcome.rejected_reason:
             self._counters.admin_requests_rejected += 1
         response = AdminResponse(request.request_id, outcome.rejected_reason, outcome.text.encode())
         link.send(msgspec.msgpack.encode(response))
 
-    async def _carry_out(self, request: LocalDrainRequest) -> LocalDrainOutcome:
+    async def _execute_request(self, request: LocalDrainRequest) -> LocalDrainOutcome:
         if request.lease:
             rejected_reason = self._state.fencing_tokens.admit(request.lease, request.token)
             if not rejected_reason:
--- a/mothstall/fleet/agent/peer_connection.py
+++ b/mothstall/fleet/agent/peer_connection.py
@@ -92,7 +92,7 @@
             self.link.close("no greeting in time")
         return is_established
 
-    def end(self, reason: str) -> None:
+    def close(self, reason: str) -> None:
         """Close the current connection, if there is one."""
         if self.link:
             self.link.close(reason)
@@ -104,12 +104,12 @@
             self._name,
             self._role,
             is_dialer=True,
-            on_connected=self._on_greeted,
+            on_connected=self._on_handshake_done,
             on_payload=self._on_payload,
             on_closed=self._on_lost,
         )
 
-    def _on_greeted(self, link: FrameConnection) -> None:
+    def _on_handshake_done(self, link: FrameConnection) -> None:
         if not self._handlers.accepts_peer(link):
             return
         self.link = link
--- a/mothstall/fleet/agent/snapshot_tracker.py
+++ b/mothstall/fleet/agent/snapshot_tracker.py
@@ -49,7 +49,7 @@
     Attributes:
         current: The latest snapshot.
         client: The client that the state comes from; None before the agent's start.
-        heard_leader_at_ns: When a keeper that has a leader last sent anything; 0: never.
+        leader_contact_at_ns: When a keeper that has a leader last sent anything; 0: never.
     """
 
     def __init__(
@@ -57,22 +57,22 @@
     ) -> None:
         self.current = ClusterSnapshot()
         self.client: StoreClient | None = None
-        self.heard_leader_at_ns = 0
+        self.leader_contact_at_ns = 0
         self._leaderless_since_ns = 0
         self._counters = counters
         self._on_change = on_change
 
     def age_ms(self) -> int:
         """Return the maximum age of the snapshot; -1: no keeper with a leader was reached yet."""
-        if not self.heard_leader_at_ns:
+        if not self.leader_contact_at_ns:
             return -1
-        return (time.monotonic_ns() - self.heard_leader_at_ns) // NS_PER_MS
+        return (time.monotonic_ns() - self.leader_contact_at_ns) // NS_PER_MS
 
     def on_watch_event(self, event: WatchEvent) -> None:
         """Apply a watch event; disconnect from a keeper that has had no leader for too long."""
         now_ns = time.monotonic_ns()
         if event.has_leader:
-            self.heard_leader_at_ns = now_ns
+            self.leader_contact_at_ns = now_ns
             self._leaderless_since_ns = now_ns
         elif self.client and now_ns - self._leaderless_since_ns > MAX_LEADERLESS_NS:
             self._leaderless_since_ns = now_ns
@@ -82,19 +82,19 @@
     def on_state_update(self, delta: StateDelta, age_ms: int) -> None:
         """Apply an observer's update; `age_ms` is the age of its state, -1: unknown."""
         if age_ms >= 0:
-            heard_at_ns = time.monotonic_ns() - age_ms * NS_PER_MS
-            self.heard_leader_at_ns = max(self.heard_leader_at_ns, heard_at_ns)
+            contact_at_ns = time.monotonic_ns() - age_ms * NS_PER_MS
+            self.leader_contact_at_ns = max(self.leader_contact_at_ns, contact_at_ns)
         self._apply(delta)
 
     def _apply(self, delta: StateDelta) -> None:
         previous = self.current
-        fresh = previous.apply(delta)
-        if fresh is None:
+        updated = previous.apply(delta)
+        if updated is None:
             if self.client:
                 self.client.request_resync()
             return
-        if fresh is previous:
+        if updated is previous:
             return
-        self.current = fresh
+        self.current = updated
         self._counters.snapshots += 1
-        self._on_change(SnapshotChange(previous, fresh, delta, time.monotonic_ns()))
+        self._on_change(SnapshotChange(previous, updated, delta, time.monotonic_ns()))
--- a/mothstall/fleet/agent/store_client.py
+++ b/mothstall/fleet/agent/store_client.py
@@ -162,7 +162,7 @@
 
     def disconnect(self, reason: str) -> None:
         """Close the current connection, so that the client connects to another peer."""
-        self._connection.end(reason)
+        self._connection.close(reason)
 
     async def close(self) -> None:
         """Stop the client and close its connection."""
@@ -171,7 +171,7 @@
         for task in self._tasks:
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-        self._connection.end("ending")
+        self._connection.close("ending")
 
     @abstractmethod
     def request_resync(self) -> None:
@@ -272,7 +272,7 @@
                 )
             except TimeoutError:
                 if self.loop.time() < deadline_s:
-                    self._leave_silent_peer()
+                    self._disconnect_silent_peer()
                 continue
             except OSError:
                 await self._pause(backoff.initial_s * self._rng.random(), remaining_s)
@@ -292,7 +292,7 @@
         is_bounded = self._config.bounds_retry_by_deadline
         await asyncio.sleep(min(remaining_s, pause_s) if is_bounded else pause_s)
 
-    def _leave_silent_peer(self) -> None:
+    def _disconnect_silent_peer(self) -> None:
         if self._connection.link:
             self._last_faults[self.peer_name] = NO_ANSWER
             self.disconnect(NO_ANSWER)
--- a/mothstall/fleet/observers/attachment.py
+++ b/mothstall/fleet/observers/attachment.py
@@ -16,7 +16,7 @@
         owner: Name of the proxy's process, which differs after a restart.
         epoch: Number of this attachment of the process; each attachment is to one observer.
         zone: The proxy's zone.
-        last_heard_ns: When the proxy last sent a heartbeat.
+        last_heartbeat_ns: When the proxy last sent a heartbeat.
         is_connected: Whether its connection is open.
         lease_token: Token of the observer's lease under which the proxy is a member; 0: it is not.
         rejected_joins: Consecutive joins that were rejected, up to a bound.
@@ -26,7 +26,7 @@
     owner: str
     epoch: int
     zone: str
-    last_heard_ns: int
+    last_heartbeat_ns: int
     is_connected: bool = True
     lease_token: int = 0
     rejected_joins: int = 0
--- a/mothstall/fleet/observers/attachment_table.py
+++ b/mothstall/fleet/observers/attachment_table.py
@@ -50,8 +50,8 @@
         self.max_attachments = max_attachments
         self.fenced = fenced
         self.lease_token = NO_TOKEN  # of this observer's lease, while it is valid
-        # Ordered by `last_heard_ns`, so that a check stops at the first proxy that has not timed
-        # out.
+        # Ordered by `last_heartbeat_ns`, so that a check stops at the first proxy that has
+        # not timed out.
         self.attachments: OrderedDict[str, Attachment] = OrderedDict()
         self._own_members: dict[str, Member] = {}  # rows of the state under this observer's lease
         self._requests = MembershipRequests(lease_name, batch_size, 2 * max_attachments)
@@ -90,31 +90,33 @@
 
     def attach(self, name: str, owner: str, epoch: int, zone: str, now_ns: int) -> str:
         """Attach a proxy; return why it is rejected, empty if it is not."""
-        known = self.attachments.get(name)
-        reason = self._attach_rejection(known, name, owner, epoch)
+        existing = self.attachments.get(name)
+        reason = self._attach_rejection(existing, name, owner, epoch)
         if reason:
             return reason
         token = NO_TOKEN
-        if known is not None and known.owner != owner:
-            self._request_leave_of(known)
-        elif known is not None and known.epoch == epoch:
-            token = known.lease_token
+        if existing is not None and existing.owner != owner:
+            self._request_leave_of(existing)
+        elif existing is not None and existing.epoch == epoch:
+            token = existing.lease_token
         self.attachments[name] = Attachment(name, owner, epoch, zone, now_ns, lease_token=token)
         self.attachments.move_to_end(name)
         if not token or token != self.lease_token:
             self._requests.add_joins([name])
         return ""
 
-    def _attach_rejection(self, known: Attachment | None, name: str, owner: str, epoch: int) -> str:
-        if known is None:
+    def _attach_rejection(
+        self, existing: Attachment | None, name: str, owner: str, epoch: int
+    ) -> str:
+        if existing is None:
             if len(self.attachments) < self.max_attachments:
                 return ""
             self.counts["turned_away"] += 1
             return f"{self.max_attachments} proxies are attached already"
-        if known.owner == owner and epoch < known.epoch:
-            return f"epoch {epoch} is over, {name} is attached with epoch {known.epoch}"
-        if known.owner != owner and known.is_connected:
-            return f"{name} is owned by {known.owner}, which is connected"
+        if existing.owner == owner and epoch < existing.epoch:
+            return f"epoch {epoch} is over, {name} is attached with epoch {existing.epoch}"
+        if existing.owner != owner and existing.is_connected:
+            return f"{name} is owned by {existing.owner}, which is connected"
         return ""
 
     def record_heartbeat(self, name: str, owner: str, epoch: int, now_ns: int) -> bool:
@@ -122,7 +124,7 @@
         attachment = self._find(name, owner, epoch)
         if attachment is None:
             return False
-        attachment.last_heard_ns = now_ns
+        attachment.last_heartbeat_ns = now_ns
         self.attachments.move_to_end(name)
         return True
 
@@ -130,7 +132,7 @@
         """Remove a proxy that shuts down."""
         attachment = self._find(name, owner, epoch)
         if attachment is not None:
-            self._depart(attachment)
+            self._remove(attachment)
 
     def disconnected(self, name: str, owner: str, epoch: int, now_ns: int) -> None:
         """Record a lost connection: the proxy has a grace period to reconnect or to move."""
@@ -143,13 +145,13 @@
         """Remove proxies that are gone, and queue due joins again; return the removed names."""
         gone: list[str] = []
         if self._departures.tick(now_ns):
-            for attachment in list(self._departures.silent(self.attachments.values(), now_ns)):
+            for attachment in list(self._departures.timed_out(self.attachments.values(), now_ns)):
                 gone.append(attachment.name)
-                self._depart(attachment)
+                self._remove(attachment)
             for attachment in self._departures.pop_expired_disconnections(now_ns):
                 if self.attachments.get(attachment.name) is attachment:
                     gone.append(attachment.name)
-                    self._depart(attachment)
+                    self._remove(attachment)
         for name in self._requests.pop_due_joins(now_ns):
             is_member = self.is_authoritative_for(name, self.lease_token)
             if name in self.attachments and not is_member:
@@ -162,7 +164,7 @@
             return None
         return attachment
 
-    def _depart(self, attachment: Attachment) -> None:
+    def _remove(self, attachment: Attachment) -> None:
         del self.attachments[attachment.name]
         self._requests.discard_join(attachment.name)
         self.counts["departed"] += 1
--- a/mothstall/fleet/observers/departures.py
+++ b/mothstall/fleet/observers/departures.py
@@ -11,7 +11,7 @@
 
 
 class _Disconnection(NamedTuple):
-    gone_at_ns: int
+    expires_at_ns: int
     attachment: Attachment
 
 
@@ -31,8 +31,8 @@
 
     def record_disconnection(self, attachment: Attachment, now_ns: int) -> None:
         """Start the grace period of a proxy whose connection was lost."""
-        gone_at_ns = now_ns + self._timings.disconnect_grace_ns
-        self._disconnections.append(_Disconnection(gone_at_ns, attachment))
+        expires_at_ns = now_ns + self._timings.disconnect_grace_ns
+        self._disconnections.append(_Disconnection(expires_at_ns, attachment))
 
     def tick(self, now_ns: int) -> bool:
         """Return whether proxies may be declared gone; called periodically."""
@@ -41,14 +41,16 @@
         self._last_tick_ns = now_ns
         return now_ns >= self._suspended_until_ns
 
-    def silent(self, by_last_heard: Iterable[Attachment], now_ns: int) -> Iterator[Attachment]:
-        """Return the proxies that timed out, from an iterable ordered by `last_heard_ns`."""
-        for attachment in by_last_heard:
-            if now_ns - attachment.last_heard_ns < self._timings.proxy_timeout_ns:
+    def timed_out(
+        self, by_last_heartbeat: Iterable[Attachment], now_ns: int
+    ) -> Iterator[Attachment]:
+        """Return the proxies that timed out, from an iterable ordered by `last_heartbeat_ns`."""
+        for attachment in by_last_heartbeat:
+            if now_ns - attachment.last_heartbeat_ns < self._timings.proxy_timeout_ns:
                 return
             yield attachment
 
     def pop_expired_disconnections(self, now_ns: int) -> Iterator[Attachment]:
         """Remove and return attachments whose grace period is over; they may be outdated."""
-        while self._disconnections and self._disconnections[0].gone_at_ns <= now_ns:
+        while self._disconnections and self._disconnections[0].expires_at_ns <= now_ns:
             yield self._disconnections.popleft().attachment
--- a/mothstall/fleet/observers/observer_selector.py
+++ b/mothstall/fleet/observers/observer_selector.py
@@ -58,7 +58,7 @@
         epoch: Counts this proxy's attachments.
         current: The observer that was chosen; empty: none.
         attached_since_ns: When the current observer was chosen, or connected.
-        last_heard_ns: When the current observer last sent an update, or was chosen or connected.
+        last_received_ns: When the current observer last sent an update, or was chosen or connected.
         is_connected: Whether the connection is established.
         connect_not_before_ns: Earliest time of the next connection.
         stale_departures: Consecutive observers that were left because their state was stale.
@@ -78,7 +78,7 @@
     epoch: int = 0
     current: str = ""
     attached_since_ns: int = 0
-    last_heard_ns: int = 0
+    last_received_ns: int = 0
     is_connected: bool = False
     connect_not_before_ns: int = 0
     stale_departures: int = 0
@@ -102,7 +102,7 @@
         best = min(self.endpoints, key=lambda endpoint: max(endpoint.retry_not_before_ns, now_ns))
         self.current = best.name
         self.attached_since_ns = now_ns
-        self.last_heard_ns = now_ns
+        self.last_received_ns = now_ns
         earliest_ns = max(best.retry_not_before_ns, self.connect_not_before_ns)
         return best.name, max(0, earliest_ns - now_ns)
 
@@ -111,14 +111,14 @@
         self.epoch += 1
         self.is_connected = True
         self.attached_since_ns = now_ns
-        self.last_heard_ns = now_ns
+        self.last_received_ns = now_ns
         delay_ns = int(self.home_return_delay_ns * (1.0 + 0.5 * self.rng.random()))
         self.home_return_not_before_ns = now_ns + delay_ns
         return self.epoch
 
     def record_update(self, staleness_ns: int, now_ns: int) -> None:
         """Record an update whose state has the given age."""
-        self.last_heard_ns = now_ns
+        self.last_received_ns = now_ns
         self.is_fresh = staleness_ns < self.max_staleness_ns
         if not self.is_fresh:
             return
@@ -130,7 +130,7 @@
 
     def reason_to_leave(self, staleness_ns: int, now_ns: int) -> LeaveReason | None:
         """Return why the proxy should choose another observer; None: it stays."""
-        if now_ns - self.last_heard_ns > self.observer_timeout_ns:
+        if now_ns - self.last_received_ns > self.observer_timeout_ns:
             return LeaveReason.SILENT
         if self._is_too_stale(staleness_ns, now_ns):
             return LeaveReason.STALE
@@ -142,19 +142,17 @@
         if self.is_half_open and staleness_ns > self.max_staleness_ns:
             # Guards against a proxy that stays here until its previous observer declares it gone.
             return True
-        patience_ns = self.max_staleness_ns << min(self.stale_departures, MAX_STALENESS_DOUBLINGS)
+        limit_ns = self.max_staleness_ns << min(self.stale_departures, MAX_STALENESS_DOUBLINGS)
         attached_for_ns = now_ns - self.attached_since_ns
-        return (
-            staleness_ns > patience_ns and attached_for_ns > patience_ns and len(self.endpoints) > 1
-        )
+        return staleness_ns > limit_ns and attached_for_ns > limit_ns and len(self.endpoints) > 1
 
     def _may_return_home(self, now_ns: int) -> bool:
         if now_ns <= self.home_return_not_before_ns:
             return False
-        is_away = any(
+        is_in_other_zone = any(
             endpoint.name == self.current and not endpoint.is_home for endpoint in self.endpoints
         )
-        return is_away and any(
+        return is_in_other_zone and any(
             endpoint.is_home and endpoint.retry_not_before_ns <= now_ns
             for endpoint in self.endpoints
         )
--- a/mothstall/fleet/observers/state_copy.py
+++ b/mothstall/fleet/observers/state_copy.py
@@ -76,7 +76,7 @@
             else:
                 table[key] = row
             changes[key] = RowChange(before, row)
-            for zone in {_zone_of(one) for one in (before, row) if one is not None}:
+            for zone in {_zone_of(side) for side in (before, row) if side is not None}:
                 record((self.version, section, key, zone))
         return changes
 
--- a/mothstall/fleet/observers/subscription_fanout.py
+++ b/mothstall/fleet/observers/subscription_fanout.py
@@ -168,7 +168,7 @@
         """
         encodings: dict[tuple[Subscription, int], _SharedEncoding] = {}
         sent = 0
-        for name, subscriber, is_behind in self._receptive_subscribers(now_ns, unsent_bytes):
+        for name, subscriber, is_behind in self._ready_subscribers(now_ns, unsent_bytes):
             if sent >= limit:
                 return
             since_version = subscriber.version if is_behind else self.version
@@ -188,7 +188,7 @@
             sent += 1
             yield EncodedUpdate(name, encoding.data)
 
-    def _receptive_subscribers(
+    def _ready_subscribers(
         self, now_ns: int, unsent_bytes: Callable[[str], int]
     ) -> Iterator[tuple[str, Subscriber, bool]]:
         """Subscribers that are behind or due a heartbeat, and have no unsent bytes.
--- a/mothstall/lab/scale/hollow.py
+++ b/mothstall/lab/scale/hollow.py
@@ -154,7 +154,7 @@
 
     def hears_since(self, at_ns: int) -> bool:
         return bool(
-            self.client and self.client.peer_name and self.snapshots.heard_leader_at_ns > at_ns
+            self.client and self.client.peer_name and self.snapshots.leader_contact_at_ns > at_ns
         )
 
 
--- a/mothstall/observer/attached_proxies.py
+++ b/mothstall/observer/attached_proxies.py
@@ -110,7 +110,7 @@
             now_ns = time.monotonic_ns()
             self._table.disconnected(proxy.name, proxy.owner, proxy.epoch, now_ns)
 
-    def drop_silent(self, now_ns: int) -> None:
+    def drop_timed_out(self, now_ns: int) -> None:
         """Close the connections of proxies whose attachment is over."""
         gone = self._table.tick(now_ns)
         if gone:
--- a/mothstall/observer/keeper_contact.py
+++ b/mothstall/observer/keeper_contact.py
@@ -77,29 +77,29 @@
         self.clients = clients
         self._name = name
         self._stale_ns = stale_ns
-        self._leader_contact_ns = 0  # 0: never
-        self._changed_keeper_ns = 0
+        self._leader_contact_at_ns = 0  # 0: never
+        self._keeper_switched_at_ns = 0
 
     def record_leader_contact(self, now_ns: int) -> None:
         """Record that a keeper with a leader sent the current state, or that it is unchanged."""
-        self._leader_contact_ns = now_ns
-        self._changed_keeper_ns = now_ns
+        self._leader_contact_at_ns = now_ns
+        self._keeper_switched_at_ns = now_ns
 
     def age_ms(self) -> int:
         """Return the maximum age of the copy; -1: no keeper with a leader was reached yet."""
-        if not self._leader_contact_ns:
+        if not self._leader_contact_at_ns:
             return -1
-        return (time.monotonic_ns() - self._leader_contact_ns) // NS_PER_MS
+        return (time.monotonic_ns() - self._leader_contact_at_ns) // NS_PER_MS
 
     def unavailable_reason(self) -> str:
         """Return why keepers cannot take proposals; empty if they can."""
-        is_connected = bool(self.clients.state.peer_name and self._leader_contact_ns)
-        if is_connected and time.monotonic_ns() - self._leader_contact_ns < self._stale_ns:
+        is_connected = bool(self.clients.state.peer_name and self._leader_contact_at_ns)
+        if is_connected and time.monotonic_ns() - self._leader_contact_at_ns < self._stale_ns:
             return ""
         return f"no quorum: {self._name} has had no contact with a leader for {self.age_ms()} ms"
 
-    def change_keeper_if_stale(self, now_ns: int) -> None:
+    def switch_keeper_if_stale(self, now_ns: int) -> None:
         """Connect to another keeper if this one has no leader or sends nothing."""
-        if now_ns - max(self._leader_contact_ns, self._changed_keeper_ns) > self._stale_ns:
-            self._changed_keeper_ns = now_ns
+        if now_ns - max(self._leader_contact_at_ns, self._keeper_switched_at_ns) > self._stale_ns:
+            self._keeper_switched_at_ns = now_ns
             self.clients.state.disconnect("the keeper has no leader, or sends nothing")
--- a/mothstall/observer/own_lease.py
+++ b/mothstall/observer/own_lease.py
@@ -21,7 +21,7 @@
 
 NS_PER_S = 1_000_000_000
 RENEWALS_PER_TERM = 3
-RELEASE_WAIT_S = 0.2  # for one attempt; `ObserverLimits.release_timeout_s` bounds the whole release
+RELEASE_ATTEMPT_TIMEOUT_S = 0.2  # `ObserverLimits.release_timeout_s` bounds the whole release
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         client = self._contact.clients.membership
         with contextlib.suppress(KeeperUnavailableError, TimeoutError):
             async with asyncio.timeout(self._limits.release_timeout_s):
-                await client.propose(change, RELEASE_WAIT_S, wait_for_quorum=False)
+                await client.propose(change, RELEASE_ATTEMPT_TIMEOUT_S, wait_for_quorum=False)
 
     async def _step(self) -> None:
         now_ns = time.monotonic_ns()
@@ -115,8 +115,8 @@
     async def _acquire(self) -> None:
         identity = self._identity
         held = self._model.fanout.leases.get(identity.name)
-        is_anothers = held is not None and held.owner != identity.owner
-        if self._contact.unavailable_reason() or is_anothers:
+        is_held_elsewhere = held is not None and held.owner != identity.owner
+        if self._contact.unavailable_reason() or is_held_elsewhere:
             return
         sent_ns = time.monotonic_ns()
         change = AcquireLease(
--- a/mothstall/observer/process.py
+++ b/mothstall/observer/process.py
@@ -171,11 +171,11 @@
         """Do periodic work; linear in ended attachments, orphans and proxies that are behind."""
         model = self.model
         self._lease.drop_expired(now_ns)
-        self.proxies.drop_silent(now_ns)
+        self.proxies.drop_timed_out(now_ns)
         if model.table.lease_token:
             for leave in model.sweeper.due_leaves(model.fanout.members, now_ns):
                 model.table.request_leave(leave)
-        self.contact.change_keeper_if_stale(now_ns)
+        self.contact.switch_keeper_if_stale(now_ns)
         self._updates.send_due(now_ns)
 
     def _on_fault(self, fault: str) -> None:
--- a/mothstall/observer/report_relay.py
+++ b/mothstall/observer/report_relay.py
@@ -36,8 +36,8 @@
 
     def add(self, proxy: str, report: bytes) -> None:
         """Add a proxy's report; an invalid or surplus one is dropped and counted."""
-        is_taken = self._aggregator.add(proxy, report)
-        self._counts["reports" if is_taken else "reports_left_out"] += 1
+        is_accepted = self._aggregator.add(proxy, report)
+        self._counts["reports" if is_accepted else "reports_left_out"] += 1
 
     def on_reports(self, reports: tuple[bytes, ...]) -> None:
         """Send reports from a keeper to the subscribers."""
