--- a/tests/fleet/agent/fake_client.py
+++ b/tests/fleet/agent/fake_client.py
@@ -10,7 +10,7 @@
     """Records what is proposed, and answers each proposal with `result`.
 
     Attributes:
-        peer_name: The keeper that it claims to be connected to; empty: none.
+        peer_name: The keeper that it reports as its peer; empty: none.
         result: The answer to every proposal; None: no keeper answers.
         proposed: The changes so far.
     """
@@ -29,4 +29,4 @@
         return self.result
 
     def request_resync(self) -> None:
-        raise AssertionError("every delta of these tests follows")
+        raise AssertionError("no test of this client has a delta that does not follow")
--- a/tests/fleet/agent/test_cluster_snapshot.py
+++ b/tests/fleet/agent/test_cluster_snapshot.py
@@ -34,7 +34,7 @@
                 model[key] = row
         snapshot = following
         earlier.append((snapshot, dict(model)))
-    for old, rows_then in earlier:  # earlier snapshots are unchanged
+    for old, rows_then in earlier:  # earlier snapshots have not changed
         assert dict(old.leases) == rows_then and len(old.leases) == len(rows_then)
         assert sorted(old.members) == sorted(
             name.removeprefix(MEMBER_LEASE_PREFIX)
@@ -51,7 +51,7 @@
     for rows in (first.leases, first.drains, first.values):  # rows cannot be changed
         with pytest.raises(TypeError):
             rows["y"] = lease  # type: ignore[index]
-    assert first.apply(StateDelta(0, 4, {})) is first, "a keeper that lags"
+    assert first.apply(StateDelta(0, 4, {})) is first, "a delta of a lagging keeper is ignored"
     assert first.apply(StateDelta(6, 8, {})) is None, (
         "a gap: the complete state has to be requested"
     )
--- a/tests/fleet/agent/test_lease_renewal.py
+++ b/tests/fleet/agent/test_lease_renewal.py
@@ -28,7 +28,7 @@
 
 
 class Fixture:
-    """Leases of one owner at a store that grants everything with token 5."""
+    """Leases of one owner at a store that accepts every change with token 5."""
 
     def __init__(self) -> None:
         self.operator = parse_operator_file(TREE)
--- a/tests/fleet/agent/test_local_drains.py
+++ b/tests/fleet/agent/test_local_drains.py
@@ -27,7 +27,7 @@
 
 
 class Fixture:
-    """Local drains of proxy p1, with the client given."""
+    """Local drains of proxy p1 with a given client."""
 
     def __init__(self, folder: Path, client: FakeClient | None) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/fleet/agent/test_overlay_map.py
+++ b/tests/fleet/agent/test_overlay_map.py
@@ -1,4 +1,4 @@
-"""Tests of the immutable map that shares its rows with its successors."""
+"""Tests of the immutable map that shares its rows with changed copies."""
 
 from __future__ import annotations
 
--- a/tests/fleet/agent/test_persisted_state.py
+++ b/tests/fleet/agent/test_persisted_state.py
@@ -1,4 +1,4 @@
-"""Tests of what an agent persists over a restart."""
+"""Tests of the state that an agent persists across restarts."""
 
 from __future__ import annotations
 
--- a/tests/fleet/agent/test_proposal_session.py
+++ b/tests/fleet/agent/test_proposal_session.py
@@ -11,7 +11,7 @@
 
 
 class RecordingStore:
-    """Records proposals, and answers each with the next of `results`."""
+    """Records proposals, and responds to each with the next of `results`."""
 
     def __init__(self, *results: ChangeResult) -> None:
         self.proposals: list[Proposal] = []
--- a/tests/fleet/agent/test_snapshot_tracker.py
+++ b/tests/fleet/agent/test_snapshot_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of how an agent follows the replicated state."""
+"""Tests of an agent's snapshot of the replicated state and its age."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RecordingClient:
-    """Records what the tracker wants of its client."""
+    """Records the requests of the tracker to its client."""
 
     def __init__(self) -> None:
         self.disconnect_reasons: list[str] = []
@@ -35,7 +35,7 @@
 
 
 class Clock:
-    """Stands in for the module `time`."""
+    """Replaces the module `time`."""
 
     def __init__(self) -> None:
         self.now_ns = 10**12
@@ -45,7 +45,7 @@
 
 
 class Fixture:
-    """A tracker with a recording client, a given clock and the changes that it reported."""
+    """A tracker with a recording client, a controlled clock and the changes that it reported."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock = Clock()
@@ -83,7 +83,7 @@
     assert fixture.tracker.age_ms() == 45
 
     fixture.tracker.on_state_update(NO_CHANGE, 900)
-    assert fixture.tracker.age_ms() == 45, "an older update makes it no older"
+    assert fixture.tracker.age_ms() == 45, "an update with an older state does not increase the age"
 
 
 def test_keeper_without_a_leader_is_left_once_for_each_full_interval(fixture: Fixture) -> None:
--- a/tests/fleet/observers/state_log.py
+++ b/tests/fleet/observers/state_log.py
@@ -19,7 +19,7 @@
 
 
 class StateLog:
-    """A replicated state and its changes in order, for the observers that are given by name."""
+    """A replicated state with a session and the leases of the named observers, and its changes."""
 
     def __init__(self, *observers: str) -> None:
         self.state, self.index = StateMachine(), 0
--- a/tests/fleet/observers/test_attachment_table.py
+++ b/tests/fleet/observers/test_attachment_table.py
@@ -1,4 +1,4 @@
-"""Attachments of proxies: heartbeats, departures, and batches of joins and leaves."""
+"""Tests of attachments: heartbeats, departures, and batches of joins and leaves."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def test_stalled_observer_declares_no_proxy_gone() -> None:
-    """Found by simulation: after the observer's own stall all of its proxies seemed silent."""
+    """Guards against an observer to which all proxies seem silent after its own stall."""
     table = AttachmentTable("observer/o1", TIMINGS)
     table.set_lease_token(1)
     table.attach("p1", "p1#a", 1, "z1", 0)
@@ -95,7 +95,7 @@
     table.set_lease_token(1)
     table.attach("p1", "p1#a", 1, "z1", 0)
     batch = table.next_batch()
-    assert batch is not None and table.next_batch() is None, "one at a time"
+    assert batch is not None and table.next_batch() is None, "one batch in flight at a time"
     table.complete_batch(batch, None, 0)
     assert _confirm_next_batch(table, 0).joins == batch.joins
     table.set_lease_token(0)
@@ -105,13 +105,14 @@
 
 
 def test_disconnected_proxy_is_not_joined_again() -> None:
-    """Found by processes (observer-region-alone, seed 9).
+    """Guards against a lost membership of a moving proxy (observer-region-alone, seed 9).
 
-    The proxy was no member while its next observer was not back.
+    An observer that joined a disconnected proxy would remove it after the grace, while the proxy's
+    next observer has no lease yet.
     """
     log = StateLog("o1", "o2")
     log.join("o2", MemberJoin("p1", "p1#a", 1))
-    log.end("o2")  # its region is partitioned: the row is moving
+    log.end("o2")  # its region is partitioned: the proxy is moving
     table = AttachmentTable("observer/o1", TIMINGS)
     table.attach("p1", "p1#a", 2, "z1", 0)
     table.tick(0)
@@ -124,10 +125,10 @@
         if batch := table.next_batch():
             table.complete_batch(batch, log.change(batch).lost_leases, now_ns)
         assert log.at("p1") == "o2", (
-            "moving, until another observer takes it over or the grace is over"
+            "the row stays until another observer takes it over or the grace ends"
         )
     assert not table.attachments
-    table.attach("p1", "p1#a", 4, "z1", 2 * TERM_NS)  # it comes back
+    table.attach("p1", "p1#a", 4, "z1", 2 * TERM_NS)  # the proxy reconnects
     batch = table.next_batch()
     assert batch is not None and log.change(batch).lost_leases == () and log.at("p1") == "o1"
 
@@ -157,7 +158,7 @@
 
 
 def test_row_of_an_earlier_attachment_is_removed_with_the_later_one() -> None:
-    """Found by seed 2228: it stayed for ever, and the next process of the name never joined."""
+    """Guards against a leftover row that blocks the joins of a later process (seed 2228)."""
     table = AttachmentTable("observer/o1", TIMINGS)
     table.set_lease_token(1)
     table.attach("p1", "p1#a", 1, "z1", 0)
@@ -199,7 +200,7 @@
         for table in tables.values():
             batch = table.next_batch()
             assert batch is not None and len(batch.joins) <= MAX_MEMBERSHIP_BATCH
-            assert table.next_batch() is None, "one at a time"
+            assert table.next_batch() is None, "one batch in flight at a time"
             table.complete_batch(batch, log.change(batch).lost_leases, 0)
     assert log.index - before == 12 and len(log.state.members) == 1700
     assert all(table.next_batch() is None for table in tables.values())
--- a/tests/fleet/observers/test_membership_changes.py
+++ b/tests/fleet/observers/test_membership_changes.py
@@ -1,4 +1,4 @@
-"""What the replicated state makes of joins and leaves."""
+"""Tests of joins and leaves as changes of the replicated state."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
     log = StateLog("o1", "o2")
     assert log.join("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ()
     assert log.join("o2", MemberJoin("p1", "p1#a", 2)).lost_leases == () and log.at("p1") == "o2"
-    assert log.join("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ("p1",), "a late join"
+    assert log.join("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ("p1",), (
+        "a late join is rejected"
+    )
     assert log.join("o1", MemberJoin("p1", "p1#a", 2)).lost_leases == ("p1",), (
         "an epoch belongs to one observer"
     )
--- a/tests/fleet/observers/test_observer_selector.py
+++ b/tests/fleet/observers/test_observer_selector.py
@@ -1,4 +1,4 @@
-"""A proxy's choice among observers."""
+"""Tests of a proxy's choice among observers."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             selector.choose_next(now_ns)
             selector.connected(now_ns)
             departures += 1
-    assert 3 <= departures <= 14, "it stays: all of them are stale"
+    assert 3 <= departures <= 14, "leaves rarely while all observers are stale"
     selector.record_update(0, now_ns)
     assert selector.stale_departures == 0
 
@@ -66,7 +66,7 @@
     for now_ns in range(0, selector.home_return_delay_ns, TERM_NS):
         selector.record_update(0, now_ns)
         assert selector.reason_to_leave(0, now_ns) is None
-    late_ns = selector.home_return_delay_ns * 3 // 2 + 2 * TERM_NS  # whatever moment it has drawn
+    late_ns = selector.home_return_delay_ns * 3 // 2 + 2 * TERM_NS  # after the longest random delay
     selector.record_update(0, late_ns)
     reason = selector.reason_to_leave(0, late_ns)
     assert reason == LeaveReason.HOME_AVAILABLE
@@ -75,7 +75,7 @@
 
 
 def test_proxies_return_home_at_random_times() -> None:
-    """600 proxies of a lost observer reach its neighbour within 0.4 s; they do not leave it so."""
+    """Proxies of a lost observer move to another zone's within 0.4 s, but return more slowly."""
     returned_at_ns: list[int] = []
     for seed in range(600):
         selector = ObserverSelector(random.Random(seed))
@@ -94,12 +94,12 @@
         and max(returned_at_ns) <= selector.home_return_delay_ns * 3 // 2 + 200 * NS_PER_MS
     )
     assert max(returned_at_ns.count(now_ns) for now_ns in set(returned_at_ns)) < 30, (
-        "of 600 in 0.2 s"
+        "proxies of 600 that return within one step of 0.2 s"
     )
 
 
 def test_half_open_return_ends_before_the_fresh_observer_declares_the_proxy_gone() -> None:
-    """An observer waits one term after a lost connection before it declares the proxy gone."""
+    """An observer declares a proxy gone one term after its connection was lost."""
     term = 2_000 * NS_PER_MS
     timings = AttachmentTimings.from_lease_term(term)
     for seed in range(50):
@@ -125,11 +125,11 @@
         selector.connected(now_ns)
         selector.record_update(60 * term, now_ns)  # its state is a minute old
         while not (reason := selector.reason_to_leave(60 * term, now_ns)):
-            now_ns += 200 * NS_PER_MS  # the agent's interval
+            now_ns += 200 * NS_PER_MS  # the agent's tick interval
         selector.disconnected(reason, now_ns)
         name, wait_ns = selector.choose_next(now_ns)
         assert name == "n0" and now_ns + wait_ns - left_at_ns < timings.disconnect_grace_ns
-    # If the observer that it leaves is stale too, it stays as long as anywhere.
+    # A proxy that left a stale observer is not half-open: it tolerates the usual staleness.
     selector.connected(now_ns)
     selector.record_update(60 * term, now_ns)
     selector.disconnected(LeaveReason.HOME_AVAILABLE, now_ns)
@@ -139,7 +139,7 @@
 
 
 def test_proxies_of_a_returning_region_connect_at_random_times() -> None:
-    """1,700 proxies whose six observers were unreachable for an hour, from when they are reachable."""
+    """1,700 proxies reconnect to their six observers, which were unreachable for an hour."""
     names, available_at_ns = [f"o{i}" for i in range(6)], 3_600_000 * NS_PER_MS
     connected_after_ns: list[int] = []
     connections: dict[str, int] = dict.fromkeys(names, 0)
@@ -148,7 +148,7 @@
         zone = seed % 3
         home = [name for i, name in enumerate(names) if i % 3 == zone]
         selector.add_endpoints(home, [name for name in names if name not in home])
-        now_ns = available_at_ns - 60_000 * NS_PER_MS  # its backoff has reached the bound by then
+        now_ns = available_at_ns - 60_000 * NS_PER_MS  # its backoff has reached the limit by then
         while True:
             name, wait_ns = selector.choose_next(now_ns)
             now_ns += max(wait_ns, NS_PER_MS)
@@ -159,8 +159,8 @@
         connections[name] += 1
     tenths = [at_ns // (100 * NS_PER_MS) for at_ns in connected_after_ns]
     assert max(tenths.count(tenth) for tenth in set(tenths)) < 1700 / 4, (
-        "of 1,700 within a tenth of a second"
+        "connections of 1,700 proxies within a tenth of a second"
     )
     assert max(connected_after_ns) < 10_000 * NS_PER_MS and max(connections.values()) < 1700 / 3, (
-        "all are connected, and not to one observer"
+        "all connect within 10 s, spread over the observers"
     )
--- a/tests/fleet/observers/test_orphan_sweeper.py
+++ b/tests/fleet/observers/test_orphan_sweeper.py
@@ -1,4 +1,4 @@
-"""Members whose observer is lost."""
+"""Tests of the removal of members whose observer is lost."""
 
 from __future__ import annotations
 
@@ -34,7 +34,9 @@
         name: sweeper.due_leaves(fanout.members, 2 * TERM_NS + 1)
         for name, (fanout, sweeper) in copies.items()
     }
-    assert sorted(map(len, due.values())) == [0, 3], "one of them first; a proxy that moved stays"
+    assert sorted(map(len, due.values())) == [0, 3], (
+        "only the selected observer removes them, and keeps the proxy that moved"
+    )
     selected = max(due, key=lambda name: len(due[name]))
     log.join(selected, leaves=tuple(due[selected]))
     follow(2 * TERM_NS + 2)
@@ -44,10 +46,10 @@
 
 
 def test_leaves_are_requested_in_the_order_of_the_joins() -> None:
-    """`lab fleet simulate --of tier` gave other counts with another `PYTHONHASHSEED`.
+    """Guards against an order of leaves that depends on `PYTHONHASHSEED`.
 
-    The members of a lost observer were a set of names: the order of their leaves, and so which of
-    them met a proxy that was moving, hung on the process's hash seed (`moved` 2268 to 2270 and
+    While the members of a lost observer were a set of names, the hash seed decided which leave met
+    a moving proxy, and `lab fleet simulate --of tier` gave varying counts (`moved` 2268 to 2270 and
     `swept` 312 or 313 over the same 200 seeds).
     """
     names = [f"p{number}" for number in range(40)]
--- a/tests/fleet/observers/test_report_aggregator.py
+++ b/tests/fleet/observers/test_report_aggregator.py
@@ -1,4 +1,4 @@
-"""Aggregates of reports lead to what the single reports lead to."""
+"""Tests that aggregated reports lead to the same assessment as single reports."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 def _fleet_reports(
     seed: int, bad_fractions: dict[tuple[str, str], float], proxies_per_zone: int = 12
 ) -> list[TrafficReport]:
-    """Reports of proxies of three zones; by pair of zones, a fraction of the attempts fails."""
+    """Reports of proxies of three zones; `bad_fractions`: failed attempts by pair of zones."""
     rng, found = random.Random(seed), []
     for origin in ZONES:
         for i in range(proxies_per_zone):
@@ -113,7 +113,7 @@
 def test_aggregates_of_a_large_fleet_stay_within_their_size(
     weight: float,
 ) -> None:
-    """305 proxies at each of 22 observers that send to 11 zones: 12 KB/s in all."""
+    """22 observers with 305 proxies each, which send to 11 zones: 12 KB/s in total."""
     names = [f"zone-{i:02}" for i in range(11)]
     aggregator = ReportAggregator("o12")
     for i in range(305):
@@ -131,7 +131,7 @@
     assert read == aggregate and read is not None
     assert read.warm_weights == pytest.approx(dict.fromkeys(names, weight), rel=0.005)
     assert decode_report(msgspec.msgpack.encode(aggregate)) == aggregate, (
-        "of an observer that names the zones in each mapping"
+        "the form that repeats the zone names in each mapping is accepted too"
     )
 
 
@@ -161,7 +161,7 @@
     ):
         seen = _aggregated_evidence([*honest, _report("liar", "a", {"a": false_outcomes})])
         assert seen.assessments["a"]["a"].unhealthy_fraction <= 2.0 / 11.0 + 0.01, (
-            "twice the median proxy of ten"
+            "counts as at most twice the median proxy of ten"
         )
         assert seen.request_rates["a"] <= 9 * 50 + 2 * 50 + 1
 
@@ -181,7 +181,7 @@
     )
     assert not is_from_known_observer(msgspec.structs.replace(aggregate, zone="b"), ["o0"])
     assert not is_from_known_observer(msgspec.structs.replace(aggregate, proxy="p1"), ["o0"]), (
-        "a proxy that claims to be an aggregate"
+        "a proxy's report that claims to be an aggregate"
     )
     assert not aggregator.add("observer/o0@a", msgspec.msgpack.encode(aggregate)), (
         "an observer accepts no aggregate"
@@ -198,7 +198,7 @@
     accepted = [aggregator.add(name, data) for name, data in reports.items()]
     assert accepted == [True] * 5 + [False] * 4
     repeated = msgspec.msgpack.encode(_report("p1", "a", {"a": HEALTHY}))
-    assert not aggregator.add("p1", repeated), "the same report once more"
+    assert not aggregator.add("p1", repeated), "a repeated report"
     later_reports = [_report("p1", "a", {"a": HEALTHY}, number) for number in range(2, 10)]
     assert [aggregator.add("p1", msgspec.msgpack.encode(row)) for row in later_reports] == [
         True
@@ -206,7 +206,7 @@
     (aggregate,) = aggregator.flush()
     assert (aggregate.proxy_count, aggregate.sequence_number, aggregate.interval_ms) == (5, 1, 1000)
     assert aggregate.histograms["a"] == (HistogramBucket(5, 250, 0),), (
-        "four reports of one proxy give its rate, and not four proxies"
+        "four reports of one proxy count as one proxy, at its rate"
     )
     assert aggregator.flush() == [] and len(aggregate.histograms["a"]) <= MAX_HISTOGRAM_BUCKETS
 
--- a/tests/fleet/observers/test_simulated_worlds.py
+++ b/tests/fleet/observers/test_simulated_worlds.py
@@ -1,4 +1,4 @@
-"""Simulated observers by seed: no invariant is violated, and each guard is necessary."""
+"""Tests of simulated observers: no seed violates an invariant, and each guard is necessary."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 @pytest.mark.parametrize("first", range(1, 201, 10))
 def test_simulated_worlds_violate_no_invariant(first: int) -> None:
     worlds = [tier.play(Plan(seed)) for seed in range(first, first + 10)]
-    # Guards against a test that cannot fail: proxies joined, moved and were rejected, and
-    # snapshots were sent.
+    # Guards against simulations in which nothing happens: proxies joined, moved and were rejected,
+    # and snapshots were sent.
     assert sum(w.joined for w in worlds) > 300 and sum(w.moved for w in worlds) > 30
     assert sum(w.refused for w in worlds) > 5 and sum(w.snapshots for w in worlds) > 50
     assert sum(w.swept for w in worlds) > 0 and sum(w.crashes for w in worlds) > 30
 
 
 def test_faults_of_keepers_alone_remove_no_proxy() -> None:
-    """Observers lose keepers, leaders change, copies lag; proxies and their connections are sound."""
+    """Observers lose keepers, leaders change, copies lag; proxies and connections are faultless."""
     plans = [
         Plan(seed, loss=0.0, doubled=0.0, late=0.0, crash_odds=0.0, kinds=tier.KEEPERS_SIDE)
         for seed in range(1, 31)
@@ -53,4 +53,4 @@
             if message in str(error):
                 assert str(error).startswith(f"seed {seed} at ")
                 return
-    pytest.fail(f"no seed of {seeds} shows it")
+    pytest.fail(f"none of {seeds} seeds detects the removed guard")
--- a/tests/fleet/observers/test_subscription_fanout.py
+++ b/tests/fleet/observers/test_subscription_fanout.py
@@ -1,4 +1,4 @@
-"""Which subscriber receives which update of the state."""
+"""Tests of the fan-out of state updates to subscribers."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def test_changes_outside_a_subscription_cause_no_update() -> None:
-    """Found with 6,400 hollow proxies: each batch of joins anywhere cost every proxy a frame."""
+    """Guards against a frame to each of 6,400 proxies for every batch of joins anywhere."""
     log, fanout = StateLog("o1"), SubscriptionFanout(heartbeat_ns=TERM_NS)
     fanout.apply(log.state.delta_since(0))
     for name in ("z1", "z2"):
@@ -106,7 +106,7 @@
     fanout.apply(log.state.delta_since(0))
     version = fanout.version
     fanout.apply(older)
-    assert fanout.version == version and fanout.drains, "a keeper that lags"
+    assert fanout.version == version and fanout.drains, "a delta of a lagging keeper is ignored"
     fanout.subscribe(
         "p1", Subscription("z1"), version + 5
     )  # it was attached to an observer that was ahead
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("versions_ahead", [5, 1 << 61])
 def test_subscriber_ahead_of_the_copy_blocks_no_other(versions_ahead: int) -> None:
-    """Found by review: it preceded the others, which then got updates at its heartbeats only."""
+    """Guards against a subscriber ahead of the copy that delays the others to its heartbeats."""
     log, fanout = StateLog("o1"), SubscriptionFanout(heartbeat_ns=TERM_NS)
     fanout.apply(log.state.delta_since(0))
     fanout.subscribe("ahead", Subscription("z1"), fanout.version + versions_ahead)
@@ -132,7 +132,7 @@
 
 
 def test_subscriber_between_two_versions_of_the_copy_gets_a_snapshot() -> None:
-    """Found by simulation: a row that came and went between two versions stayed with a subscriber."""
+    """Guards against a subscriber that keeps a row added and removed between two versions."""
     log, fanout = StateLog("o1"), SubscriptionFanout()
     fanout.apply(log.state.delta_since(0))
     log.change(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
@@ -161,7 +161,7 @@
 
     rows = fanout.due_updates(1, 1000, msgspec.msgpack.encode, unsent_bytes)
     assert list(rows) == [] and checked == [], "no subscriber lacks anything, so none is checked"
-    assert len(_updates(fanout, TERM_NS)) == 500, "a heartbeat"
+    assert len(_updates(fanout, TERM_NS)) == 500, "all are due a heartbeat"
 
 
 @pytest.mark.parametrize(
--- a/tests/observer/cluster.py
+++ b/tests/observer/cluster.py
@@ -31,7 +31,7 @@
 
 
 class ObserverCluster:
-    """One keeper, observers by name and zone, agents."""
+    """One keeper, observers with their zones, and agents."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         return self.keeper.replica.state
 
     def observer_of(self, name: str) -> str:
-        """Return the observer that a proxy is a member under; empty: it is none."""
+        """Return the observer under which a proxy is a member; empty: it is not a member."""
         row = self.state.members.get(name)
         live = row is not None and self.state.is_lease_current(row.lease, row.token)
         return row.lease.removeprefix("observer/") if row and live else ""
@@ -128,7 +128,7 @@
 
 
 async def kill(observer: Observer) -> None:
-    """As a kill: the lease is not released, connections break."""
+    """End an observer as a kill does: its lease is not released, its connections break."""
     observer.server.stop_listening()
     observer._tasks.cancel()
     observer.server.close_clients("killed")
--- a/tests/observer/test_attachments.py
+++ b/tests/observer/test_attachments.py
@@ -1,4 +1,4 @@
-"""Proxies attach to observers, move between them and leave, over loopback."""
+"""Tests of proxies that attach to observers, move between them and leave, over loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 def test_members_are_written_once_and_heartbeats_add_nothing_to_the_log(tmp_path: Path) -> None:
     async def scenario() -> None:
-        # A term that a busy machine does not miss: an observer that lost its lease has all join anew.
+        # Long enough for a busy machine: after a lost lease, an observer has all proxies join
+        # again.
         async with observer_cluster(tmp_path, term="9s", o1="z1") as cluster:
             for i in range(20):
                 await cluster.start_agent(f"p{i}")
@@ -23,11 +24,11 @@
             )
             await until(
                 lambda: all(len(a.snapshot.attached) == 20 for a in cluster.agents.values()),
-                "views",
+                "complete snapshots",
             )
             assert cluster.keeper and not any(
                 link.role == "agent" for link in cluster.keeper.server.clients
-            ), "never a keeper"
+            ), "agents connect to no keeper"
             assert not any(name.startswith("member/") for name in cluster.state.leases)
             loop, version, applied = (
                 asyncio.get_running_loop(),
@@ -36,8 +37,8 @@
             )
             began = loop.time()
             await asyncio.sleep(3.0)
-            assert cluster.state.version == version, "nobody came or went: nothing changed"
-            # Three renewals of its own a term, and none of its proxies, who would have renewed twenty times.
+            assert cluster.state.version == version, "without joins or leaves the version stays"
+            # The observer renews its own lease three times a term; its 20 proxies renew none.
             assert cluster.state.applied_index - applied <= 3 * (loop.time() - began) / 9 + 2
             assert len({a.snapshot.version for a in cluster.agents.values()}) == 1
 
@@ -45,7 +46,7 @@
 
 
 def test_each_backend_is_probed_by_one_proxy_behind_observers(tmp_path: Path) -> None:
-    """Found with processes: an agent without a lease took none, as it waited for its renewals."""
+    """Guards against an agent without leases that waits for a renewal and acquires none."""
 
     async def scenario() -> None:
         async with observer_cluster(tmp_path, o1="z1", o2="z2") as cluster:
@@ -64,7 +65,7 @@
             await cluster.agents.pop(holder.name).stop()
             await until(
                 lambda: (row := cluster.state.leases.get("probe/b0")) and row.owner != holder.owner,
-                "the next one",
+                "another prober",
             )
             assert cluster.state.leases["probe/b0"].token > lease.token
 
@@ -88,11 +89,11 @@
 
             await kill(cluster.observers.pop("o1"))
             await until(looked, "all at o2")
-            assert not gone, "nobody was ever out of the log"
+            assert not gone, "no proxy lost its membership"
             await kill(cluster.observers.pop("o2"))
             await until(
                 lambda: all(cluster.observer_of(f"p{i}") == "o3" for i in range(12)),
-                "at the region's other zone",
+                "all at o3, in the region's other zone",
             )
             await cluster.start_observer("o1")
             await until(lambda: "observer/o1" in cluster.state.leases, "o1 is back")
@@ -100,7 +101,8 @@
                 assert agent.observer_client
                 agent.observer_client.selector.home_return_not_before_ns = 0
             await until(
-                lambda: all(cluster.observer_of(f"p{i}") == "o1" for i in range(12)), "home again"
+                lambda: all(cluster.observer_of(f"p{i}") == "o1" for i in range(12)),
+                "all at o1 again",
             )
 
     asyncio.run(scenario())
@@ -115,10 +117,10 @@
                 await cluster.start_agent(name)
             await until(lambda: len(cluster.state.members) == 3, "members")
             await cluster.agents.pop("p1").stop()
-            await until(lambda: set(cluster.state.members) == {"p2", "p3"}, "p1 is out")
+            await until(lambda: set(cluster.state.members) == {"p2", "p3"}, "p1 is removed")
             client = cluster.agents["p2"].observer_client
             assert client is not None
-            client._tick_task.cancel()  # it says nothing any more, its connection stands
-            await until(lambda: set(cluster.state.members) == {"p3"}, "p2 is out")
+            client._tick_task.cancel()  # no more heartbeats, on an open connection
+            await until(lambda: set(cluster.state.members) == {"p3"}, "p2 is removed")
 
     asyncio.run(scenario())
--- a/tests/observer/test_connections.py
+++ b/tests/observer/test_connections.py
@@ -1,4 +1,4 @@
-"""Peers that speak another protocol, or out of turn."""
+"""Tests of peers that use another protocol, or send unexpected messages."""
 
 from __future__ import annotations
 
@@ -115,8 +115,8 @@
         try:
             async with asyncio.timeout(WAIT_S):
                 await ended.wait()
-            await until(lambda: len(came) >= 3, "it tries again")
-            await until(lambda: not agent.is_member, "and is nobody's")
+            await until(lambda: len(came) >= 3, "the agent reconnects")
+            await until(lambda: not agent.is_member, "the agent is no member")
             rows = [row for row in caplog.records if row.getMessage() == log_event]
             assert 1 <= len(rows) <= len(came) and "\n" not in str(rows[0].__dict__["kv"])
         finally:
--- a/tests/observer/test_process.py
+++ b/tests/observer/test_process.py
@@ -1,4 +1,4 @@
-"""Status, defects and absence of observers."""
+"""Tests of an observer's status and faults, and of a fleet without observers."""
 
 from __future__ import annotations
 
--- a/tests/observer/test_proposals.py
+++ b/tests/observer/test_proposals.py
@@ -1,4 +1,4 @@
-"""Proposals that proxies send through an observer, over loopback."""
+"""Tests of proposals that proxies send through an observer, over loopback."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             agents = [await cluster.start_agent(f"p{i}") for i in range(3)]
             await until(
                 lambda: all(a.observer_client and a.observer_client.is_attached for a in agents),
-                "seats",
+                "all are attached",
             )
             store = agents[0].client
             assert store is not None
@@ -42,7 +42,7 @@
             assert took.token and not took.rejected_reason
             again = await agents[1].client.propose(AcquireLease("probe/b1", "other", 1000), 5.0)  # type: ignore[union-attr]
             assert "is p0#" in again.rejected_reason
-            for _ in range(8):  # renewed beyond its term, together with others'
+            for _ in range(8):  # renewed beyond its term, combined with other renewals
                 renew = RenewLeases(agents[0].owner, (("probe/b1", took.token), ("x", 9)))
                 kept = await store.propose(renew, 5.0)
                 assert kept.lost_leases == ("x",) and not kept.rejected_reason
@@ -52,7 +52,7 @@
             assert "is over" in stale.rejected_reason
             await store.propose(PutDrain(Drain(DrainKind.BACKEND, "b1", "ann", "", "fan")), 5.0)
             await until(lambda: all("box:b1" in a.snapshot.drains for a in agents), "drain")
-            # Renewed meanwhile: a busy machine may take longer than the lease lasts.
+            # Renewed while waiting: on a busy machine the wait may exceed the term.
             async with asyncio.timeout(20):
                 while not all("probe/b1" in agent.snapshot.leases for agent in agents):
                     await store.propose(renew, 5.0)
@@ -103,7 +103,7 @@
             assert len(forwarder.queued) == 5 and o1.counts["asks_refused"] == 4
             assert agent.observer_client and agent.observer_client.link
             agent.observer_client.link.close("gone")
-            await until(lambda: o1.proxies.get("p1") is not proxy, "gone")
+            await until(lambda: o1.proxies.get("p1") is not proxy, "the proxy is removed")
             forwarder.limits = ObserverLimits()
             before = cluster.state.applied_index
             forwarder.forward_queued()
--- a/tests/observer/test_reports.py
+++ b/tests/observer/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of proxies on their way through observers, over loopback."""
+"""Tests of proxies' reports through observers, over loopback."""
 
 from __future__ import annotations
 
@@ -38,18 +38,25 @@
                 await cluster.start_agent(f"p{i}", f"z{1 + i % 2}", proxy_traffic=_ProxyTraffic())
                 for i in range(6)
             ]
-            await until(lambda: "failover" in cluster.state.leases, "an owner")
+            await until(
+                lambda: "failover" in cluster.state.leases, "an owner of the failover lease"
+            )
             owner = next(a for a in agents if a.owner == cluster.state.leases["failover"].owner)
             pilot = owner.failover
             assert pilot is not None
-            await until(lambda: pilot.evidence.proxy_counts == {"z1": 3, "z2": 3}, "all are heard")
+            await until(
+                lambda: pilot.evidence.proxy_counts == {"z1": 3, "z2": 3}, "reports of all proxies"
+            )
             heard = {
                 report.proxy
                 for report in pilot.report_window.current_reports(time.monotonic_ns() // 1_000_000)
             }
             assert heard == {"observer/o1@z1", "observer/o2@z2"}
             await until(lambda: "zones/plan" in cluster.state.values, "a plan")
-            await until(lambda: all("zones/plan" in a.snapshot.values for a in agents), "at all")
+            await until(
+                lambda: all("zones/plan" in a.snapshot.values for a in agents),
+                "the plan at all proxies",
+            )
             sums = sum(observer.counts["sums"] for observer in cluster.observers.values())
             assert cluster.keeper and cluster.keeper.counts["reports"] <= sums
 
--- a/tests/observer/test_state_updates.py
+++ b/tests/observer/test_state_updates.py
@@ -1,4 +1,4 @@
-"""What an observer sends its proxies when keepers or a proxy are slow or gone, over loopback."""
+"""Tests of state updates while keepers or a proxy are slow or gone, over loopback."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
             await cluster.keeper.stop()
             o1 = cluster.observers["o1"]
             await until(
-                lambda: o1.contact.age_ms() > 2500 and not o1.model.table.lease_token, "alone"
+                lambda: o1.contact.age_ms() > 2500 and not o1.model.table.lease_token,
+                "no contact with keepers, and the lease has expired",
             )
             assert "no quorum" in o1.contact.unavailable_reason()
             asked = o1.counts["asks"]
@@ -42,20 +43,20 @@
             )
             with pytest.raises(Exception, match="no observer of o1 answers for the keepers"):
                 await took
-            assert o1.counts["asks"] - asked < 30, "asked again less and less often"
+            assert o1.counts["asks"] - asked < 30, "retries are limited by the backoff"
             late = await cluster.start_agent(
                 "p2"
-            )  # one that starts now is told what is known, and how old that is
-            await until(lambda: "box:b1" in late.snapshot.drains, "what it last knew")
+            )  # a proxy that starts now receives the last state and its age
+            await until(lambda: "box:b1" in late.snapshot.drains, "the last state at p2")
             assert late.snapshot_age_ms() > 2000 and not (
                 late.observer_client and late.observer_client.is_attached
             )
             await cluster.start_keeper()
             await until(
                 lambda: cluster.observer_of("p1") == "o1" and cluster.observer_of("p2") == "o1",
-                "back",
+                "both are members again",
             )
-            await until(lambda: agent.snapshot_age_ms() < 2000, "fresh")
+            await until(lambda: agent.snapshot_age_ms() < 2000, "a fresh state")
 
     asyncio.run(scenario())
 
@@ -76,7 +77,8 @@
                 and slow.observer_client.link._transport
                 and quick.client
             )
-            # It neither takes nor leaves: what its observer sends fills the buffers between them.
+            # The slow proxy neither reads nor disconnects: updates fill the buffers of its
+            # connection.
             slow.observer_client.selector.observer_timeout_ns = 1 << 62
             slow.observer_client.link._transport.pause_reading()
             link = cluster.observers["o1"].proxies.connection("slow")
@@ -86,10 +88,16 @@
             for i in range(150):
                 row = Drain(DrainKind.BACKEND, f"b{i % 60}", "ann", "", f"{i} " + "x" * 990)
                 await quick.client.propose(PutDrain(row), 5.0)
-            await until(lambda: quick.snapshot.version == cluster.state.version, "the quick one")
+            await until(
+                lambda: quick.snapshot.version == cluster.state.version,
+                "the quick proxy is up to date",
+            )
             assert link.unsent_bytes <= 256 * 1024 and slow.snapshot.version < cluster.state.version
             slow.observer_client.link._transport.resume_reading()
-            await until(lambda: slow.snapshot.version == cluster.state.version, "the slow one")
+            await until(
+                lambda: slow.snapshot.version == cluster.state.version,
+                "the slow proxy is up to date",
+            )
             assert dict(slow.snapshot.drains) == cluster.state.drains
 
     asyncio.run(scenario())
