--- a/tests/fleet/agent/test_health_prober.py
+++ b/tests/fleet/agent/test_health_prober.py
@@ -24,7 +24,7 @@
 
 LEASE = "probe/b1"
 TOKEN = 7
-TREE: dict[str, Any] = {
+OPERATOR_FILE: dict[str, Any] = {
     "cluster": "c",
     "keepers": [{"name": "k1", "address": "127.0.0.1:1"}],
     "leases": {"term": "30s"},
@@ -40,7 +40,7 @@
         self.counters = AgentCounters()
         self.tasks = TaskSupervisor(loop)
         self.snapshots = SnapshotTracker(self.counters, self._on_snapshot)
-        operator = parse_operator_file(TREE)
+        operator = parse_operator_file(OPERATOR_FILE)
         self.leases = LeaseRenewal(
             operator, "p1#abc", self.snapshots, self.counters, lambda name: None
         )
@@ -74,12 +74,12 @@
 
 
 def run(status_line: bytes, scenario: Callable[[Fixture, list[bytes]], Awaitable[None]]) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         requests: list[bytes] = []
         async with backend(status_line, requests) as port:
             await scenario(Fixture(port), requests)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_probe_carries_the_fencing_token_and_is_sent_once_an_interval() -> None:
--- a/tests/fleet/agent/test_lease_renewal.py
+++ b/tests/fleet/agent/test_lease_renewal.py
@@ -19,7 +19,7 @@
 from mothstall.store.state.rows import Lease, StateDelta
 from tests.fleet.agent.fake_client import FakeClient
 
-TREE: dict[str, Any] = {
+OPERATOR_FILE: dict[str, Any] = {
     "cluster": "c",
     "zone": "z1",
     "keepers": [{"name": "k1", "address": "127.0.0.1:1"}],
@@ -31,7 +31,7 @@
     """Leases of one owner at a store that accepts every change with token 5."""
 
     def __init__(self) -> None:
-        self.operator = parse_operator_file(TREE)
+        self.operator = parse_operator_file(OPERATOR_FILE)
         self.counters = AgentCounters()
         self.snapshots = SnapshotTracker(self.counters, lambda change: None)
         self.acquired: list[str] = []
@@ -82,18 +82,18 @@
     fixture = Fixture()
     fixture.acquire("x")
     fixture.store.proposed.clear()
-    began_ns = time.monotonic_ns()
+    start_ns = time.monotonic_ns()
     interval_ns = fixture.operator.leases.term_ns // 3
 
-    fixture.reconcile(began_ns)
-    fixture.reconcile(began_ns + interval_ns - 1)
+    fixture.reconcile(start_ns)
+    fixture.reconcile(start_ns + interval_ns - 1)
     assert fixture.store.proposed == [RenewLeases(OWNER, (("x", 5),))]
 
-    fixture.reconcile(began_ns + interval_ns)
+    fixture.reconcile(start_ns + interval_ns)
     assert len(fixture.store.proposed) == 2
 
 
-def test_lease_that_the_store_no_longer_knows_is_lost_and_counted() -> None:
+def test_lease_that_the_store_no_longer_has_is_lost_and_counted() -> None:
     fixture = Fixture()
     fixture.acquire("x")
     fixture.acquire("y")
@@ -115,7 +115,7 @@
     assert fixture.counters.leases_lost == 1
 
 
-def test_release_stops_acting_before_it_is_proposed() -> None:
+def test_released_lease_is_no_longer_valid_and_its_release_is_proposed() -> None:
     fixture = Fixture()
     fixture.acquire("x")
     fixture.store.proposed.clear()
--- a/tests/fleet/agent/test_local_drains.py
+++ b/tests/fleet/agent/test_local_drains.py
@@ -23,7 +23,7 @@
 PUT = PutDrain(DRAIN)
 REMOVE = RemoveDrain(DRAIN.kind, DRAIN.name, "ann")
 KEY = "box:b1"
-NO_CONTACT_REASON = "no connection to the store: only the store can remove this drain"
+NO_CONNECTION_REASON = "no connection to the store: only the store can remove this drain"
 
 
 class Fixture:
@@ -35,8 +35,8 @@
         self.state = LocalState(str(folder), "p1", loop)
         self.tasks = TaskSupervisor(loop)
         self.snapshots = SnapshotTracker(AgentCounters(), lambda change: None)
-        any_client: Any = client
-        self.snapshots.client = any_client
+        untyped_client: Any = client
+        self.snapshots.client = untyped_client
         self.drains = LocalDrains(self.state, self.snapshots, self.tasks, self._count_change)
 
     def _count_change(self) -> None:
@@ -46,18 +46,18 @@
 def run(
     folder: Path, client: FakeClient | None, scenario: Callable[[Fixture], Awaitable[None]]
 ) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         fixture = Fixture(folder, client)
         await scenario(fixture)
         await asyncio.sleep(0)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
     "client", [None, FakeClient(ChangeResult(), peer_name=""), FakeClient(None)]
 )
-def test_drain_without_an_answering_store_holds_here_and_is_on_disk(
+def test_drain_is_in_effect_and_on_disk_while_the_store_does_not_answer(
     tmp_path: Path, client: FakeClient | None
 ) -> None:
     async def scenario(fixture: Fixture) -> None:
@@ -89,15 +89,15 @@
         await fixture.drains.apply(PUT)
         client.proposed.clear()
         client.result = ChangeResult(version=9)
-        any_client: Any = client
-        await fixture.drains.reconcile(any_client)
-        await fixture.drains.reconcile(any_client)
+        untyped_client: Any = client
+        await fixture.drains.reconcile(untyped_client)
+        await fixture.drains.reconcile(untyped_client)
         assert client.proposed == [PUT]
 
     run(tmp_path, client, scenario)
 
 
-def test_drain_that_the_store_rejects_is_answered_with_its_reason(tmp_path: Path) -> None:
+def test_reason_is_returned_for_a_drain_that_the_store_rejects(tmp_path: Path) -> None:
     client = FakeClient(ChangeResult(rejected_reason="too many drains"))
 
     async def scenario(fixture: Fixture) -> None:
@@ -145,7 +145,7 @@
 def test_removing_a_stored_drain_without_the_store_is_rejected(tmp_path: Path) -> None:
     async def scenario(fixture: Fixture) -> None:
         fixture.snapshots.on_state_update(StateDelta(0, 1, {}, {KEY: DRAIN}), 0)
-        assert await fixture.drains.apply(REMOVE) == LocalDrainOutcome(NO_CONTACT_REASON)
+        assert await fixture.drains.apply(REMOVE) == LocalDrainOutcome(NO_CONNECTION_REASON)
 
     run(tmp_path, None, scenario)
 
--- a/tests/fleet/agent/test_pending_requests.py
+++ b/tests/fleet/agent/test_pending_requests.py
@@ -13,9 +13,9 @@
 
 @pytest.fixture
 def loop() -> Iterator[asyncio.AbstractEventLoop]:
-    made = asyncio.new_event_loop()
-    yield made
-    made.close()
+    event_loop = asyncio.new_event_loop()
+    yield event_loop
+    event_loop.close()
 
 
 def test_response_goes_to_the_request_of_its_number(loop: asyncio.AbstractEventLoop) -> None:
--- a/tests/fleet/agent/test_persisted_state.py
+++ b/tests/fleet/agent/test_persisted_state.py
@@ -20,7 +20,7 @@
     return LocalState(folder, "p1", asyncio.get_running_loop())
 
 
-def test_saved_drains_and_tokens_are_there_after_a_restart(tmp_path: Path) -> None:
+def test_saved_drains_and_tokens_are_restored_after_a_restart(tmp_path: Path) -> None:
     async def scenario() -> LocalState:
         state = await load(tmp_path)
         state.drains[KEY] = DRAIN
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("content", [b"no json", b"[]", b'{"drains": 1}'])
-def test_file_that_is_no_state_is_rejected_with_its_path(tmp_path: Path, content: bytes) -> None:
+def test_invalid_file_is_rejected_with_its_path(tmp_path: Path, content: bytes) -> None:
     (tmp_path / "p1.agent").write_bytes(content)
 
     with pytest.raises(ValueError, match=r"p1\.agent"):
--- a/tests/fleet/agent/test_proposal_session.py
+++ b/tests/fleet/agent/test_proposal_session.py
@@ -44,7 +44,7 @@
     assert numbered == [(7, 1), (7, 2), (7, 3)]
 
 
-def test_rejected_opening_is_the_answer_and_is_repeated_with_the_same_nonce() -> None:
+def test_rejected_opening_is_returned_and_retried_with_the_same_nonce() -> None:
     rejected = ChangeResult(rejected_reason="too many sessions")
     store = RecordingStore(rejected, ChangeResult(token=7), ChangeResult())
 
@@ -56,13 +56,15 @@
     assert nonces[0] == nonces[1] > 0
 
 
-def test_session_that_the_store_forgot_is_opened_anew_under_another_nonce() -> None:
-    forgotten = ChangeResult(rejected_reason="unknown session 7: open another")
-    store = RecordingStore(ChangeResult(token=7), forgotten, ChangeResult(token=8), ChangeResult())
+def test_session_unknown_to_the_store_is_reopened_with_another_nonce() -> None:
+    unknown_session = ChangeResult(rejected_reason="unknown session 7: open another")
+    store = RecordingStore(
+        ChangeResult(token=7), unknown_session, ChangeResult(token=8), ChangeResult()
+    )
 
     first, second = propose_each(store, 2)
 
-    assert first is forgotten
+    assert first is unknown_session
     assert not second.rejected_reason
     opened = [row for row in store.proposals if isinstance(row.change, OpenSession)]
     assert len({row.sequence_number for row in opened}) == 2
--- a/tests/fleet/agent/test_snapshot_tracker.py
+++ b/tests/fleet/agent/test_snapshot_tracker.py
@@ -63,7 +63,7 @@
     return Fixture(monkeypatch)
 
 
-def test_snapshot_has_no_age_before_a_keeper_with_a_leader_was_heard(fixture: Fixture) -> None:
+def test_snapshot_has_no_age_before_contact_with_a_leader(fixture: Fixture) -> None:
     fixture.tracker.on_watch_event(WatchEvent(StateDelta(0, 1, {}), False))
 
     assert fixture.tracker.age_ms() == -1
@@ -77,7 +77,7 @@
     assert fixture.tracker.age_ms() == 70
 
 
-def test_age_through_an_observer_includes_how_old_its_state_is(fixture: Fixture) -> None:
+def test_age_through_an_observer_includes_the_age_of_its_state(fixture: Fixture) -> None:
     fixture.tracker.on_state_update(StateDelta(0, 1, {}), 40)
     fixture.clock.now_ns += 5 * NS_PER_MS
     assert fixture.tracker.age_ms() == 45
@@ -86,7 +86,7 @@
     assert fixture.tracker.age_ms() == 45, "an update with an older state does not increase the age"
 
 
-def test_keeper_without_a_leader_is_left_once_for_each_full_interval(fixture: Fixture) -> None:
+def test_keeper_without_a_leader_is_disconnected_once_per_full_interval(fixture: Fixture) -> None:
     event = WatchEvent(NO_CHANGE, False)
     fixture.tracker.on_watch_event(WatchEvent(NO_CHANGE, True))
     fixture.clock.now_ns += MAX_LEADERLESS_NS
@@ -107,7 +107,7 @@
     assert fixture.tracker.current.version == 0
 
 
-def test_new_snapshot_is_reported_and_counted_and_a_delta_without_news_is_not(
+def test_new_snapshot_is_reported_and_counted_and_an_empty_delta_is_not(
     fixture: Fixture,
 ) -> None:
     fixture.tracker.on_state_update(StateDelta(0, 1, {}), 0)
--- a/tests/fleet/observers/state_log.py
+++ b/tests/fleet/observers/state_log.py
@@ -23,28 +23,28 @@
 
     def __init__(self, *observers: str) -> None:
         self.state, self.index = StateMachine(), 0
-        self.change(OpenSession("lab"))
+        self.apply(OpenSession("lab"))
         self.tokens = {
-            name: self.change(AcquireLease(f"observer/{name}", f"{name}#1", 1000)).token
+            name: self.apply(AcquireLease(f"observer/{name}", f"{name}#1", 1000)).token
             for name in observers
         }
 
-    def change(self, change: Change) -> ChangeResult:
+    def apply(self, change: Change) -> ChangeResult:
         self.index += 1
         session = 0 if isinstance(change, OpenSession | ExpireLeases) else 1
         data = msgspec.msgpack.encode(Proposal(session, self.index, change))
         return self.state.apply(self.index, data)[1]
 
-    def join(
+    def update_members(
         self, observer: str, *joins: MemberJoin, leaves: tuple[MemberLeave, ...] = ()
     ) -> ChangeResult:
-        return self.change(
+        return self.apply(
             UpdateMembers(f"observer/{observer}", self.tokens[observer], joins, leaves)
         )
 
-    def end(self, observer: str) -> None:
-        self.change(ExpireLeases(((f"observer/{observer}", self.tokens[observer]),)))
+    def expire_lease(self, observer: str) -> None:
+        self.apply(ExpireLeases(((f"observer/{observer}", self.tokens[observer]),)))
 
-    def at(self, name: str) -> str:
+    def observer_of(self, name: str) -> str:
         row = self.state.members.get(name)
         return row.lease.removeprefix("observer/") if row else ""
--- a/tests/fleet/observers/test_attachment_table.py
+++ b/tests/fleet/observers/test_attachment_table.py
@@ -43,7 +43,7 @@
     )
 
 
-def test_disconnected_proxy_has_one_term_to_come_back() -> None:
+def test_disconnected_proxy_has_one_term_to_reconnect() -> None:
     table = AttachmentTable("observer/o1", TIMINGS)
     table.set_lease_token(1)
     for name in ("p1", "p2"):
@@ -90,7 +90,7 @@
     assert table.tick(late_ns + TIMINGS.proxy_timeout_ns) == ["p1"]
 
 
-def test_new_token_repeats_all_joins_and_unknown_results_are_retried() -> None:
+def test_new_token_repeats_all_joins_and_batches_with_unknown_results_are_retried() -> None:
     table = AttachmentTable("observer/o1", TIMINGS)
     table.set_lease_token(1)
     table.attach("p1", "p1#a", 1, "z1", 0)
@@ -111,8 +111,8 @@
     next observer has no lease yet.
     """
     log = StateLog("o1", "o2")
-    log.join("o2", MemberJoin("p1", "p1#a", 1))
-    log.end("o2")  # its region is partitioned: the proxy is moving
+    log.update_members("o2", MemberJoin("p1", "p1#a", 1))
+    log.expire_lease("o2")  # its region is partitioned: the proxy is moving
     table = AttachmentTable("observer/o1", TIMINGS)
     table.attach("p1", "p1#a", 2, "z1", 0)
     table.tick(0)
@@ -123,14 +123,16 @@
     for now_ns in range(TERM_NS // 10, 2 * TERM_NS, TERM_NS // 10):
         table.tick(now_ns)
         if batch := table.next_batch():
-            table.complete_batch(batch, log.change(batch).lost_leases, now_ns)
-        assert log.at("p1") == "o2", (
+            table.complete_batch(batch, log.apply(batch).lost_leases, now_ns)
+        assert log.observer_of("p1") == "o2", (
             "the row stays until another observer takes it over or the grace ends"
         )
     assert not table.attachments
     table.attach("p1", "p1#a", 4, "z1", 2 * TERM_NS)  # the proxy reconnects
     batch = table.next_batch()
-    assert batch is not None and log.change(batch).lost_leases == () and log.at("p1") == "o1"
+    assert (
+        batch is not None and log.apply(batch).lost_leases == () and log.observer_of("p1") == "o1"
+    )
 
 
 def test_moved_proxy_is_no_longer_attached() -> None:
@@ -193,7 +195,7 @@
     tables = {name: AttachmentTable(f"observer/{name}", TIMINGS) for name in log.tokens}
     for i in range(1700):
         assert not tables[f"o{i % 6}"].attach(f"p{i}", f"p{i}#a", 1, "z1", 0)
-    before = log.index
+    index_before = log.index
     for name, table in tables.items():
         table.set_lease_token(log.tokens[name])
     for _ in range(2):
@@ -201,6 +203,6 @@
             batch = table.next_batch()
             assert batch is not None and len(batch.joins) <= MAX_MEMBERSHIP_BATCH
             assert table.next_batch() is None, "one batch in flight at a time"
-            table.complete_batch(batch, log.change(batch).lost_leases, 0)
-    assert log.index - before == 12 and len(log.state.members) == 1700
+            table.complete_batch(batch, log.apply(batch).lost_leases, 0)
+    assert log.index - index_before == 12 and len(log.state.members) == 1700
     assert all(table.next_batch() is None for table in tables.values())
--- a/tests/fleet/observers/test_membership_changes.py
+++ b/tests/fleet/observers/test_membership_changes.py
@@ -17,43 +17,52 @@
 
 def test_proxy_belongs_to_the_observer_of_its_latest_epoch() -> None:
     log = StateLog("o1", "o2")
-    assert log.join("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ()
-    assert log.join("o2", MemberJoin("p1", "p1#a", 2)).lost_leases == () and log.at("p1") == "o2"
-    assert log.join("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ("p1",), (
+    assert log.update_members("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ()
+    assert (
+        log.update_members("o2", MemberJoin("p1", "p1#a", 2)).lost_leases == ()
+        and log.observer_of("p1") == "o2"
+    )
+    assert log.update_members("o1", MemberJoin("p1", "p1#a", 1)).lost_leases == ("p1",), (
         "a late join is rejected"
     )
-    assert log.join("o1", MemberJoin("p1", "p1#a", 2)).lost_leases == ("p1",), (
+    assert log.update_members("o1", MemberJoin("p1", "p1#a", 2)).lost_leases == ("p1",), (
         "an epoch belongs to one observer"
     )
-    log.join("o1", leaves=(MemberLeave("p1", "p1#a", 1, log.tokens["o1"]),))
-    assert log.at("p1") == "o2", "a late leave removes no newer row"
-    log.join("o2", leaves=(MemberLeave("p1", "p1#a", 2, log.tokens["o2"]),))
-    assert log.at("p1") == ""
+    log.update_members("o1", leaves=(MemberLeave("p1", "p1#a", 1, log.tokens["o1"]),))
+    assert log.observer_of("p1") == "o2", "a late leave removes no newer row"
+    log.update_members("o2", leaves=(MemberLeave("p1", "p1#a", 2, log.tokens["o2"]),))
+    assert log.observer_of("p1") == ""
 
 
-def test_second_process_of_a_name_joins_once_the_first_ones_lease_is_over() -> None:
+def test_second_process_of_a_proxy_joins_once_its_observers_lease_has_ended() -> None:
     log = StateLog("o1", "o2")
-    log.join("o1", MemberJoin("p1", "p1#a", 5))
-    assert log.join("o2", MemberJoin("p1", "p1#b", 1)).lost_leases == ("p1",)
-    log.end("o1")
-    assert log.join("o2", MemberJoin("p1", "p1#b", 1)).lost_leases == () and log.at("p1") == "o2"
+    log.update_members("o1", MemberJoin("p1", "p1#a", 5))
+    assert log.update_members("o2", MemberJoin("p1", "p1#b", 1)).lost_leases == ("p1",)
+    log.expire_lease("o1")
+    assert (
+        log.update_members("o2", MemberJoin("p1", "p1#b", 1)).lost_leases == ()
+        and log.observer_of("p1") == "o2"
+    )
 
 
 def test_members_under_an_expired_lease_stay_until_taken_over_or_removed() -> None:
     log = StateLog("o1", "o2")
-    log.join("o1", MemberJoin("p1", "p1#a", 1), MemberJoin("p2", "p2#a", 1))
+    log.update_members("o1", MemberJoin("p1", "p1#a", 1), MemberJoin("p2", "p2#a", 1))
     token = log.tokens["o1"]
     assert (
-        log.join("o2", leaves=(MemberLeave("p1", "p1#a", 1, token),)).rejected_reason == ""
-        and log.at("p1") == "o1"
+        log.update_members("o2", leaves=(MemberLeave("p1", "p1#a", 1, token),)).rejected_reason
+        == ""
+        and log.observer_of("p1") == "o1"
     )
-    log.end("o1")
+    log.expire_lease("o1")
     assert not log.state.is_lease_current("observer/o1", token) and set(log.state.members) == {
         "p1",
         "p2",
     }
-    assert "is over" in log.join("o1", MemberJoin("p3", "p3#a", 1)).rejected_reason
-    log.join("o2", MemberJoin("p1", "p1#a", 2), leaves=(MemberLeave("p2", "p2#a", 1, token),))
+    assert "is over" in log.update_members("o1", MemberJoin("p3", "p3#a", 1)).rejected_reason
+    log.update_members(
+        "o2", MemberJoin("p1", "p1#a", 2), leaves=(MemberLeave("p2", "p2#a", 1, token),)
+    )
     assert {name: row.lease for name, row in log.state.members.items()} == {"p1": "observer/o2"}
 
 
@@ -78,14 +87,14 @@
 )
 def test_invalid_batch_is_rejected_with_its_reason(change: UpdateMembers, reason: str) -> None:
     log = StateLog("o1")
-    assert reason in log.change(change).rejected_reason and not log.state.members
+    assert reason in log.apply(change).rejected_reason and not log.state.members
 
 
 def test_members_are_part_of_snapshots_and_deltas() -> None:
     log = StateLog("o1")
-    log.join("o1", MemberJoin("p1", "p1#a", 1, "z1"))
+    log.update_members("o1", MemberJoin("p1", "p1#a", 1, "z1"))
     version = log.state.version
-    log.join("o1", MemberJoin("p2", "p2#a", 1, "z2"))
+    log.update_members("o1", MemberJoin("p2", "p2#a", 1, "z2"))
     assert StateMachine.from_snapshot(log.state.encode_snapshot()).members == log.state.members
     snapshot = ClusterSnapshot().apply(log.state.delta_since(0))
     assert snapshot is not None and set(snapshot.attached) == {"p1", "p2"}
--- a/tests/fleet/observers/test_observer_selector.py
+++ b/tests/fleet/observers/test_observer_selector.py
@@ -11,9 +11,9 @@
 TERM_NS = 1_000 * NS_PER_MS
 
 
-def _selector(home: int = 2, near: int = 1) -> ObserverSelector:
+def _selector(home: int = 2, other: int = 1) -> ObserverSelector:
     selector = ObserverSelector(random.Random(1))
-    selector.add_endpoints([f"h{i}" for i in range(home)], [f"n{i}" for i in range(near)])
+    selector.add_endpoints([f"h{i}" for i in range(home)], [f"n{i}" for i in range(other)])
     return selector
 
 
@@ -32,7 +32,7 @@
     assert max(backoffs_ns) <= 1.5 * selector.max_backoff_ns
 
 
-def test_silent_observer_is_left_and_stale_ones_ever_less_often() -> None:
+def test_silent_observer_is_left_and_stale_ones_at_growing_intervals() -> None:
     selector = _selector()
     selector.choose_next(0)
     assert selector.connected(0) == 1
@@ -100,8 +100,8 @@
 
 def test_half_open_return_ends_before_the_fresh_observer_declares_the_proxy_gone() -> None:
     """An observer declares a proxy gone one term after its connection was lost."""
-    term = 2_000 * NS_PER_MS
-    timings = AttachmentTimings.from_lease_term(term)
+    term_ns = 2_000 * NS_PER_MS
+    timings = AttachmentTimings.from_lease_term(term_ns)
     for seed in range(50):
         selector = ObserverSelector(
             random.Random(seed),
@@ -123,19 +123,19 @@
         assert name == "h0"
         now_ns += wait_ns
         selector.connected(now_ns)
-        selector.record_update(60 * term, now_ns)  # its state is a minute old
-        while not (reason := selector.reason_to_leave(60 * term, now_ns)):
+        selector.record_update(60 * term_ns, now_ns)  # its state is a minute old
+        while not (reason := selector.reason_to_leave(60 * term_ns, now_ns)):
             now_ns += 200 * NS_PER_MS  # the agent's tick interval
         selector.disconnected(reason, now_ns)
         name, wait_ns = selector.choose_next(now_ns)
         assert name == "n0" and now_ns + wait_ns - left_at_ns < timings.disconnect_grace_ns
     # A proxy that left a stale observer is not half-open: it tolerates the usual staleness.
     selector.connected(now_ns)
-    selector.record_update(60 * term, now_ns)
+    selector.record_update(60 * term_ns, now_ns)
     selector.disconnected(LeaveReason.HOME_AVAILABLE, now_ns)
     selector.choose_next(now_ns)
     selector.connected(now_ns)
-    assert selector.reason_to_leave(60 * term, now_ns) is None
+    assert selector.reason_to_leave(60 * term_ns, now_ns) is None
 
 
 def test_proxies_of_a_returning_region_connect_at_random_times() -> None:
@@ -157,8 +157,8 @@
             selector.disconnected("not reached", now_ns)
         connected_after_ns.append(now_ns - available_at_ns)
         connections[name] += 1
-    tenths = [at_ns // (100 * NS_PER_MS) for at_ns in connected_after_ns]
-    assert max(tenths.count(tenth) for tenth in set(tenths)) < 1700 / 4, (
+    tenths_of_a_second = [at_ns // (100 * NS_PER_MS) for at_ns in connected_after_ns]
+    assert max(tenths_of_a_second.count(tenth) for tenth in set(tenths_of_a_second)) < 1700 / 4, (
         "connections of 1,700 proxies within a tenth of a second"
     )
     assert max(connected_after_ns) < 10_000 * NS_PER_MS and max(connections.values()) < 1700 / 3, (
--- a/tests/fleet/observers/test_report_aggregator.py
+++ b/tests/fleet/observers/test_report_aggregator.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.fleet.failover.assessment import assess_reports
 from mothstall.fleet.failover.controller import FailoverController
@@ -34,26 +34,32 @@
 def _report(
     proxy: str, zone: str, rows: dict[str, OutcomeCounts], number: int = 1, plan: int = 3
 ) -> TrafficReport:
-    asked = min(10_000_000, sum(row.attempts for row in rows.values()))
-    warm = dict.fromkeys(ZONES, 20.0)
+    requests = min(10_000_000, sum(row.attempts for row in rows.values()))
+    warm_weights = dict.fromkeys(ZONES, 20.0)
     classes = {name: {"x": row} for name, row in rows.items()}
-    return TrafficReport(proxy, zone, number, 1000, plan, asked, 0, classes, warm, {"a": 0.5})
+    return TrafficReport(
+        proxy, zone, number, 1000, plan, requests, 0, classes, warm_weights, {"a": 0.5}
+    )
 
 
 def _aggregated(reports: list[TrafficReport], observers: int) -> list[TrafficReport]:
     aggregators = [ReportAggregator(f"o{i}") for i in range(observers)]
     for i, report in enumerate(reports):
         assert aggregators[i % observers].add(report.proxy, msgspec.msgpack.encode(report))
-    found = [decode_report(encode_report(row)) for one in aggregators for row in one.flush()]
-    assert all(found)
-    return [row for row in found if row]
+    decoded = [
+        decode_report(encode_report(row))
+        for aggregator in aggregators
+        for row in aggregator.flush()
+    ]
+    assert all(decoded)
+    return [row for row in decoded if row]
 
 
 def _fleet_reports(
     seed: int, bad_fractions: dict[tuple[str, str], float], proxies_per_zone: int = 12
 ) -> list[TrafficReport]:
     """Reports of proxies of three zones; `bad_fractions`: failed attempts by pair of zones."""
-    rng, found = random.Random(seed), []
+    rng, reports = random.Random(seed), []
     for origin in ZONES:
         for i in range(proxies_per_zone):
             rows = {}
@@ -61,9 +67,9 @@
                 sent = rng.randrange(30, 60) if to == origin else rng.randrange(8, 16)
                 bad = sum(rng.random() < bad_fractions.get((origin, to), 0.01) for _ in range(sent))
                 rows[to] = OutcomeCounts(good=sent - bad, failed=bad)
-            found.append(_report(f"{origin}{i}", origin, rows))
-    rng.shuffle(found)
-    return found
+            reports.append(_report(f"{origin}{i}", origin, rows))
+    rng.shuffle(reports)
+    return reports
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -98,8 +104,13 @@
             assert actual.attempt_rates[origin][to] == pytest.approx(
                 expected.attempt_rates[origin][to], rel=0.05
             )
-            one, other = expected.assessments[origin][to], actual.assessments[origin][to]
-            assert other.unhealthy_fraction == pytest.approx(one.unhealthy_fraction, abs=0.08), (
+            expected_pair, actual_pair = (
+                expected.assessments[origin][to],
+                actual.assessments[origin][to],
+            )
+            assert actual_pair.unhealthy_fraction == pytest.approx(
+                expected_pair.unhealthy_fraction, abs=0.08
+            ), (
                 origin,
                 to,
             )
@@ -118,18 +129,20 @@
     aggregator = ReportAggregator("o12")
     for i in range(305):
         rows = {zone: OutcomeCounts(good=15 + i % 3, late=i % 2) for zone in names}
-        levels = {
+        weights_and_utilization = {
             "warm_weights": dict.fromkeys(names, weight),
             "utilization": dict.fromkeys(names, 0.437),
         }
-        report = msgspec.structs.replace(_report(f"proxy-{i:04}", names[0], rows), **levels)
+        report = msgspec.structs.replace(
+            _report(f"proxy-{i:04}", names[0], rows), **weights_and_utilization
+        )
         assert aggregator.add(report.proxy, msgspec.msgpack.encode(report))
     (aggregate,) = aggregator.flush()
     data = encode_report(aggregate)
     assert 22 * len(data) < 11_600
-    read = decode_report(data)
-    assert read == aggregate and read is not None
-    assert read.warm_weights == pytest.approx(dict.fromkeys(names, weight), rel=0.005)
+    decoded = decode_report(data)
+    assert decoded == aggregate and decoded is not None
+    assert decoded.warm_weights == pytest.approx(dict.fromkeys(names, weight), rel=0.005)
     assert decode_report(msgspec.msgpack.encode(aggregate)) == aggregate, (
         "the form that repeats the zone names in each mapping is accepted too"
     )
@@ -159,11 +172,11 @@
         OutcomeCounts(connect_failed=50),
         OutcomeCounts(connect_failed=9_000_000),
     ):
-        seen = _aggregated_evidence([*honest, _report("liar", "a", {"a": false_outcomes})])
-        assert seen.assessments["a"]["a"].unhealthy_fraction <= 2.0 / 11.0 + 0.01, (
+        evidence = _aggregated_evidence([*honest, _report("liar", "a", {"a": false_outcomes})])
+        assert evidence.assessments["a"]["a"].unhealthy_fraction <= 2.0 / 11.0 + 0.01, (
             "counts as at most twice the median proxy of ten"
         )
-        assert seen.request_rates["a"] <= 9 * 50 + 2 * 50 + 1
+        assert evidence.request_rates["a"] <= 9 * 50 + 2 * 50 + 1
 
 
 def test_aggregate_is_accepted_from_its_observer_only() -> None:
@@ -236,11 +249,11 @@
     )
 
 
-@given(some.lists(some.integers(0, 50), min_size=1, max_size=30))
+@given(st.lists(st.integers(0, 50), min_size=1, max_size=30))
 def test_weighted_median_equals_the_median_over_proxies(values: list[int]) -> None:
     assert weighted_median([(1, float(v)) for v in values]) == median(values)
-    packed = [(values.count(v), float(v)) for v in sorted(set(values))]
-    assert weighted_median(packed) == median(values)
+    counted_values = [(values.count(v), float(v)) for v in sorted(set(values))]
+    assert weighted_median(counted_values) == median(values)
 
 
 def test_aggregate_of_a_lost_observer_expires_sooner() -> None:
@@ -265,12 +278,20 @@
         def apply_weights(self, weights: object, lifetime_ms: int) -> None:
             pass
 
-    rows = [{"name": "o0", "address": "127.0.0.1:2", "zone": "a"}]
-    tree = {"cluster": "c", "keepers": [{"name": "k1", "address": "127.0.0.1:1"}], "zone": "a"}
+    observer_rows = [{"name": "o0", "address": "127.0.0.1:2", "zone": "a"}]
+    operator_file = {
+        "cluster": "c",
+        "keepers": [{"name": "k1", "address": "127.0.0.1:1"}],
+        "zone": "a",
+    }
     (aggregate,) = _aggregated([_report("p1", "a", {"a": HEALTHY})], 1)
-    for observers, accepted_count in ((rows, 1), ([], 0)):
+    for observers, accepted_count in ((observer_rows, 1), ([], 0)):
         controller = FailoverController(
-            parse_operator_file({**tree, "observers": observers}), "p9", ["x"], [1], _Traffic()
+            parse_operator_file({**operator_file, "observers": observers}),
+            "p9",
+            ["x"],
+            [1],
+            _Traffic(),
         )
         controller.receive_reports((msgspec.msgpack.encode(aggregate),), 1)
         assert (
--- a/tests/fleet/observers/test_simulated_worlds.py
+++ b/tests/fleet/observers/test_simulated_worlds.py
@@ -13,9 +13,11 @@
     worlds = [tier.play(Plan(seed)) for seed in range(first, first + 10)]
     # Guards against simulations in which nothing happens: proxies joined, moved and were rejected,
     # and snapshots were sent.
-    assert sum(w.joined for w in worlds) > 300 and sum(w.moved for w in worlds) > 30
-    assert sum(w.refused for w in worlds) > 5 and sum(w.snapshots for w in worlds) > 50
-    assert sum(w.swept for w in worlds) > 0 and sum(w.crashes for w in worlds) > 30
+    assert sum(world.joined for world in worlds) > 300 and sum(world.moved for world in worlds) > 30
+    assert (
+        sum(world.refused for world in worlds) > 5 and sum(world.snapshots for world in worlds) > 50
+    )
+    assert sum(world.swept for world in worlds) > 0 and sum(world.crashes for world in worlds) > 30
 
 
 def test_faults_of_keepers_alone_remove_no_proxy() -> None:
@@ -26,12 +28,12 @@
     ]
     assert all(plan.proxies_sound for plan in plans) and not Plan(1).proxies_sound
     worlds = [tier.play(plan) for plan in plans]
-    assert sum(w.moved for w in worlds) > 30 and sum(w.joined for w in worlds) > 500
+    assert sum(world.moved for world in worlds) > 30 and sum(world.joined for world in worlds) > 500
 
 
 def test_equal_seeds_give_equal_worlds() -> None:
-    one, other = (tier.play(Plan(7)) for _ in range(2))
-    assert (one.steps, one.joined, one.log) == (other.steps, other.joined, other.log)
+    first, second = (tier.play(Plan(7)) for _ in range(2))
+    assert (first.steps, first.joined, first.log) == (second.steps, second.joined, second.log)
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/observers/test_subscription_fanout.py
+++ b/tests/fleet/observers/test_subscription_fanout.py
@@ -37,13 +37,13 @@
         subscription = Subscription("z1", ("search-",)) if i % 2 else Subscription("z2")
         fanout.subscribe(f"p{i}", subscription, 0)
     _updates(fanout, 0)
-    log.join("o1", MemberJoin("p1", "p1#a", 1, "z1"), MemberJoin("p2", "p2#a", 1, "z2"))
+    log.update_members("o1", MemberJoin("p1", "p1#a", 1, "z1"), MemberJoin("p2", "p2#a", 1, "z2"))
     for name in ("search-1", "pay-1"):
-        log.change(PutDrain(Drain(DrainKind.BACKEND, name, "lab", "", "")))
-        log.change(AcquireLease(f"probe/{name}", "p1#a", 1000))
-    log.change(PutDrain(Drain(DrainKind.ZONE, "z9", "lab", "", "")))
-    log.change(AcquireLease("failover", "p1#a", 1000))
-    log.change(AcquireLease("script", "me", 1000))
+        log.apply(PutDrain(Drain(DrainKind.BACKEND, name, "lab", "", "")))
+        log.apply(AcquireLease(f"probe/{name}", "p1#a", 1000))
+    log.apply(PutDrain(Drain(DrainKind.ZONE, "z9", "lab", "", "")))
+    log.apply(AcquireLease("failover", "p1#a", 1000))
+    log.apply(AcquireLease("script", "me", 1000))
     fanout.apply(log.state.delta_since(fanout.version))
     encoded: list[StateDelta] = []
 
@@ -69,7 +69,7 @@
     fanout.subscribe("quick", Subscription("z1"), 0)
     assert set(_updates(fanout, 0)) == {"slow", "quick"}
     for i in range(400):
-        log.change(PutDrain(Drain(DrainKind.BACKEND, f"b{i % 90}", "lab", "", str(i))))
+        log.apply(PutDrain(Drain(DrainKind.BACKEND, f"b{i % 90}", "lab", "", str(i))))
         fanout.apply(log.state.delta_since(fanout.version))
         assert set(_updates(fanout, i, {"slow": 1})) == {"quick"}
         history = fanout.state.history
@@ -87,7 +87,7 @@
     _updates(fanout, 0)
     snapshot = ClusterSnapshot().apply(log.state.delta_since(0))
     for i in range(20):
-        log.join("o1", MemberJoin(f"p{i}", "a", 1, "z1"))
+        log.update_members("o1", MemberJoin(f"p{i}", "a", 1, "z1"))
         fanout.apply(log.state.delta_since(fanout.version))
         assert set(_updates(fanout, i)) == {"z1"}
     heartbeat = _updates(fanout, TERM_NS)["z2"]
@@ -102,7 +102,7 @@
 def test_older_version_never_replaces_a_newer_one() -> None:
     log, fanout = StateLog("o1"), SubscriptionFanout()
     older = log.state.delta_since(0)
-    log.change(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
+    log.apply(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
     fanout.apply(log.state.delta_since(0))
     version = fanout.version
     fanout.apply(older)
@@ -125,7 +125,7 @@
         fanout.subscribe(name, Subscription("z1"), 0)
     assert set(_updates(fanout, 0)) == {"ahead", "p1", "p2"}
     for now_ns in range(1, 4):
-        log.change(PutDrain(Drain(DrainKind.BACKEND, f"b{now_ns}", "lab", "", "")))
+        log.apply(PutDrain(Drain(DrainKind.BACKEND, f"b{now_ns}", "lab", "", "")))
         fanout.apply(log.state.delta_since(fanout.version))
         assert set(_updates(fanout, now_ns)) == {"p1", "p2"}
     assert set(_updates(fanout, TERM_NS)) == {"ahead"} and not _updates(fanout, TERM_NS + 1)
@@ -135,16 +135,16 @@
     """Guards against a subscriber that keeps a row added and removed between two versions."""
     log, fanout = StateLog("o1"), SubscriptionFanout()
     fanout.apply(log.state.delta_since(0))
-    log.change(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
+    log.apply(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
     skipped_version = log.state.version
     snapshot = ClusterSnapshot().apply(log.state.delta_since(0))
-    log.change(RemoveDrain(DrainKind.BACKEND, "b1", "lab"))
+    log.apply(RemoveDrain(DrainKind.BACKEND, "b1", "lab"))
     fanout.apply(log.state.delta_since(fanout.version))
     fanout.subscribe("p1", Subscription("z1"), skipped_version)
     updates = _updates(fanout, 0)["p1"]
     assert snapshot is not None and snapshot.drains and updates.since_version == 0
-    followed = snapshot.apply(updates)
-    assert followed is not None and not followed.drains
+    updated = snapshot.apply(updates)
+    assert updated is not None and not updated.drains
 
 
 def test_round_is_linear_in_subscribers_that_lack_something() -> None:
--- a/tests/observer/cluster.py
+++ b/tests/observer/cluster.py
@@ -20,13 +20,13 @@
 from mothstall.store.state.machine import StateMachine
 from tests.ports import free_port
 
-WAIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
-async def until(condition: Callable[[], Any], description: str) -> None:
-    end = asyncio.get_running_loop().time() + WAIT_S
+async def wait_until(condition: Callable[[], Any], description: str) -> None:
+    deadline_s = asyncio.get_running_loop().time() + TIMEOUT_S
     while not condition():
-        assert asyncio.get_running_loop().time() < end, description
+        assert asyncio.get_running_loop().time() < deadline_s, description
         await asyncio.sleep(0.02)
 
 
@@ -43,7 +43,7 @@
         self.folder = folder
         self.limits = limits
         ports = [free_port() for _ in range(1 + len(zones))]
-        self.tree: dict[str, Any] = {
+        self.operator_file: dict[str, Any] = {
             "cluster": "test",
             "keepers": [{"name": "k1", "address": f"127.0.0.1:{ports[0]}"}],
             "observers": [
@@ -57,7 +57,7 @@
         self.agents: dict[str, Agent] = {}
 
     def operator(self, zone: str = "z1", **more: Any) -> OperatorConfig:
-        return parse_operator_file({**self.tree, "zone": zone, **more})
+        return parse_operator_file({**self.operator_file, "zone": zone, **more})
 
     async def start_keeper(self) -> Keeper:
         self.keeper = Keeper(self.operator(), "k1", self.folder)
@@ -65,9 +65,9 @@
         return self.keeper
 
     async def start_observer(self, name: str) -> Observer:
-        made = self.observers[name] = Observer(self.operator(), name, limits=self.limits)
-        await made.start()
-        return made
+        observer = self.observers[name] = Observer(self.operator(), name, limits=self.limits)
+        await observer.start()
+        return observer
 
     async def start_agent(
         self,
@@ -77,7 +77,7 @@
         proxy_traffic: ProxyTraffic | None = None,
         **more: Any,
     ) -> Agent:
-        made = self.agents[name] = Agent(
+        agent = self.agents[name] = Agent(
             self.operator(zone, **more),
             name,
             loop=asyncio.get_running_loop(),
@@ -87,11 +87,11 @@
             classes=["ask"],
             latency_objectives_ns=[300_000_000],
         )
-        made.backends = {
+        agent.backends = {
             f"b{i}": BackendEndpoint(Address("127.0.0.1", 1), zone) for i in range(backends)
         }
-        await made.start()
-        return made
+        await agent.start()
+        return agent
 
     @property
     def state(self) -> StateMachine:
@@ -101,8 +101,8 @@
     def observer_of(self, name: str) -> str:
         """Return the observer under which a proxy is a member; empty: it is not a member."""
         row = self.state.members.get(name)
-        live = row is not None and self.state.is_lease_current(row.lease, row.token)
-        return row.lease.removeprefix("observer/") if row and live else ""
+        is_live = row is not None and self.state.is_lease_current(row.lease, row.token)
+        return row.lease.removeprefix("observer/") if row and is_live else ""
 
     async def stop(self) -> None:
         for agent in self.agents.values():
@@ -117,14 +117,14 @@
 async def observer_cluster(
     folder: Path, *, term: str = "1s", limits: ObserverLimits | None = None, **zones: str
 ) -> AsyncIterator[ObserverCluster]:
-    made = ObserverCluster(folder, zones, term, limits)
+    cluster = ObserverCluster(folder, zones, term, limits)
     try:
-        await made.start_keeper()
+        await cluster.start_keeper()
         for name in zones:
-            await made.start_observer(name)
-        yield made
+            await cluster.start_observer(name)
+        yield cluster
     finally:
-        await made.stop()
+        await cluster.stop()
 
 
 async def kill(observer: Observer) -> None:
--- a/tests/observer/test_reports.py
+++ b/tests/observer/test_reports.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mothstall.fleet.failover.transition import RoutingWeights
-from tests.observer.cluster import observer_cluster, until
+from tests.observer.cluster import observer_cluster, wait_until
 
 pytestmark = pytest.mark.processes
 
@@ -30,7 +30,7 @@
         async with observer_cluster(tmp_path, o1="z1", o2="z2") as cluster:
             regions = [{"name": "north", "zones": ["z1", "z2"]}]
             failover = {"on": True, "regions": regions, "every": "200ms", "stale": "5s"}
-            cluster.tree["failover"] = failover
+            cluster.operator_file["failover"] = failover
             for name in ("o1", "o2"):
                 await cluster.observers[name].stop()
                 await cluster.start_observer(name)
@@ -38,26 +38,29 @@
                 await cluster.start_agent(f"p{i}", f"z{1 + i % 2}", proxy_traffic=_ProxyTraffic())
                 for i in range(6)
             ]
-            await until(
+            await wait_until(
                 lambda: "failover" in cluster.state.leases, "an owner of the failover lease"
             )
             owner = next(a for a in agents if a.owner == cluster.state.leases["failover"].owner)
-            pilot = owner.failover
-            assert pilot is not None
-            await until(
-                lambda: pilot.evidence.proxy_counts == {"z1": 3, "z2": 3}, "reports of all proxies"
+            controller = owner.failover
+            assert controller is not None
+            await wait_until(
+                lambda: controller.evidence.proxy_counts == {"z1": 3, "z2": 3},
+                "reports of all proxies",
             )
-            heard = {
+            reporters = {
                 report.proxy
-                for report in pilot.report_window.current_reports(time.monotonic_ns() // 1_000_000)
+                for report in controller.report_window.current_reports(
+                    time.monotonic_ns() // 1_000_000
+                )
             }
-            assert heard == {"observer/o1@z1", "observer/o2@z2"}
-            await until(lambda: "zones/plan" in cluster.state.values, "a plan")
-            await until(
+            assert reporters == {"observer/o1@z1", "observer/o2@z2"}
+            await wait_until(lambda: "zones/plan" in cluster.state.values, "a plan")
+            await wait_until(
                 lambda: all("zones/plan" in a.snapshot.values for a in agents),
                 "the plan at all proxies",
             )
-            sums = sum(observer.counts["sums"] for observer in cluster.observers.values())
-            assert cluster.keeper and cluster.keeper.counts["reports"] <= sums
+            aggregates = sum(observer.counts["sums"] for observer in cluster.observers.values())
+            assert cluster.keeper and cluster.keeper.counts["reports"] <= aggregates
 
     asyncio.run(scenario())
