--- a/mothstall/fleet/agent/request_channel.py
+++ b/mothstall/fleet/agent/request_channel.py
@@ -32,7 +32,7 @@
     async def request(
         self, make_request: RequestFactory, timeout_s: float, resend_after_s: float = 0.0
     ) -> Response:
-        """Send one request over the current connection, and return its answer.
+        """Send one request over the current connection, and return its response.
 
         Args:
             make_request: Makes the request.
--- a/mothstall/fleet/agent/single_requests.py
+++ b/mothstall/fleet/agent/single_requests.py
@@ -23,7 +23,7 @@
 async def send_observer_command(
     operator: OperatorConfig, observer: ObserverConfig, verb: str, timeout_s: float
 ) -> AdminResponse:
-    """Send one administrative command to one observer, and return its answer.
+    """Send one administrative command to one observer, and return the response.
 
     Raises:
         KeeperUnavailableError: There was no answer in time.
@@ -37,7 +37,7 @@
 async def send_local_drain_request(
     operator: OperatorConfig, address: str, request: LocalDrainRequest, timeout_s: float
 ) -> AdminResponse:
-    """Send one request to the agent that listens at `address`, and return its answer.
+    """Send one request to the agent that listens at `address`, and return the response.
 
     Raises:
         KeeperUnavailableError: There was no answer in time.
--- a/mothstall/fleet/observers/attachment_table.py
+++ b/mothstall/fleet/observers/attachment_table.py
@@ -202,9 +202,9 @@
         return batch
 
     def _needed_join(self, name: str) -> MemberJoin | None:
-        # Guards against the removal of a live proxy's membership: one whose connection here is lost
-        # may be at an observer that has no lease yet. Its join, followed by its leave, would remove
-        # a row that is moving.
+        # Guards against the removal of a live proxy's membership: a proxy whose connection here is
+        # lost may be attached to an observer that has no lease yet. A join here, followed by a
+        # leave, would remove the row that the other observer is about to take over.
         attachment = self.attachments.get(name)
         if attachment is None or not attachment.is_connected:
             return None
--- a/mothstall/fleet/observers/departures.py
+++ b/mothstall/fleet/observers/departures.py
@@ -1,4 +1,4 @@
-"""When an observer may declare a proxy gone. Pure."""
+"""Detection of proxies that an observer may declare gone. Pure."""
 
 from __future__ import annotations
 
@@ -51,6 +51,6 @@
             yield attachment
 
     def pop_expired_disconnections(self, now_ns: int) -> Iterator[Attachment]:
-        """Remove and return attachments whose grace period is over; they may be outdated."""
+        """Remove and return attachments whose grace period has ended; they may be outdated."""
         while self._disconnections and self._disconnections[0].expires_at_ns <= now_ns:
             yield self._disconnections.popleft().attachment
--- a/mothstall/observer/attached_proxies.py
+++ b/mothstall/observer/attached_proxies.py
@@ -111,7 +111,7 @@
             self._table.disconnected(proxy.name, proxy.owner, proxy.epoch, now_ns)
 
     def drop_timed_out(self, now_ns: int) -> None:
-        """Close the connections of proxies whose attachment is over."""
+        """Close the connections of proxies whose attachment has timed out."""
         gone = self._table.tick(now_ns)
         if gone:
             names = ",".join(gone[:MAX_LOGGED_NAMES])
--- a/tests/fleet/observers/test_attachment_table.py
+++ b/tests/fleet/observers/test_attachment_table.py
@@ -118,7 +118,7 @@
     table.tick(0)
     table.disconnected(
         "p1", "p1#a", 2, TERM_NS // 10
-    )  # it attached to o2, which has no lease yet either
+    )  # the proxy attached to o2, which has no lease yet either
     table.set_lease_token(log.tokens["o1"])
     for now_ns in range(TERM_NS // 10, 2 * TERM_NS, TERM_NS // 10):
         table.tick(now_ns)
