--- a/mothstall/fleet/agent/local_request_listener.py
+++ b/mothstall/fleet/agent/local_request_listener.py
@@ -1,4 +1,4 @@
-"""The agent's own listener, where operators and lease owners send requests to this one proxy."""
+"""The agent's listener for requests that operators and lease owners send to this proxy."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LocalRequestListener:
-    """Answers each `LocalDrainRequest` after its effect holds and is on disk.
+    """Answers each `LocalDrainRequest` once it is in effect and on disk.
 
     Attributes:
         port: The port that it listens on; 0: it does not listen.
@@ -46,7 +46,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Listen, where the operator file names an address.
+        """Start listening if the operator file gives an address.
 
         Raises:
             OSError: The address is not available.
@@ -79,19 +79,19 @@
         try:
             request = msgspec.msgpack.decode(payload, type=LocalDrainRequest)
         except (msgspec.DecodeError, ValueError):
-            link.close("a payload that cannot be read")
+            link.close("payload cannot be decoded")
             return
         self._tasks.spawn(self._respond(link, request))
 
     async def _respond(self, link: FrameConnection, request: LocalDrainRequest) -> None:
         self._counters.admin_requests += 1
-        outcome = await self._carry_out(request)
+        outcome = await self._execute_request(request)
         if outcome.rejected_reason:
             self._counters.admin_requests_rejected += 1
         response = AdminResponse(request.request_id, outcome.rejected_reason, outcome.text.encode())
         link.send(msgspec.msgpack.encode(response))
 
-    async def _carry_out(self, request: LocalDrainRequest) -> LocalDrainOutcome:
+    async def _execute_request(self, request: LocalDrainRequest) -> LocalDrainOutcome:
         if request.lease:
             rejected_reason = self._state.fencing_tokens.admit(request.lease, request.token)
             if not rejected_reason:
--- a/mothstall/fleet/agent/single_requests.py
+++ b/mothstall/fleet/agent/single_requests.py
@@ -17,13 +17,13 @@
     LocalDrainRequest,
 )
 
-TOOL_NAME = "tool"  # that these connections greet with
+TOOL_NAME = "tool"  # sent in the handshake of these connections
 
 
 async def send_observer_command(
     operator: OperatorConfig, observer: ObserverConfig, verb: str, timeout_s: float
 ) -> AdminResponse:
-    """Send one administrative command to one observer, and return its answer.
+    """Send one administrative command to one observer, and return the response.
 
     Raises:
         KeeperUnavailableError: There was no answer in time.
@@ -37,7 +37,7 @@
 async def send_local_drain_request(
     operator: OperatorConfig, address: str, request: LocalDrainRequest, timeout_s: float
 ) -> AdminResponse:
-    """Send one request to the agent that listens at `address`, and return its answer.
+    """Send one request to the agent that listens at `address`, and return the response.
 
     Raises:
         KeeperUnavailableError: There was no answer in time.
@@ -46,7 +46,7 @@
 
 
 class _ResponseWaiter:
-    """Sends one request on a connection once that is greeted, and waits for its response."""
+    """Sends one request on a connection after the handshake, and waits for its response."""
 
     def __init__(self, peer_name: str, request: msgspec.Struct) -> None:
         self.response: asyncio.Future[AdminResponse] = asyncio.get_running_loop().create_future()
@@ -60,7 +60,7 @@
         try:
             message = msgspec.msgpack.decode(payload, type=AdminResponse)
         except (msgspec.DecodeError, ValueError):
-            link.close("a payload that cannot be read")
+            link.close("payload cannot be decoded")
             return
         if not self.response.done():
             self.response.set_result(message)
--- a/mothstall/fleet/observers/attachment_table.py
+++ b/mothstall/fleet/observers/attachment_table.py
@@ -1,8 +1,8 @@
-"""Which proxies are attached to an observer, and what it proposes to the keepers about them. Pure.
+"""The proxies attached to an observer, and the membership changes that it proposes. Pure.
 
-Timeouts of attachments run on the observer's clock and are never sent: a proxy sends heartbeats,
-and only joins and leaves are changes of the replicated state, in batches under the observer's
-lease. What the state has after a batch counts, not what was requested.
+Timeouts of attachments run on the observer's clock and are not replicated: proxies send heartbeats
+to the observer, and only joins and leaves change the replicated state, in batches under the
+observer's lease. The result of a batch decides who is a member, not the request.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from mothstall.store.state.rows import Member
 
 MAX_ATTACHMENTS = 4096  # proxies at one observer; bounds its connections and memory
-MAX_JOIN_BACKOFF_STEPS = 5  # of a quarter of the disconnect grace each
+MAX_JOIN_BACKOFF_STEPS = 5  # each is a quarter of the disconnect grace
 
 
 class AttachmentTable:
-    """The proxies of one observer. Every call is linear in its arguments and its result."""
+    """The proxies of one observer. Every call takes time linear in its arguments and its result."""
 
     def __init__(
         self,
@@ -43,14 +43,15 @@
             timings: Timeouts of proxies.
             max_attachments: Further proxies are rejected.
             batch_size: Joins and leaves in one change, at most.
-            fenced: A guard; tests alone take it out.
+            fenced: Whether membership counts only under the current token; only tests disable this.
         """
         self.lease_name = lease_name
         self.timings = timings
         self.max_attachments = max_attachments
         self.fenced = fenced
-        self.lease_token = NO_TOKEN  # of this observer's lease, as far as it may act under it
-        # In the order of `last_heard_ns`, so that a check ends at the first proxy that is in time.
+        self.lease_token = NO_TOKEN  # of this observer's lease, while it is valid
+        # Ordered by `last_heartbeat_ns`, so that a check stops at the first proxy that has
+        # not timed out.
         self.attachments: OrderedDict[str, Attachment] = OrderedDict()
         self._own_members: dict[str, Member] = {}  # rows of the state under this observer's lease
         self._requests = MembershipRequests(lease_name, batch_size, 2 * max_attachments)
@@ -77,7 +78,7 @@
         return attachment.lease_token == token == self.lease_token or not self.fenced
 
     def set_lease_token(self, token: int) -> None:
-        """Record the token of this observer's lease, under which all join again; 0: it has none."""
+        """Set the token of this observer's lease, and queue all joins again under it; 0: none."""
         if token == self.lease_token:
             return
         self.lease_token = token
@@ -89,39 +90,41 @@
 
     def attach(self, name: str, owner: str, epoch: int, zone: str, now_ns: int) -> str:
         """Attach a proxy; return why it is rejected, empty if it is not."""
-        known = self.attachments.get(name)
-        reason = self._attach_rejection(known, name, owner, epoch)
+        existing = self.attachments.get(name)
+        reason = self._attach_rejection(existing, name, owner, epoch)
         if reason:
             return reason
         token = NO_TOKEN
-        if known is not None and known.owner != owner:
-            self._request_leave_of(known)
-        elif known is not None and known.epoch == epoch:
-            token = known.lease_token
+        if existing is not None and existing.owner != owner:
+            self._request_leave_of(existing)
+        elif existing is not None and existing.epoch == epoch:
+            token = existing.lease_token
         self.attachments[name] = Attachment(name, owner, epoch, zone, now_ns, lease_token=token)
         self.attachments.move_to_end(name)
         if not token or token != self.lease_token:
             self._requests.add_joins([name])
         return ""
 
-    def _attach_rejection(self, known: Attachment | None, name: str, owner: str, epoch: int) -> str:
-        if known is None:
+    def _attach_rejection(
+        self, existing: Attachment | None, name: str, owner: str, epoch: int
+    ) -> str:
+        if existing is None:
             if len(self.attachments) < self.max_attachments:
                 return ""
             self.counts["turned_away"] += 1
             return f"{self.max_attachments} proxies are attached already"
-        if known.owner == owner and epoch < known.epoch:
-            return f"epoch {epoch} is over, {name} is attached with epoch {known.epoch}"
-        if known.owner != owner and known.is_connected:
-            return f"{name} is owned by {known.owner}, which is connected"
+        if existing.owner == owner and epoch < existing.epoch:
+            return f"epoch {epoch} is over, {name} is attached with epoch {existing.epoch}"
+        if existing.owner != owner and existing.is_connected:
+            return f"{name} is owned by {existing.owner}, which is connected"
         return ""
 
     def record_heartbeat(self, name: str, owner: str, epoch: int, now_ns: int) -> bool:
-        """Record that a proxy lives; False if it is not attached here and has to attach again."""
+        """Record a heartbeat; False if the proxy is not attached here and has to attach again."""
         attachment = self._find(name, owner, epoch)
         if attachment is None:
             return False
-        attachment.last_heard_ns = now_ns
+        attachment.last_heartbeat_ns = now_ns
         self.attachments.move_to_end(name)
         return True
 
@@ -129,26 +132,26 @@
         """Remove a proxy that shuts down."""
         attachment = self._find(name, owner, epoch)
         if attachment is not None:
-            self._depart(attachment)
+            self._remove(attachment)
 
     def disconnected(self, name: str, owner: str, epoch: int, now_ns: int) -> None:
-        """Record a lost connection: the proxy has a grace period to come back or to move."""
+        """Record a lost connection: the proxy has a grace period to reconnect or to move."""
         attachment = self._find(name, owner, epoch)
         if attachment is not None and attachment.is_connected:
             attachment.is_connected = False
             self._departures.record_disconnection(attachment, now_ns)
 
     def tick(self, now_ns: int) -> list[str]:
-        """Do periodic work; return the proxies that are declared gone."""
+        """Remove proxies that are gone, and queue due joins again; return the removed names."""
         gone: list[str] = []
         if self._departures.tick(now_ns):
-            for attachment in list(self._departures.silent(self.attachments.values(), now_ns)):
+            for attachment in list(self._departures.timed_out(self.attachments.values(), now_ns)):
                 gone.append(attachment.name)
-                self._depart(attachment)
+                self._remove(attachment)
             for attachment in self._departures.pop_expired_disconnections(now_ns):
                 if self.attachments.get(attachment.name) is attachment:
                     gone.append(attachment.name)
-                    self._depart(attachment)
+                    self._remove(attachment)
         for name in self._requests.pop_due_joins(now_ns):
             is_member = self.is_authoritative_for(name, self.lease_token)
             if name in self.attachments and not is_member:
@@ -161,14 +164,14 @@
             return None
         return attachment
 
-    def _depart(self, attachment: Attachment) -> None:
+    def _remove(self, attachment: Attachment) -> None:
         del self.attachments[attachment.name]
         self._requests.discard_join(attachment.name)
         self.counts["departed"] += 1
         self._request_leave_of(attachment)
 
     def _request_leave_of(self, attachment: Attachment) -> None:
-        """Request the leave also where no join has a result yet: it may be applied all the same."""
+        """Request the leave even if the join has no result yet: it may still be applied."""
         if self.lease_token:
             self.request_leave(
                 MemberLeave(attachment.name, attachment.owner, attachment.epoch, self.lease_token)
@@ -176,7 +179,7 @@
         self._request_leave_of_earlier_member(attachment)
 
     def _request_leave_of_earlier_member(self, attachment: Attachment) -> None:
-        """Guards against a row of an earlier attachment here that a later one never took over."""
+        """Guards against a leftover row of an earlier attachment that no later join replaced."""
         member = self._own_members.get(attachment.name)
         if member is None or member.token != self.lease_token:
             return
@@ -186,7 +189,7 @@
     # The replicated state
 
     def request_leave(self, leave: MemberLeave) -> None:
-        """Request that a row is removed from the state."""
+        """Request the removal of a member from the state."""
         self._requests.add_leave(leave)
 
     def next_batch(self) -> UpdateMembers | None:
@@ -199,9 +202,9 @@
         return batch
 
     def _needed_join(self, name: str) -> MemberJoin | None:
-        # Guards against the removal of a live proxy's membership: one whose connection here is lost
-        # may be at an observer that has no lease yet. Its join, followed by its leave, would remove
-        # a row that is moving.
+        # Guards against the removal of a live proxy's membership: a proxy whose connection here is
+        # lost may be attached to an observer that has no lease yet. A join here, followed by a
+        # leave, would remove the row that the other observer is about to take over.
         attachment = self.attachments.get(name)
         if attachment is None or not attachment.is_connected:
             return None
@@ -216,8 +219,8 @@
         Args:
             batch: What was proposed.
             rejected_joins: Names of proxies whose joins were rejected; None: the result is unknown,
-                so that all is requested again, which changes nothing if it was applied.
-            now_ns: The steady clock.
+                so all changes are requested again, which has no effect on those that were applied.
+            now_ns: The monotonic clock.
         """
         if not self._requests.end_batch(batch):
             return []
@@ -254,7 +257,7 @@
         self._requests.delay_join(attachment.name, now_ns + delay_ns)
 
     def apply_changes(self, changes: MemberChanges) -> list[Attachment]:
-        """Follow the state; return the attachments that ended, as their proxies have moved on."""
+        """Apply changes of the state; return the attachments whose proxies moved elsewhere."""
         moved: list[Attachment] = []
         for name, change in changes.items():
             self._remember_own_member(name, change.after)
@@ -264,7 +267,7 @@
         return moved
 
     def apply_snapshot(self, members: Mapping[str, Member]) -> list[Attachment]:
-        """Follow the complete state, once after this observer acquired its lease."""
+        """Apply the complete state, once after this observer acquired its lease."""
         relevant = {
             name: RowChange(None, member)
             for name, member in members.items()
@@ -279,12 +282,12 @@
             self._own_members.pop(name, None)
 
     def _apply_change(self, name: str, change: RowChange[Member]) -> Attachment | None:
-        """Follow one row; return its attachment if the proxy has moved to another observer."""
+        """Apply one changed row; return the attachment if the proxy moved to another observer."""
         attachment = self.attachments.get(name)
         member = change.after
         if member is not None and self._is_under_current_lease(member):
             if attachment is None or attachment.owner != member.owner:
-                # A join of this observer that was applied late: no such process is attached here.
+                # A join that was applied late: that process is no longer attached here.
                 self.request_leave(_leave_of(member))
         elif attachment is None:
             return None
@@ -294,8 +297,9 @@
             self.counts["moved"] += 1
             return attachment
         elif self._is_row_of(change.before, attachment):
-            # The row was removed though the proxy is attached. A copy of the state that lags shows
-            # older rows than the result that made this proxy a member: those are ignored.
+            # The row was removed although the proxy is attached. A lagging copy of the state may
+            # still report rows older than the join that made this proxy a member: those are
+            # ignored.
             attachment.lease_token = NO_TOKEN
             self._requests.add_joins([name])
         return None
--- a/tests/fleet/agent/test_snapshot_tracker.py
+++ b/tests/fleet/agent/test_snapshot_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of how an agent follows the replicated state."""
+"""Tests of an agent's snapshot of the replicated state and its age."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RecordingClient:
-    """Records what the tracker wants of its client."""
+    """Records the requests of the tracker to its client."""
 
     def __init__(self) -> None:
         self.disconnect_reasons: list[str] = []
@@ -35,7 +35,7 @@
 
 
 class Clock:
-    """Stands in for the module `time`."""
+    """Replaces the module `time`."""
 
     def __init__(self) -> None:
         self.now_ns = 10**12
@@ -45,7 +45,7 @@
 
 
 class Fixture:
-    """A tracker with a recording client, a given clock and the changes that it reported."""
+    """A tracker with a recording client, a controlled clock and the changes that it reported."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock = Clock()
@@ -63,7 +63,7 @@
     return Fixture(monkeypatch)
 
 
-def test_snapshot_has_no_age_before_a_keeper_with_a_leader_was_heard(fixture: Fixture) -> None:
+def test_snapshot_has_no_age_before_contact_with_a_leader(fixture: Fixture) -> None:
     fixture.tracker.on_watch_event(WatchEvent(StateDelta(0, 1, {}), False))
 
     assert fixture.tracker.age_ms() == -1
@@ -77,16 +77,16 @@
     assert fixture.tracker.age_ms() == 70
 
 
-def test_age_through_an_observer_includes_how_old_its_state_is(fixture: Fixture) -> None:
+def test_age_through_an_observer_includes_the_age_of_its_state(fixture: Fixture) -> None:
     fixture.tracker.on_state_update(StateDelta(0, 1, {}), 40)
     fixture.clock.now_ns += 5 * NS_PER_MS
     assert fixture.tracker.age_ms() == 45
 
     fixture.tracker.on_state_update(NO_CHANGE, 900)
-    assert fixture.tracker.age_ms() == 45, "an older update makes it no older"
+    assert fixture.tracker.age_ms() == 45, "an update with an older state does not increase the age"
 
 
-def test_keeper_without_a_leader_is_left_once_for_each_full_interval(fixture: Fixture) -> None:
+def test_keeper_without_a_leader_is_disconnected_once_per_full_interval(fixture: Fixture) -> None:
     event = WatchEvent(NO_CHANGE, False)
     fixture.tracker.on_watch_event(WatchEvent(NO_CHANGE, True))
     fixture.clock.now_ns += MAX_LEADERLESS_NS
@@ -96,7 +96,7 @@
     fixture.clock.now_ns += 1
     fixture.tracker.on_watch_event(event)
     fixture.tracker.on_watch_event(event)
-    assert fixture.client.disconnect_reasons == ["it hears no leader"]
+    assert fixture.client.disconnect_reasons == ["the keeper has no leader"]
 
 
 def test_delta_that_does_not_follow_the_snapshot_requests_a_resync(fixture: Fixture) -> None:
@@ -107,7 +107,7 @@
     assert fixture.tracker.current.version == 0
 
 
-def test_new_snapshot_is_reported_and_counted_and_a_delta_without_news_is_not(
+def test_new_snapshot_is_reported_and_counted_and_an_empty_delta_is_not(
     fixture: Fixture,
 ) -> None:
     fixture.tracker.on_state_update(StateDelta(0, 1, {}), 0)
--- a/tests/fleet/observers/test_subscription_fanout.py
+++ b/tests/fleet/observers/test_subscription_fanout.py
@@ -1,4 +1,4 @@
-"""Which subscriber receives which update of the state."""
+"""Tests of the fan-out of state updates to subscribers."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
         subscription = Subscription("z1", ("search-",)) if i % 2 else Subscription("z2")
         fanout.subscribe(f"p{i}", subscription, 0)
     _updates(fanout, 0)
-    log.join("o1", MemberJoin("p1", "p1#a", 1, "z1"), MemberJoin("p2", "p2#a", 1, "z2"))
+    log.update_members("o1", MemberJoin("p1", "p1#a", 1, "z1"), MemberJoin("p2", "p2#a", 1, "z2"))
     for name in ("search-1", "pay-1"):
-        log.change(PutDrain(Drain(DrainKind.BACKEND, name, "lab", "", "")))
-        log.change(AcquireLease(f"probe/{name}", "p1#a", 1000))
-    log.change(PutDrain(Drain(DrainKind.ZONE, "z9", "lab", "", "")))
-    log.change(AcquireLease("failover", "p1#a", 1000))
-    log.change(AcquireLease("script", "me", 1000))
+        log.apply(PutDrain(Drain(DrainKind.BACKEND, name, "lab", "", "")))
+        log.apply(AcquireLease(f"probe/{name}", "p1#a", 1000))
+    log.apply(PutDrain(Drain(DrainKind.ZONE, "z9", "lab", "", "")))
+    log.apply(AcquireLease("failover", "p1#a", 1000))
+    log.apply(AcquireLease("script", "me", 1000))
     fanout.apply(log.state.delta_since(fanout.version))
     encoded: list[StateDelta] = []
 
@@ -69,7 +69,7 @@
     fanout.subscribe("quick", Subscription("z1"), 0)
     assert set(_updates(fanout, 0)) == {"slow", "quick"}
     for i in range(400):
-        log.change(PutDrain(Drain(DrainKind.BACKEND, f"b{i % 90}", "lab", "", str(i))))
+        log.apply(PutDrain(Drain(DrainKind.BACKEND, f"b{i % 90}", "lab", "", str(i))))
         fanout.apply(log.state.delta_since(fanout.version))
         assert set(_updates(fanout, i, {"slow": 1})) == {"quick"}
         history = fanout.state.history
@@ -79,7 +79,7 @@
 
 
 def test_changes_outside_a_subscription_cause_no_update() -> None:
-    """Found with 6,400 hollow proxies: each batch of joins anywhere cost every proxy a frame."""
+    """Guards against a frame to each of 6,400 proxies for every batch of joins anywhere."""
     log, fanout = StateLog("o1"), SubscriptionFanout(heartbeat_ns=TERM_NS)
     fanout.apply(log.state.delta_since(0))
     for name in ("z1", "z2"):
@@ -87,7 +87,7 @@
     _updates(fanout, 0)
     snapshot = ClusterSnapshot().apply(log.state.delta_since(0))
     for i in range(20):
-        log.join("o1", MemberJoin(f"p{i}", "a", 1, "z1"))
+        log.update_members("o1", MemberJoin(f"p{i}", "a", 1, "z1"))
         fanout.apply(log.state.delta_since(fanout.version))
         assert set(_updates(fanout, i)) == {"z1"}
     heartbeat = _updates(fanout, TERM_NS)["z2"]
@@ -102,11 +102,11 @@
 def test_older_version_never_replaces_a_newer_one() -> None:
     log, fanout = StateLog("o1"), SubscriptionFanout()
     older = log.state.delta_since(0)
-    log.change(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
+    log.apply(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
     fanout.apply(log.state.delta_since(0))
     version = fanout.version
     fanout.apply(older)
-    assert fanout.version == version and fanout.drains, "a keeper that lags"
+    assert fanout.version == version and fanout.drains, "a delta of a lagging keeper is ignored"
     fanout.subscribe(
         "p1", Subscription("z1"), version + 5
     )  # it was attached to an observer that was ahead
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("versions_ahead", [5, 1 << 61])
 def test_subscriber_ahead_of_the_copy_blocks_no_other(versions_ahead: int) -> None:
-    """Found by review: it preceded the others, which then got updates at its heartbeats only."""
+    """Guards against a subscriber ahead of the copy that delays the others to its heartbeats."""
     log, fanout = StateLog("o1"), SubscriptionFanout(heartbeat_ns=TERM_NS)
     fanout.apply(log.state.delta_since(0))
     fanout.subscribe("ahead", Subscription("z1"), fanout.version + versions_ahead)
@@ -125,26 +125,26 @@
         fanout.subscribe(name, Subscription("z1"), 0)
     assert set(_updates(fanout, 0)) == {"ahead", "p1", "p2"}
     for now_ns in range(1, 4):
-        log.change(PutDrain(Drain(DrainKind.BACKEND, f"b{now_ns}", "lab", "", "")))
+        log.apply(PutDrain(Drain(DrainKind.BACKEND, f"b{now_ns}", "lab", "", "")))
         fanout.apply(log.state.delta_since(fanout.version))
         assert set(_updates(fanout, now_ns)) == {"p1", "p2"}
     assert set(_updates(fanout, TERM_NS)) == {"ahead"} and not _updates(fanout, TERM_NS + 1)
 
 
 def test_subscriber_between_two_versions_of_the_copy_gets_a_snapshot() -> None:
-    """Found by simulation: a row that came and went between two versions stayed with a subscriber."""
+    """Guards against a subscriber that keeps a row added and removed between two versions."""
     log, fanout = StateLog("o1"), SubscriptionFanout()
     fanout.apply(log.state.delta_since(0))
-    log.change(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
+    log.apply(PutDrain(Drain(DrainKind.BACKEND, "b1", "lab", "", "")))
     skipped_version = log.state.version
     snapshot = ClusterSnapshot().apply(log.state.delta_since(0))
-    log.change(RemoveDrain(DrainKind.BACKEND, "b1", "lab"))
+    log.apply(RemoveDrain(DrainKind.BACKEND, "b1", "lab"))
     fanout.apply(log.state.delta_since(fanout.version))
     fanout.subscribe("p1", Subscription("z1"), skipped_version)
     updates = _updates(fanout, 0)["p1"]
     assert snapshot is not None and snapshot.drains and updates.since_version == 0
-    followed = snapshot.apply(updates)
-    assert followed is not None and not followed.drains
+    updated = snapshot.apply(updates)
+    assert updated is not None and not updated.drains
 
 
 def test_round_is_linear_in_subscribers_that_lack_something() -> None:
@@ -161,7 +161,7 @@
 
     rows = fanout.due_updates(1, 1000, msgspec.msgpack.encode, unsent_bytes)
     assert list(rows) == [] and checked == [], "no subscriber lacks anything, so none is checked"
-    assert len(_updates(fanout, TERM_NS)) == 500, "a heartbeat"
+    assert len(_updates(fanout, TERM_NS)) == 500, "all are due a heartbeat"
 
 
 @pytest.mark.parametrize(
