--- a/mothstall/net/backend_side/backend.py
+++ b/mothstall/net/backend_side/backend.py
@@ -46,7 +46,9 @@
 log = logging.getLogger("mothstall.backend")
 
 PROBE_TIMEOUT_NS = NS  # of a load probe
-IDLE_PART = 0.6  # of the backend's own idle timeout, after which an idle connection is closed
+IDLE_TIMEOUT_FRACTION = (
+    0.6  # of the backend's own idle timeout, after which an idle connection is closed
+)
 STALLED_LOOP_S = 0.01  # a timer that is this late shows that this process stood still
 STALLED_LOOP_READ_S = 0.005  # the time that is then given to read what has come
 # A connection that this machine could not open: no descriptor, port or memory. No fault of the
@@ -80,7 +82,7 @@
         pool: ConnectionPool,
         connect_timeout_ns: int,
         load_names: tuple[str, ...],
-        figures: RequestMetrics,
+        metrics: RequestMetrics,
         report: Callable[[BackendReport], None],
     ) -> None:
         super().__init__(f"backend {ident}", loop, counters)
@@ -95,7 +97,7 @@
         self._pool = pool
         self._report = report
         self._load_names = load_names
-        self._metrics = figures
+        self._metrics = metrics
         self._connect_timeout_s = connect_timeout_ns / NS
         # The latest to fall idle is used first, so that the others reach their idle timeout.
         self._idle: list[BackendConnection] = []
@@ -180,13 +182,13 @@
     ) -> None:
         """End an attempt as succeeded whose long response has begun."""
         load = self._parse_load(message.headers.get(protocol.LOAD_HEADER))
-        answer = protocol.BackendResponse(
+        response = protocol.BackendResponse(
             b"", protocol.forwarded_headers(message.raw_headers), stream, length
         )
         if attempt.command is None or attempt.is_over:
             stream.drop()
             return
-        self._end_attempt(attempt, AttemptResult.OK, load, answer)
+        self._end_attempt(attempt, AttemptResult.OK, load, response)
 
     def on_unsolicited_bytes(self) -> None:
         """Note that the backend sent more than the response."""
@@ -250,13 +252,15 @@
     def _start_attempt(self, command: SendAttempt | None) -> None:
         """Send a request, or without a command a load probe."""
         now_ns = self._clock.now()
-        attempt = self._open_probe(now_ns) if command is None else self._open(command, now_ns)
+        attempt = (
+            self._open_probe(now_ns) if command is None else self._open_attempt(command, now_ns)
+        )
         while (connection := self._pool.take_idle(self._idle)) is not None:
             if connection.is_connected():
                 self._write_request(attempt, connection)
                 return
             connection.drop()
-        if not self._is_wanted(attempt, now_ns) or not self._pool.has_capacity():
+        if not self._is_client_waiting(attempt, now_ns) or not self._pool.has_capacity():
             self._end_attempt(attempt, AttemptResult.NOT_SENT)
             return
         self._pool.open_count += 1
@@ -264,7 +268,7 @@
         attempt.connect_task = self.loop.create_task(self._connect(attempt))
         attempt.connect_task.add_done_callback(partial(self._on_connect_task_done, attempt))
 
-    def _open(self, command: SendAttempt, now_ns: int) -> OpenAttempt:
+    def _open_attempt(self, command: SendAttempt, now_ns: int) -> OpenAttempt:
         due_s = self._clock.loop_time(command.due_ns)
         attempt = OpenAttempt(command, now_ns, due_s)
         self._in_flight[command.request, command.attempt] = attempt
@@ -328,7 +332,7 @@
 
     def _write_request(self, attempt: OpenAttempt, connection: BackendConnection) -> None:
         now_ns = self._clock.now()
-        if self._is_too_late(attempt, now_ns) or not self._is_wanted(attempt, now_ns):
+        if self._is_too_late(attempt, now_ns) or not self._is_client_waiting(attempt, now_ns):
             self.release_connection(connection, keep=True)
             self._end_attempt(attempt, AttemptResult.NOT_SENT)
             return
@@ -349,7 +353,7 @@
             return False
         return now_ns >= command.due_ns  # the timer that ends it runs behind this callback
 
-    def _is_wanted(self, attempt: OpenAttempt, now_ns: int) -> bool:
+    def _is_client_waiting(self, attempt: OpenAttempt, now_ns: int) -> bool:
         """Guards against an attempt that begins for a client that has left, noticed or not.
 
         What is on its way between the actors, waits for its connection or was held up by this
@@ -407,16 +411,16 @@
     ) -> None:
         """End an attempt whose response is complete; its connection is pooled if `keep`."""
         result = protocol.attempt_result(message.code, message.headers)
-        answer = None
+        response = None
         if attempt.command is None:
             load = self._parse_load(body.decode("utf-8", "replace").strip() or None)
         else:
             load = self._parse_load(message.headers.get(protocol.LOAD_HEADER))
             if result == AttemptResult.OK:
-                answer = protocol.BackendResponse(
+                response = protocol.BackendResponse(
                     body, protocol.forwarded_headers(message.raw_headers)
                 )
-        self._end_attempt(attempt, result, load, answer, keep)
+        self._end_attempt(attempt, result, load, response, keep)
 
     def _parse_load(self, text: str | None) -> tuple[float, ...]:
         if not text or not self._load_names:
@@ -432,7 +436,7 @@
         attempt: OpenAttempt,
         result: AttemptResult,
         load: tuple[float, ...] = (),
-        answer: protocol.BackendResponse | None = None,
+        response: protocol.BackendResponse | None = None,
         keep: bool = False,
     ) -> None:
         if attempt.is_over:
@@ -463,6 +467,6 @@
             self._close_idle_connections()
         self._report(
             AttemptEnded(
-                command.request, command.attempt, self.number, result, latency_ns, load, answer
+                command.request, command.attempt, self.number, result, latency_ns, load, response
             )
         )
--- a/mothstall/net/backend_side/messages.py
+++ b/mothstall/net/backend_side/messages.py
@@ -108,7 +108,7 @@
         result: What became of it; it never says "never ran" of what may have run.
         latency_ns: Since it was sent.
         load: The values of the load report, in the settings' order; empty: none came.
-        answer: The response that is passed on to the client; None unless the result is OK.
+        response: The response that is passed on to the client; None unless the result is OK.
     """
 
     request: int
@@ -117,7 +117,7 @@
     result: AttemptResult
     latency_ns: int
     load: tuple[float, ...]
-    answer: protocol.BackendResponse | None
+    response: protocol.BackendResponse | None
 
 
 @dataclass(slots=True)
--- a/mothstall/net/backend_side/pool.py
+++ b/mothstall/net/backend_side/pool.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from mothstall.net.backend_side.connection import BackendConnection
 
-REST_S = 0.02  # how long a connection rests while backends send unsolicited bytes
-REST_PERIOD_S = 60.0  # how long after the last such bytes connections rest
+REUSE_DELAY_S = 0.02  # how long a connection rests while backends send unsolicited bytes
+REUSE_DELAY_PERIOD_S = 60.0  # how long after the last such bytes connections rest
 
 
 class ConnectionPool:
@@ -29,24 +29,24 @@
 
     def __init__(
         self,
-        idle_s: float,
-        most: int,
+        idle_timeout_s: float,
+        max_connections: int,
         counters: Counters,
         loop: asyncio.AbstractEventLoop,
         grants: BufferGrants | None = None,
-        most_body: int = protocol.MAX_BUFFERED_BODY_BYTES,
+        max_body_bytes: int = protocol.MAX_BUFFERED_BODY_BYTES,
     ) -> None:
-        self.max_connections = most
+        self.max_connections = max_connections
         self.counters = counters
         self.loop = loop
         self.buffer_grants = grants or BufferGrants(1)
-        self.max_body_bytes = most_body
+        self.max_body_bytes = max_body_bytes
         self.open_count = 0
         self.connections: set[BackendConnection] = set()
-        self._idle_timeout_s = idle_s
+        self._idle_timeout_s = idle_timeout_s
         # Since when each is idle, on the loop's clock; in that order.
         self._idle: dict[BackendConnection, float] = {}
-        self._rest_until_s = 0.0
+        self._reuse_delayed_until_s = 0.0
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     def has_capacity(self) -> bool:
@@ -67,7 +67,7 @@
 
     def note_unsolicited_bytes(self) -> None:
         """Let connections rest for a while: a backend sent more than a response."""
-        self._rest_until_s = self.loop.time() + REST_PERIOD_S
+        self._reuse_delayed_until_s = self.loop.time() + REUSE_DELAY_PERIOD_S
 
     def take_idle(self, idle: list[BackendConnection]) -> BackendConnection | None:
         """Take the one to use next out of a backend's idle connections.
@@ -79,21 +79,21 @@
         """
         if not idle:
             return None
-        if not self._rest_until_s or self.loop.time() >= self._rest_until_s:
+        if not self._reuse_delayed_until_s or self.loop.time() >= self._reuse_delayed_until_s:
             connection = idle.pop()
         else:
-            rested = self._latest_rested(idle)
-            if rested is None:
+            reusable = self._latest_reusable(idle)
+            if reusable is None:
                 return None
-            connection = rested
+            connection = reusable
             idle.remove(connection)
         self._idle.pop(connection, None)
         return connection
 
-    def _latest_rested(self, idle: list[BackendConnection]) -> BackendConnection | None:
+    def _latest_reusable(self, idle: list[BackendConnection]) -> BackendConnection | None:
         now = self.loop.time()
         for connection in reversed(idle):
-            if now - self._idle.get(connection, now) >= REST_S:
+            if now - self._idle.get(connection, now) >= REUSE_DELAY_S:
                 return connection
         return None
 
@@ -104,10 +104,10 @@
     def _close_expired(self) -> None:
         self._sweep_timer = None
         now = self.loop.time()
-        for connection, since in list(self._idle.items()):
-            if now - since < self._idle_timeout_s:
+        for connection, idle_since_s in list(self._idle.items()):
+            if now - idle_since_s < self._idle_timeout_s:
                 self._sweep_timer = self.loop.call_at(
-                    since + self._idle_timeout_s, self._close_expired
+                    idle_since_s + self._idle_timeout_s, self._close_expired
                 )
                 return
             connection.drop()
--- a/mothstall/net/client_side/acceptor.py
+++ b/mothstall/net/client_side/acceptor.py
@@ -76,12 +76,12 @@
         """Whether the listener is open, also while accepting is paused."""
         return self._listener is not None
 
-    def _accept(self, at_the_end: bool = False) -> None:
+    def _accept(self, ignore_budget: bool = False) -> None:
         """Accept what waits in the backlog, as far as there is capacity for it."""
         budget = self._budget
         assert budget is not None
         while self._listener:
-            if not at_the_end and not budget.has_capacity():
+            if not ignore_budget and not budget.has_capacity():
                 budget.waiting_since = budget.waiting_since or self._loop.time()
                 # Descriptors of what was aborted just now are back after this iteration of the
                 # loop.
@@ -92,8 +92,8 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 budget.waiting_since = None
                 return
-            except OSError as why:
-                log.warning("accept failed", extra={"kv": {"why": why}})
+            except OSError as error:
+                log.warning("accept failed", extra={"kv": {"why": error}})
                 budget.abort_one()
                 self._pause(ACCEPT_PAUSE_S)
                 return
@@ -113,11 +113,13 @@
         arrived_ns: int = 0,
         is_late: bool = False,
     ) -> None:
-        task = self._loop.create_task(self._set_up(sock, is_idle, age_s, arrived_ns, is_late))
+        task = self._loop.create_task(
+            self._set_up_connection(sock, is_idle, age_s, arrived_ns, is_late)
+        )
         self.accepting.add(task)
         task.add_done_callback(self.accepting.discard)
 
-    async def _set_up(
+    async def _set_up_connection(
         self, sock: socket.socket, is_idle: bool, age_s: float, arrived_ns: int, is_late: bool
     ) -> None:
         try:
@@ -126,10 +128,10 @@
             sock.close()
             return
         if connection.state == ConnectionState.NEW and connection.transport is not None:
-            connection.accepted(arrived_ns, is_late)
+            connection.on_accepted(arrived_ns, is_late)
             if is_idle:
                 connection.enter(ConnectionState.IDLE)
-            connection.since -= age_s
+            connection.state_since_s -= age_s
 
     def _pause(self, seconds: float) -> None:
         if self._listener:
@@ -167,7 +169,7 @@
         if self._listener:
             self.pause()
             if self._listen_fd is None:
-                self._accept(at_the_end=True)
+                self._accept(ignore_budget=True)
             self._listener.close()
             self._listener = None
         await asyncio.gather(*self.accepting)
--- a/mothstall/net/client_side/connection.py
+++ b/mothstall/net/client_side/connection.py
@@ -45,7 +45,7 @@
     Attributes:
         frontend: What all connections share.
         state: What the connection is doing; changed by `enter` alone.
-        since: When the state was entered, or its time began anew (loop time, seconds).
+        state_since_s: When the state was entered, or its time began anew (loop time, seconds).
         arrived_ns: Since when what is read may have been there (clock, nanoseconds).
         request: The request that is read or open.
         exchange: The open request, and what it holds; None in a state that has none open.
@@ -74,15 +74,15 @@
         "keeps_alive",
         "pipelined",
         "request",
-        "since",
         "state",
+        "state_since_s",
     )
 
     def __init__(self, frontend: Frontend, server: web_server.Server) -> None:
         super().__init__(server, frontend.loop, 2 * protocol.MAX_BUFFERED_BODY_BYTES)
         self.frontend = frontend
         self.state = ConnectionState.NEW
-        self.since = 0.0
+        self.state_since_s = 0.0
         self.arrived_ns = 0
         self.request: protocol.ClientRequest | None = None
         self.exchange: OpenExchange | None = None
@@ -110,7 +110,7 @@
         self.arrived_ns = self.frontend.clock.arrived_after_ns()
         self.enter(ConnectionState.NEW)
 
-    def accepted(self, arrived_ns: int, is_late: bool) -> None:
+    def on_accepted(self, arrived_ns: int, is_late: bool) -> None:
         """Say since when its first request may have been there.
 
         Args:
@@ -124,24 +124,24 @@
         """End all that the connection has open."""
         if not self.unregister(exc):
             return
-        self.leave()
-        self.frontend.table.leave(self)
+        self.on_client_left()
+        self.frontend.table.remove(self)
         self.detach(exc)
-        self.forget_pipelined()
+        self.discard_pipelined()
         self.end_exchange(ExchangeEnd.WITHDRAWN)
         self.request = self.body.payload = None
         self.body.parts = []
 
     def eof_received(self) -> None:
         """A client that ends its sending has gone, also with an earlier response still to take."""
-        self.leave()
+        self.on_client_left()
 
-    def leave(self) -> None:
+    def on_client_left(self) -> None:
         """The client has gone: its open request is withdrawn."""
         if self.state in (ConnectionState.AWAITING_RESPONSE, ConnectionState.UPLOADING):
             self.enter(ConnectionState.LINGERING)
 
-    def forget_pipelined(self) -> None:
+    def discard_pipelined(self) -> None:
         """Drop what came behind the open request."""
         self._messages.clear()
         self.pipelined.clear()
@@ -170,7 +170,7 @@
         if self.relay is not None:
             self.relay.stream.sink_ready()
         else:
-            self.take_next()
+            self.start_next_request()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
         """Resume the parser, called by the buffer of a body.
@@ -190,7 +190,7 @@
         if self.state in READS_BODY:
             self._parse(b"")
 
-    def has_more(self) -> bool:
+    def has_pipelined_input(self) -> bool:
         """Tell whether something behind the last request may have been read already."""
         return (
             self._was_pipelined
@@ -208,7 +208,7 @@
 
     def abort(self) -> None:
         """End at once, whatever its client has still to take: its descriptor is needed."""
-        self.frontend.table.leave(self)
+        self.frontend.table.remove(self)
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
@@ -230,10 +230,10 @@
         if self.exchange is not None and state not in HAS_OPEN_EXCHANGE:
             self.end_exchange(ExchangeEnd.WITHDRAWN)
         table = self.frontend.table
-        table.leave(self)
+        table.remove(self)
         self.state = state
-        self.since = self.frontend.loop.time()
-        table.enter(self)
+        self.state_since_s = self.frontend.loop.time()
+        table.add(self)
 
     # Reading
 
@@ -251,7 +251,7 @@
         if self._parser is None or self.transport is None:
             return
         if self.pipelined.pieces or state in DEFERS_INPUT:
-            self._hold_back(data)
+            self._buffer_pipelined(data)
         else:
             self._receive(data, self.frontend.clock.arrived_after_ns())
 
@@ -262,22 +262,24 @@
             # accepted.
             if (
                 state == ConnectionState.IDLE
-                or self.frontend.loop.time() - self.since > FIRST_REQUEST_S
+                or self.frontend.loop.time() - self.state_since_s > FIRST_REQUEST_S
             ):
                 self.arrived_ns = arrived_ns
-            since = self.since
+            state_since_s = self.state_since_s
             self.enter(ConnectionState.READING_HEAD)
             if state == ConnectionState.NEW:
-                self.since = since  # a complete head is owed since the connection was opened
+                self.state_since_s = (
+                    state_since_s  # a complete head is owed since the connection was opened
+                )
         self._parse(data)
 
-    def _hold_back(self, data: bytes) -> None:
+    def _buffer_pipelined(self, data: bytes) -> None:
         """Hold input unparsed, so that its client's leaving is always seen."""
         self.pipelined.append(data, self.frontend.clock.arrived_after_ns())
         if self.state in DEFERS_INPUT and self.pipelined.exceeds_limit():
             # Guards against a client whose leaving would hide behind what it sent at once: it is
             # read on.
-            self.forget_pipelined()
+            self.discard_pipelined()
             lingering_close.discard_further_input(self, 400, "too much was sent ahead of an answer")
 
     def _take_pipelined(self) -> None:
@@ -310,9 +312,9 @@
         elif self.state in READS_BODY:
             request_body.on_data(self)
         elif self.state == ConnectionState.READING_HEAD and self._messages:
-            self.take_next()
+            self.start_next_request()
 
-    def take_next(self) -> None:
+    def start_next_request(self) -> None:
         """Take up the next request, if none is open and the last response went out."""
         if (
             self.state not in (ConnectionState.IDLE, ConnectionState.READING_HEAD)
@@ -334,10 +336,10 @@
         if is_late and has_peer_hung_up(self.transport):
             # Guards against a request that waited unread longer than its client: this process stood
             # still, or had no descriptor for it.
-            self.forget_pipelined()
+            self.discard_pipelined()
             self.force_close()
             return
-        request_head.take(self, message, payload)  # type: ignore[arg-type]
+        request_head.handle_head(self, message, payload)  # type: ignore[arg-type]
         if self._parser_may_hold_more and len(self._messages) <= self._msg_queue_resume_size:
             self._parser_may_hold_more = False
             self._parse(b"")
@@ -376,7 +378,7 @@
     def resume(self) -> None:
         """Read on."""
         self.is_read_blocked = False
-        self.since = self.frontend.loop.time()
+        self.state_since_s = self.frontend.loop.time()
         if self.pipelined.pieces:
             self._loop.call_soon(self._take_pipelined)
         if not self._buffer_paused and not self._reading_paused:
@@ -400,53 +402,55 @@
         ):
             return False
         if check_socket and has_peer_hung_up(self.transport):
-            self.leave()
+            self.on_client_left()
             self.force_close()
             return False
         return True
 
     # Writing
 
-    def answer(self, reply: ClientResponse) -> None:
+    def send_response(self, response: ClientResponse) -> None:
         """Write the final response to the open request."""
         is_open = self.state in (ConnectionState.AWAITING_RESPONSE, ConnectionState.UPLOADING)
         if not is_open or self.transport is None:
-            if reply.stream is not None:
-                reply.stream.drop()
+            if response.stream is not None:
+                response.stream.drop()
             return
-        if reply.stream is not None:
-            response_relay.start(self, reply, reply.stream)
+        if response.stream is not None:
+            response_relay.start(self, response, response.stream)
             return
         self.end_exchange(ExchangeEnd.ANSWERED)
         if self.state == ConnectionState.UPLOADING:
-            self._answer_early(reply)
+            self._send_early_response(response)
         else:
-            self.write_response(reply)
+            self.write_response(response)
 
-    def _answer_early(self, reply: ClientResponse) -> None:
+    def _send_early_response(self, response: ClientResponse) -> None:
         """Write the response at once; what still comes of the body is read and thrown away.
 
         Guards against a client that reads its response only after it has written: it would see a
         reset.
         """
         assert self.transport is not None
-        self.keeps_alive = self.keeps_alive and not self.frontend.ends_connections()
+        self.keeps_alive = self.keeps_alive and not self.frontend.closes_after_response()
         self.transport.write(
-            protocol.encode_response(reply.status, reply.head, reply.body, not self.keeps_alive)
+            protocol.encode_response(
+                response.status, response.head, response.body, not self.keeps_alive
+            )
         )
         self.enter(ConnectionState.DISCARDING_BODY)
         self.resume()
         request_body.on_data(self)
 
-    def write_response(self, reply: ClientResponse) -> None:
+    def write_response(self, response: ClientResponse) -> None:
         """Write a complete response, and go on."""
         transport = self.transport
         self.body.payload = None
         if transport is None:
             return
-        keeps_alive = self.keeps_alive and not self.frontend.ends_connections()
+        keeps_alive = self.keeps_alive and not self.frontend.closes_after_response()
         transport.write(
-            protocol.encode_response(reply.status, reply.head, reply.body, not keeps_alive)
+            protocol.encode_response(response.status, response.head, response.body, not keeps_alive)
         )
         self.keeps_alive = keeps_alive
         self.after_response(transport)
@@ -463,9 +467,9 @@
             rejection.reject_and_close(self, *self.deferred_error)
         elif self._messages or self.pipelined.pieces:
             # Guards against a pipeline that keeps the loop to itself.
-            self._loop.call_soon(self.take_next)
+            self._loop.call_soon(self.start_next_request)
 
-    def reject_open_request(self, status: int, why: str) -> None:
+    def reject_open_request(self, status: int, reason: str) -> None:
         """Answer the open request with an error too; it is forwarded no more."""
         self.enter(ConnectionState.READING_BODY)
-        rejection.reject_and_close(self, status, why)
+        rejection.reject_and_close(self, status, reason)
--- a/mothstall/net/client_side/connection_handover.py
+++ b/mothstall/net/client_side/connection_handover.py
@@ -15,12 +15,14 @@
 from mothstall.net.lifecycle import Lifecycle, Phase
 from mothstall.net.listener import unsent_bytes
 
-# The backend's place within its chunked coding: see ChunkedDecoder.
-ChunkedPlace = tuple[int, int, bytes] | None
+# The backend's position within its chunked coding: see ChunkedDecoder.
+ChunkedPosition = tuple[int, int, bytes] | None
 # Arguments: descriptors of a client and its backend (none: it owes nothing), how many bytes the
-# backend owes, its place in its chunks, whether the client gets chunks, what is encoded for it
+# backend owes, its position in its chunks, whether the client gets chunks, what is encoded for it
 # already, and what is buffered.
-GiveResponse = Callable[[int, int | None, int | None, ChunkedPlace, bool, bytes, list[bytes]], bool]
+GiveResponse = Callable[
+    [int, int | None, int | None, ChunkedPosition, bool, bytes, list[bytes]], bool
+]
 # Arguments: descriptor of a client, whether nothing came on it yet, its age in seconds.
 GiveConnection = Callable[[int, bool, float], bool]
 
@@ -59,12 +61,16 @@
     def hand_over(self, connection: Connection) -> bool:
         """Give a connection on which nothing is open to the process that took over."""
         transport = connection.transport
-        if transport is None or transport.get_write_buffer_size() or connection.has_more():
+        if (
+            transport is None
+            or transport.get_write_buffer_size()
+            or connection.has_pipelined_input()
+        ):
             return False
         sock = transport.get_extra_info("socket")
         transport.pause_reading()  # what comes from now on waits in the kernel
         is_new = connection.state == ConnectionState.NEW
-        age_s = self._loop.time() - connection.since
+        age_s = self._loop.time() - connection.state_since_s
         if not self._target.give_connection(sock.fileno(), is_new, age_s):
             transport.resume_reading()
             return False
@@ -87,7 +93,7 @@
             for connection in list(self._table.by_state[state]):
                 self._hand_over_response(connection)
 
-    def thaw_responses(self) -> None:
+    def resume_responses(self) -> None:
         """Go on with what waited for the process that took over, which is gone."""
         for connection in list(self._table.by_state[ConnectionState.RELAYING]):
             if connection.relay is not None:
@@ -98,7 +104,7 @@
         if transport is None:
             return
         if connection.relay is None:
-            self._hand_over_tail(connection, transport)
+            self._hand_over_unsent_bytes(connection, transport)
             return
         stream = connection.relay.stream
         if stream.is_truncated:
@@ -108,21 +114,21 @@
         if encoded is None:
             return  # the next sweep tries again
         source = stream.source
-        place: tuple[int | None, int | None, ChunkedPlace] | None = None
+        position: tuple[int | None, int | None, ChunkedPosition] | None = None
         if stream.has_ended:
             # Of a response that came complete nothing is owed, however much its client has still to
             # take.
-            place = (None, 0, None)
+            position = (None, 0, None)
         elif isinstance(source, BackendConnection):
-            place = source.handover_position()
-        if place is None:
+            position = source.handover_position()
+        if position is None:
             stream.thaw()
             return
-        backend, remaining, coding = place
+        backend, remaining, chunk_position = position
         client = transport.get_extra_info("socket").fileno()
         is_chunked = connection.relay.is_chunked
         if not self._target.give_response(
-            client, backend, remaining, coding, is_chunked, encoded, stream.buffered
+            client, backend, remaining, chunk_position, is_chunked, encoded, stream.buffered
         ):
             stream.thaw()
             return
@@ -133,7 +139,7 @@
             source.sink_closed()
         connection.release()
 
-    def _hand_over_tail(self, connection: Connection, transport: asyncio.Transport) -> None:
+    def _hand_over_unsent_bytes(self, connection: Connection, transport: asyncio.Transport) -> None:
         """Guards against a slow reader whose last bytes would go down with this process."""
         encoded = unsent_bytes(transport)
         if not encoded:
--- a/mothstall/net/client_side/connection_table.py
+++ b/mothstall/net/client_side/connection_table.py
@@ -20,11 +20,11 @@
     def __init__(self) -> None:
         self.by_state: tuple[dict[Connection, None], ...] = tuple({} for _ in ConnectionState)
 
-    def enter(self, connection: Connection) -> None:
+    def add(self, connection: Connection) -> None:
         """Add a connection to its present state."""
         self.by_state[connection.state][connection] = None
 
-    def leave(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """Take a connection out of its present state; no effect if it is not there."""
         self.by_state[connection.state].pop(connection, None)
 
--- a/mothstall/net/client_side/deadlines.py
+++ b/mothstall/net/client_side/deadlines.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.connection import Connection
 
-UNREAD_S = 5.0  # a client may leave the end of a response unread for so long
+UNREAD_RESPONSE_TIMEOUT_S = 5.0  # a client may leave the end of a response unread for so long
 PENALTY_S = 1.0  # between a request that was rejected and the next one of its connection
 
 
@@ -28,7 +28,7 @@
     elif state in (ConnectionState.UPLOADING, ConnectionState.DISCARDING_BODY):
         _check_upload(connection, now)
     elif state == ConnectionState.PENALIZED:
-        if now - connection.since >= PENALTY_S:
+        if now - connection.state_since_s >= PENALTY_S:
             _end_penalty(connection)
     else:
         _check_timeout(connection, now)
@@ -37,11 +37,11 @@
 def _check_upload(connection: Connection, now: float) -> None:
     stream = connection.body.stream
     if stream is not None and stream.is_paused:
-        connection.since = now
+        connection.state_since_s = now
         if has_peer_hung_up(connection.transport):
             # Guards against a client whose leaving is not read, as its body is held up.
             connection.force_close()
-    elif now - connection.since >= request_body.UPLOAD_S:
+    elif now - connection.state_since_s >= request_body.UPLOAD_PROGRESS_TIMEOUT_S:
         connection.frontend.counters.add("connections_overdue")
         request_body.abandon(connection, 408, "the request did not come")
 
@@ -51,17 +51,17 @@
     if connection.deferred_error is not None:
         rejection.reject_and_close(connection, *connection.deferred_error)
     else:
-        connection.take_next()
+        connection.start_next_request()
 
 
 def _check_timeout(connection: Connection, now: float) -> None:
     state = connection.state
-    age_s = now - connection.since
+    age_s = now - connection.state_since_s
     transport = connection.transport
     if transport is None or age_s < STATE_TIMEOUT_S[state]:
         return
     is_ending = state in (ConnectionState.LINGERING, ConnectionState.REJECTED)
-    if age_s < UNREAD_S and _has_unread(connection, transport, is_ending):
+    if age_s < UNREAD_RESPONSE_TIMEOUT_S and _has_unread(connection, transport, is_ending):
         return
     if is_ending:
         transport.abort()
@@ -92,7 +92,7 @@
 def check_drained(connection: Connection, now: float, is_overdue: bool) -> None:
     """Guards against a connection idle, or with half a request, past the end of a drain."""
     state = connection.state
-    is_silent = now - connection.since >= SILENT_S
+    is_silent = now - connection.state_since_s >= SILENT_S
     if state == ConnectionState.IDLE or (state == ConnectionState.NEW and is_silent):
         lingering_close.begin(connection)
         return
--- a/mothstall/net/client_side/frontend.py
+++ b/mothstall/net/client_side/frontend.py
@@ -20,7 +20,7 @@
 from mothstall.net.client_side.connection_handover import ConnectionHandover, HandoverTarget
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.client_side.connection_table import ConnectionTable
-from mothstall.net.client_side.load_shedding import SHED_HURRIED_S, ConnectionBudget
+from mothstall.net.client_side.load_shedding import SHED_URGENT_S, ConnectionBudget
 from mothstall.net.client_side.open_exchange import ExchangeEnd, OpenExchange
 from mothstall.net.client_side.pipelined_input import PipelinedInputBudget
 from mothstall.net.clock import Clock
@@ -32,7 +32,7 @@
     from aiohttp import web
 
 SWEEP_S = 0.1  # between two checks of all connections
-STOP_S = 0.05  # for what is still open when the time to stop is over
+SHUTDOWN_TIMEOUT_S = 0.05  # for what is still open when the time to stop is over
 
 
 @dataclass(frozen=True)
@@ -151,7 +151,7 @@
         return self.acceptor.port
 
     @property
-    def count(self) -> int:
+    def connection_count(self) -> int:
         """Client connections that are open."""
         return len(self._accepted)
 
@@ -159,11 +159,11 @@
         """Count the connections of each state that has any."""
         return self.table.counts()
 
-    def takes_clients(self) -> bool:
+    def accepts_new_clients(self) -> bool:
         """Tell whether new clients are welcome."""
         return self._ready() and self.acceptor.is_listening and self.phases.taking
 
-    def ends_connections(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Tell whether a response is the last of its connection: at a drain, or to make room."""
         return self.phases.closing or self.budget.is_under_pressure()
 
@@ -171,7 +171,7 @@
         """Return what the proxy says of itself at `path`."""
         if path == "/counters":
             return ClientResponse(200, self.counters.text().encode())
-        if self.takes_clients():
+        if self.accepts_new_clients():
             return ClientResponse(200, b"ready\n")
         return ClientResponse(503, b"not ready\n")
 
@@ -198,7 +198,9 @@
         connection.open_exchange(OpenExchange(number, request), state)
         latest = self.phases.latest(self.loop.time())
         latest_ns = None if latest is None else self.clock.unix_ns(latest)
-        self._decide(RequestArrived(number, request, arrived_ns, connection.answer, latest_ns))
+        self._decide(
+            RequestArrived(number, request, arrived_ns, connection.send_response, latest_ns)
+        )
         return number
 
     def end_exchange(self, exchange: OpenExchange, end: ExchangeEnd) -> None:
@@ -245,12 +247,12 @@
             self.handover.hand_over_responses()
         now = self.loop.time()
         for state, min_age_s in (
-            (ConnectionState.IDLE, SHED_HURRIED_S),
+            (ConnectionState.IDLE, SHED_URGENT_S),
             (ConnectionState.NEW, SILENT_S),
-            (ConnectionState.PENALIZED, SHED_HURRIED_S),
+            (ConnectionState.PENALIZED, SHED_URGENT_S),
         ):
             for connection in list(self.table.by_state[state]):
-                if now - connection.since >= min_age_s:
+                if now - connection.state_since_s >= min_age_s:
                     lingering_close.begin(connection)
         return bool(self._accepted)
 
@@ -258,4 +260,4 @@
         """End what is still open."""
         if self._sweep_timer:
             self._sweep_timer.cancel()
-        await self._server.shutdown(STOP_S)
+        await self._server.shutdown(SHUTDOWN_TIMEOUT_S)
--- a/mothstall/net/client_side/lingering_close.py
+++ b/mothstall/net/client_side/lingering_close.py
@@ -32,7 +32,7 @@
     transport = connection.transport
     if transport is None:
         return
-    connection.forget_pipelined()
+    connection.discard_pipelined()
     connection.deferred_error = None
     connection.discarded_bytes = 0
     connection.is_read_blocked = False
@@ -58,9 +58,9 @@
         connection._pause_transport_reading()
 
 
-def discard_further_input(connection: Connection, status: int, why: str) -> None:
+def discard_further_input(connection: Connection, status: int, reason: str) -> None:
     """Discard what comes behind the open request; an error follows that request's response."""
-    connection.deferred_error = (status, why)
+    connection.deferred_error = (status, reason)
     connection.discarded_bytes = 0
     connection.set_max_read(DISCARD_READ_BYTES)
 
--- a/mothstall/net/client_side/load_shedding.py
+++ b/mothstall/net/client_side/load_shedding.py
@@ -13,19 +13,21 @@
 from mothstall.net.counters import Counters
 
 # From this part of the budget on a response is the last of its connection.
-KEEP_ALIVE_PART = 0.5
+KEEP_ALIVE_FRACTION = 0.5
 # This part of the budget, and at least so many connections, is free or being closed.
-SPARE_PART = 1 / 16
+SPARE_FRACTION = 1 / 16
 MIN_SPARE = 4
-PATIENCE_S = 0.1  # newcomers wait so long before connections that are idle for a moment are shed
+URGENT_AFTER_S = (
+    0.1  # newcomers wait so long before connections that are idle for a moment are shed
+)
 # A lingering close gets so long under pressure, if newcomers need not wait longer for it.
 LINGER_GRACE_S = 0.05
-HURRIED_LINGER_GRACE_S = ACCEPT_PAUSE_S  # the same when newcomers have waited for too long
+URGENT_LINGER_GRACE_S = ACCEPT_PAUSE_S  # the same when newcomers have waited for too long
 # Ages in a state from which a connection may be shed.
 SHED_NEW_S = FIRST_REQUEST_S
 SHED_INCOMPLETE_S = 0.5
 SHED_IDLE_S = 2.0
-SHED_HURRIED_S = 0.05
+SHED_URGENT_S = 0.05
 
 
 class ConnectionBudget:
@@ -49,7 +51,7 @@
     ) -> None:
         """Watch over `accepted` connections and those that are still `accepting`."""
         self.max_connections = max_connections
-        self.spare = max(MIN_SPARE, int(max_connections * SPARE_PART))
+        self.spare = max(MIN_SPARE, int(max_connections * SPARE_FRACTION))
         self._table = table
         self._accepted = accepted
         self._accepting = accepting
@@ -79,24 +81,24 @@
         as a reset.
         """
         now = self._loop.time()
-        is_hurried = self.waiting_since is not None and now - self.waiting_since > PATIENCE_S
+        is_urgent = self.waiting_since is not None and now - self.waiting_since > URGENT_AFTER_S
         by_state = self._table.by_state
         closing = [by_state[s] for s in (ConnectionState.REJECTED, ConnectionState.LINGERING)]
         excess = open_count - (self.max_connections - self.spare)
-        for connection in self._select(now, is_hurried, excess - sum(map(len, closing))):
+        for connection in self._select(now, is_urgent, excess - sum(map(len, closing))):
             self._counters.add("connections_shed")
             connection.shed()
         if open_count < self.max_connections:
             return
-        leaving = sorted(itertools.chain(*closing), key=Connection.has_unread_response)
-        grace_s = HURRIED_LINGER_GRACE_S if is_hurried else LINGER_GRACE_S
-        for connection in leaving[: self.spare]:
-            age_s = now - connection.since
-            if age_s >= grace_s and (is_hurried or not connection.has_unread_response()):
+        candidates = sorted(itertools.chain(*closing), key=Connection.has_unread_response)
+        grace_s = URGENT_LINGER_GRACE_S if is_urgent else LINGER_GRACE_S
+        for connection in candidates[: self.spare]:
+            age_s = now - connection.state_since_s
+            if age_s >= grace_s and (is_urgent or not connection.has_unread_response()):
                 connection.abort()
                 self.has_aborted = True
 
-    def _select(self, now: float, is_hurried: bool, count: int) -> list[Connection]:
+    def _select(self, now: float, is_urgent: bool, count: int) -> list[Connection]:
         """Choose at most `count` to shed.
 
         First those that never sent a request; one that was served only after 2 s, unless newcomers
@@ -108,22 +110,22 @@
             (ConnectionState.READING_HEAD, SHED_INCOMPLETE_S),
             (ConnectionState.READING_BODY, SHED_INCOMPLETE_S),
         ]
-        if is_hurried:
+        if is_urgent:
             min_ages += [
-                (ConnectionState.NEW, SHED_HURRIED_S),
-                (ConnectionState.READING_HEAD, SHED_HURRIED_S),
-                (ConnectionState.READING_BODY, SHED_HURRIED_S),
-                (ConnectionState.IDLE, SHED_HURRIED_S),
+                (ConnectionState.NEW, SHED_URGENT_S),
+                (ConnectionState.READING_HEAD, SHED_URGENT_S),
+                (ConnectionState.READING_BODY, SHED_URGENT_S),
+                (ConnectionState.IDLE, SHED_URGENT_S),
             ]
-        found: dict[Connection, None] = {}
+        selected: dict[Connection, None] = {}
         for state, min_age_s in min_ages:
             for connection in self._table.by_state[state]:
-                if len(found) >= count:
-                    return list(found)
-                if now - connection.since < min_age_s:
+                if len(selected) >= count:
+                    return list(selected)
+                if now - connection.state_since_s < min_age_s:
                     break  # the others came into this state later
-                found[connection] = None
-        return list(found)
+                selected[connection] = None
+        return list(selected)
 
     def abort_one(self) -> None:
         """Abort one connection at once, for want of a descriptor in spite of the budget."""
@@ -148,4 +150,4 @@
         """
         # Those in a lingering close can be ended at once.
         lingering = self._table.by_state[ConnectionState.LINGERING]
-        return len(self._accepted) - len(lingering) >= KEEP_ALIVE_PART * self.max_connections
+        return len(self._accepted) - len(lingering) >= KEEP_ALIVE_FRACTION * self.max_connections
--- a/mothstall/net/client_side/rejection.py
+++ b/mothstall/net/client_side/rejection.py
@@ -13,7 +13,7 @@
     from mothstall.net.client_side.connection import Connection
 
 
-def reject_request(connection: Connection, status: int, why: str) -> None:
+def reject_request(connection: Connection, status: int, reason: str) -> None:
     """Reject a request that is not well-formed: an error at once, nothing is forwarded.
 
     Guards against the same again as soon as it is rejected: the next one waits a while.
@@ -26,25 +26,25 @@
         or frontend.phases.closing
         or connection.transport is None
     ):
-        reject_and_close(connection, status, why)
+        reject_and_close(connection, status, reason)
         return
     connection.request = connection.body.payload = None
-    body = f"{why}\n".encode("utf-8", "replace")
+    body = f"{reason}\n".encode("utf-8", "replace")
     connection.transport.write(protocol.encode_response(status, PLAIN_TEXT_HEADER, body, False))
     connection.enter(ConnectionState.PENALIZED)
 
 
-def reject_and_close(connection: Connection, status: int, why: str) -> None:
+def reject_and_close(connection: Connection, status: int, reason: str) -> None:
     """Write an error and end the connection, such that the client gets to see the error."""
     if connection.state == ConnectionState.AWAITING_RESPONSE:
         # The open request is answered first.
-        lingering_close.discard_further_input(connection, status, why)
+        lingering_close.discard_further_input(connection, status, reason)
         return
     connection.deferred_error = None
     connection.request = connection.body.payload = None
     if connection.transport is None:
         return
-    body = f"{why}\n".encode("utf-8", "replace")
+    body = f"{reason}\n".encode("utf-8", "replace")
     head = PLAIN_TEXT_HEADER + (connection.frontend.retry_after_head if status == 503 else b"")
     connection.transport.write(protocol.encode_response(status, head, body, True))
     lingering_close.begin(connection, ConnectionState.REJECTED)
--- a/mothstall/net/client_side/request_body.py
+++ b/mothstall/net/client_side/request_body.py
@@ -16,7 +16,7 @@
     from mothstall.net.client_side.connection import Connection
 
 # A long body has to bring so many bytes in such a time.
-UPLOAD_S = 2.5
+UPLOAD_PROGRESS_TIMEOUT_S = 2.5
 MIN_UPLOAD_BYTES = 48 * 1024
 
 
@@ -61,7 +61,7 @@
     is_complete = payload.is_eof()
     if is_complete and body.stream is not None and has_peer_hung_up(connection.transport):
         # Guards against the last byte of a body that was held up, behind which its client has gone.
-        connection.leave()
+        connection.on_client_left()
         connection.force_close()
         return
     body.received_bytes += len(data)
@@ -70,7 +70,7 @@
         and connection.state != ConnectionState.READING_BODY
     ):
         body.progress_bytes = body.received_bytes
-        connection.since = connection.frontend.loop.time()
+        connection.state_since_s = connection.frontend.loop.time()
     if connection.state == ConnectionState.DISCARDING_BODY:
         if is_complete and connection.transport is not None:
             body.payload = None
@@ -124,17 +124,17 @@
     return False
 
 
-def abandon(connection: Connection, status: int, why: str) -> None:
+def abandon(connection: Connection, status: int, reason: str) -> None:
     """Give up a body that cannot be taken: what has begun of it ends."""
     if connection.state == ConnectionState.DISCARDING_BODY:
         lingering_close.begin(connection)
         return
     if connection.state == ConnectionState.UPLOADING:
         connection.enter(ConnectionState.READING_BODY)
-    rejection.reject_request(connection, status, why)
+    rejection.reject_request(connection, status, reason)
 
 
-def on_malformed_input(connection: Connection, why: str) -> None:
+def on_malformed_input(connection: Connection, reason: str) -> None:
     """Reject input that is no request; one that came complete before it is answered first."""
     connection.frontend.counters.add("requests_malformed")
     if connection.state in READS_BODY and connection.body.is_complete():
@@ -143,4 +143,4 @@
         # The request has its response: an error would be a second one.
         lingering_close.begin(connection)
     if connection.state not in IS_CLOSING:
-        rejection.reject_and_close(connection, 400, why)
+        rejection.reject_and_close(connection, 400, reason)
--- a/mothstall/net/client_side/request_head.py
+++ b/mothstall/net/client_side/request_head.py
@@ -18,7 +18,7 @@
 LOCAL_PAGES = ("/ready", "/counters")  # answered here, if no request id makes them a client's
 
 
-def take(connection: Connection, message: RawRequestMessage, payload: StreamReader) -> None:
+def handle_head(connection: Connection, message: RawRequestMessage, payload: StreamReader) -> None:
     """Check the head of a request, and begin with its body."""
     frontend = connection.frontend
     connection.keeps_alive = not message.should_close
@@ -31,8 +31,8 @@
         request = protocol.parse_request(
             message.method, message.path, message.raw_headers, b"", frontend.names
         )
-    except protocol.UnreadableMessageError as why:
-        rejection.reject_request(connection, 400, str(why))
+    except protocol.UnreadableMessageError as error:
+        rejection.reject_request(connection, 400, str(error))
         return
     length = message.headers.get("Content-Length", "0")
     if not (length.isascii() and length.isdigit()):
--- a/mothstall/net/client_side/response_relay.py
+++ b/mothstall/net/client_side/response_relay.py
@@ -79,22 +79,22 @@
         transport = connection.transport
         if transport is None:
             return
-        waiting = transport.get_write_buffer_size()
+        unacknowledged_bytes = transport.get_write_buffer_size()
         sock = transport.get_extra_info("socket")
         if sock is not None:
             queued = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4)
-            waiting += struct.unpack("i", queued)[0]
-        acknowledged = self.stream.delivered_bytes - waiting
-        if acknowledged != self.acknowledged_bytes or not waiting:
-            self.acknowledged_bytes = acknowledged
-            connection.since = now
-        elif now - connection.since >= STALL_S:
+            unacknowledged_bytes += struct.unpack("i", queued)[0]
+        acknowledged_bytes = self.stream.delivered_bytes - unacknowledged_bytes
+        if acknowledged_bytes != self.acknowledged_bytes or not unacknowledged_bytes:
+            self.acknowledged_bytes = acknowledged_bytes
+            connection.state_since_s = now
+        elif now - connection.state_since_s >= STALL_S:
             connection.frontend.counters.add("connections_overdue")
             connection.end_exchange(ExchangeEnd.CUT)
             lingering_close.reset(connection)
 
 
-def start(connection: Connection, reply: ClientResponse, stream: Stream) -> None:
+def start(connection: Connection, response: ClientResponse, stream: Stream) -> None:
     """Write the head of a long response; the rest follows as it comes."""
     transport = connection.transport
     exchange = connection.exchange
@@ -107,9 +107,9 @@
         upload.abort()
     is_http11 = connection.is_http11
     connection.keeps_alive = (
-        connection.keeps_alive and is_http11 and not connection.frontend.ends_connections()
+        connection.keeps_alive and is_http11 and not connection.frontend.closes_after_response()
     )
-    has_length = reply.length is not None
+    has_length = response.length is not None
     relay = ResponseRelay(connection, stream, is_http11 and not has_length, has_length)
     exchange.relay = relay
     connection.enter(ConnectionState.RELAYING)
@@ -120,7 +120,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     transport.write(
         protocol.encode_response_head(
-            reply.head, reply.length, is_http11, not connection.keeps_alive
+            response.head, response.length, is_http11, not connection.keeps_alive
         )
     )
     if connection.writing_paused:
--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -239,15 +239,15 @@
         is_repeatable = True
         if self.on_attempt_ended is not None and entry is not None:
             self.on_attempt_ended(message, entry.arrived.client_request.class_index)
-        if message.answer and message.answer.stream and (entry is None or entry.is_answered):
-            message.answer.stream.drop()
+        if message.response and message.response.stream and (entry is None or entry.is_answered):
+            message.response.stream.drop()
         if entry:
             upload = entry.arrived.client_request.stream
             is_repeatable = upload is None or not upload.is_opened
             entry.in_flight -= 1
             entry.has_timed_out = message.result == AttemptResult.TIMEOUT
-            if not entry.is_answered and message.answer and message.result == AttemptResult.OK:
-                answer = message.answer
+            if not entry.is_answered and message.response and message.result == AttemptResult.OK:
+                answer = message.response
                 reply = ClientResponse(200, answer.body, answer.head, answer.stream, answer.length)
                 if answer.stream is None:
                     self._answer(entry, reply, Outcome.FULFILLED)
--- a/mothstall/net/proxy.py
+++ b/mothstall/net/proxy.py
@@ -16,7 +16,7 @@
 from mothstall.config import Address, Config, ConfigError, keys_that_need_restart
 from mothstall.interface import NS, Settings, SuccessorChanged, UpdateScope
 from mothstall.net import protocol
-from mothstall.net.backend_side.backend import IDLE_PART, Backend
+from mothstall.net.backend_side.backend import IDLE_TIMEOUT_FRACTION, Backend
 from mothstall.net.backend_side.pool import ConnectionPool
 from mothstall.net.body_relay import BufferGrants, max_streams_for
 from mothstall.net.client_side.connection_handover import HandoverTarget
@@ -89,12 +89,12 @@
         self._max_backend_connections = int(free * BACKEND_PART)
         max_streams = max_streams_for(config.memory_bytes)
         self._pool = ConnectionPool(
-            IDLE_PART * config.idle_ns / NS,
+            IDLE_TIMEOUT_FRACTION * config.idle_ns / NS,
             self._max_backend_connections,
             self.counters,
             self.loop,
             grants=BufferGrants(max_streams),
-            most_body=config.max_body_bytes,
+            max_body_bytes=config.max_body_bytes,
         )
         self.figures = RequestMetrics(config.names.classes, self.counters)
         self._lifecycle = Lifecycle()
@@ -206,7 +206,7 @@
             pool=self._pool,
             connect_timeout_ns=self.config.settings.connect_timeout_ns,
             load_names=self.config.settings.load_names,
-            figures=self.figures,
+            metrics=self.figures,
             report=self._decider.tell,
         )
 
@@ -296,12 +296,12 @@
         self._decider.tell(PeerProcessEvent(SuccessorChanged(True)))
         self._pool.close_idle()
         self.loop.call_soon(self._frontend.handover.hand_over_idle)
-        return HandoverState(self._frontend.count, self._pool.open_count, memory)
+        return HandoverState(self._frontend.connection_count, self._pool.open_count, memory)
 
     def _resume(self) -> None:
         """The process that took over is gone: this one takes clients again, unless it is to end."""
         self._lifecycle.resume()
-        self._frontend.handover.thaw_responses()
+        self._frontend.handover.resume_responses()
         self._decider.tell(PeerProcessEvent(SuccessorChanged(False)))
         if self._lifecycle.phase is not Phase.STOPPING:
             self._frontend.acceptor.resume()
@@ -353,7 +353,9 @@
                 out_of_rotation=self._decider.out_of_rotation_count(),
             )
         if path == "/api/ready":
-            return (200, "ready\n") if self._frontend.takes_clients() else (503, "not ready\n")
+            return (
+                (200, "ready\n") if self._frontend.accepts_new_clients() else (503, "not ready\n")
+            )
         was = self._lifecycle.phase
         done = (
             self._lifecycle.evacuate(self.loop.time())
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -283,7 +283,7 @@
         desk.batch(desk.arrived(1))
         (send,) = desk.sends()
         served = desk.ended(send, AttemptResult.OK)
-        served.answer = protocol.BackendResponse(b"served", b"")
+        served.response = protocol.BackendResponse(b"served", b"")
         both: list[DeciderMessage] = [served, RequestOverdue(1)]
         desk.batch(*(both if first == "answer" else reversed(both)))
         await settle()
@@ -325,7 +325,7 @@
             client.send(request_bytes())
             await r.until(lambda: gate.waiting == 1)
             client.close()
-            await r.until(lambda: r.proxy._frontend.count == 0)
+            await r.until(lambda: r.proxy._frontend.connection_count == 0)
             await settle()
             gate.open.set()
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -83,7 +83,7 @@
         stand_in, single = await alone(says(HEAD + b"\r\nabc", then_close=True), connect_ms=5000)
         single.send(within_ms=2000)
         assert await single.ended() == [AttemptResult.OK]
-        assert single.reports[0].answer.body == b"abc"
+        assert single.reports[0].response.body == b"abc"
         await stand_in.stop()
 
     asyncio.run(run())
@@ -165,7 +165,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The next request must not go out on a connection on which a second answer is still on its way."""
-    monkeypatch.setattr(pool, "REST_S", 30.0)  # none has rested, however slow the machine
+    monkeypatch.setattr(pool, "REUSE_DELAY_S", 30.0)  # none has rested, however slow the machine
 
     async def run() -> None:
         written: list[asyncio.StreamWriter] = []
@@ -189,7 +189,7 @@
             written[-1].write(answer(b"a second answer"))
             following = single.send(within_ms=2000)
             await single.ended(count + 2)
-            bodies = [r.answer.body for r in single.reports[count:]]
+            bodies = [r.response.body for r in single.reports[count:]]
             assert bodies == [b"served %d" % request, b"served %d" % following]
         single.pool.close()
         await stand_in.stop()
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -60,7 +60,7 @@
     return (
         given_back(r)
         and not proxy._decider._pending
-        and not proxy._frontend.count
+        and not proxy._frontend.connection_count
         and not streams
         and not any(in_flight)
         and proxy._pool.open_count == len(proxy._pool.connections)
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -165,7 +165,7 @@
 
             monkeypatch.setattr(front.acceptor, "_listener", Counts())
             first = [raw_client(r.proxy.port) for _ in range(40)]
-            await r.until(lambda: front.count >= 40)
+            await r.until(lambda: front.connection_count >= 40)
             await asyncio.sleep(0.15)
             second = [raw_client(r.proxy.port) for _ in range(60)]
             assert (await asyncio.wait_for(r.ask(), 3)).status == 200
@@ -188,7 +188,7 @@
             assert b"served" in await asyncio.wait_for(loop.sock_recv(rests, 65536), 3)
             (connection,) = front._accepted
             assert isinstance(connection, Connection)
-            connection.since -= SHED_IDLE_S  # idle for long enough
+            connection.state_since_s -= SHED_IDLE_S  # idle for long enough
             others = [
                 raw_client(r.proxy.port)
                 for _ in range(front.budget.max_connections - front.budget.spare)
@@ -225,7 +225,7 @@
                 )
                 sock.send(b"".join(request_bytes(remaining="3900m") for _ in range(100)))
             assert (await asyncio.wait_for(r.ask(remaining="3900m"), 8)).status in (200, 503)
-            assert front.count <= front.budget.max_connections
+            assert front.connection_count <= front.budget.max_connections
             for sock in deaf:
                 sock.close()
 
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -199,9 +199,9 @@
             await single.ended(i)
             await asyncio.sleep(0.05)
         bodies = [
-            r.answer.body
+            r.response.body
             for r in single.reports
-            if isinstance(r, backend_messages.AttemptEnded) and r.answer
+            if isinstance(r, backend_messages.AttemptEnded) and r.response
         ]
         assert bodies == [b"for 1", b"for 2", b"for 3"]
         assert [s.connection for s in stand_in.seen] == [1, 2, 3]
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -198,7 +198,7 @@
             assert (
                 await r.ask()
             ).status == 200  # a connection to the backend waits for the next request
-            await r.until(lambda: r.proxy._frontend.count == 0)
+            await r.until(lambda: r.proxy._frontend.connection_count == 0)
             tell = Backend.tell
 
             def told(self: Backend, order: Any) -> None:
@@ -345,15 +345,15 @@
     async def run() -> None:
         async with rig(serves) as r:
             assert (await r.ask()).status == 200
-            await r.until(lambda: r.proxy._frontend.count == 0)
+            await r.until(lambda: r.proxy._frontend.connection_count == 0)
             client = raw_client(r.proxy.port)
-            await r.until(lambda: r.proxy._frontend.count == 1)
+            await r.until(lambda: r.proxy._frontend.connection_count == 1)
             client.send(request_bytes(remaining=LONG)[:-2])
             await r.until(lambda: connections(r)[0].state == ConnectionState.READING_HEAD)
             await seen_late(r)
             client.send(b"\r\n")
             client.close()
-            await r.until(lambda: r.proxy._frontend.count == 0)
+            await r.until(lambda: r.proxy._frontend.connection_count == 0)
             assert len(r.backends[0].seen) == 1 and given_back(r)
 
     asyncio.run(run())
@@ -392,7 +392,7 @@
             client.writer.write(request_bytes(remaining="2900m"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             client.writer.write(request_bytes(remaining="2900m") + request_bytes(remaining="2900m"))
-            await r.until(lambda: connections(r)[0].has_more())
+            await r.until(lambda: connections(r)[0].has_pipelined_input())
             sent = time.monotonic()
             await asyncio.sleep(0.3)
             held = 1000 * (time.monotonic() - sent)
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -43,7 +43,7 @@
 
 
 def nothing_owed(r: Rig) -> bool:
-    return not r.proxy._decider._pending and not r.proxy._frontend.count
+    return not r.proxy._decider._pending and not r.proxy._frontend.connection_count
 
 
 def given_back(r: Rig) -> bool:
@@ -225,13 +225,13 @@
         await r.until(lambda: len(backend.seen) == 2 and r.count("answers_ok") == 2)
         if not known:
             gone.close()
-            await r.until(lambda: proxy._frontend.count == 1)
+            await r.until(lambda: proxy._frontend.connection_count == 1)
             gone = raw_client(proxy.port)
         gone.send(request_bytes())
         gone.close()
         stays.send(request_bytes())
         time.sleep(0.25)
-        await r.until(lambda: proxy._frontend.count == 1 and r.count("answers_ok") == 3)
+        await r.until(lambda: proxy._frontend.connection_count == 1 and r.count("answers_ok") == 3)
         assert len(backend.seen) == 3 and given_back(r)
         stays.close()
         await proxy.stop(0.0)
@@ -254,7 +254,7 @@
             assert (
                 await r.ask()
             ).status == 200  # a connection to the backend waits for the next request
-            await r.until(lambda: front.count == 0)
+            await r.until(lambda: front.connection_count == 0)
             with monkeypatch.context() as full:
                 full.setattr(front.budget, "has_capacity", lambda: False)
                 gone, stays = raw_client(r.proxy.port), raw_client(r.proxy.port)
@@ -262,7 +262,7 @@
                 gone.close()
                 stays.send(request_bytes())
                 await r.until(lambda: front.budget.waiting_since is not None)
-            await r.until(lambda: r.count("answers_ok") == 2 and front.count == 1)
+            await r.until(lambda: r.count("answers_ok") == 2 and front.connection_count == 1)
             assert len(r.backends[0].seen) == 2 and given_back(r)
             stays.close()
 
@@ -270,7 +270,7 @@
 
 
 def test_client_that_reads_no_response_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(deadlines, "UNREAD_S", 0.3)
+    monkeypatch.setattr(deadlines, "UNREAD_RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setitem(STATE_TIMEOUT_S, ConnectionState.IDLE, 0.2)
 
     async def run() -> None:
--- a/tests/net/client_side/test_net_shutdown.py
+++ b/tests/net/client_side/test_net_shutdown.py
@@ -20,7 +20,7 @@
 from mothstall.net.client_side import frontend
 from mothstall.net.client_side.connection import Connection
 from mothstall.net.client_side.connection_states import STATE_TIMEOUT_S, ConnectionState
-from mothstall.net.client_side.load_shedding import SHED_HURRIED_S
+from mothstall.net.client_side.load_shedding import SHED_URGENT_S
 from mothstall.net.handover.messages import StreamHandover
 from mothstall.net.handover.stream_takeover import StreamTakeover
 from tests.net.test_process import MAIN, ROOT
@@ -129,7 +129,7 @@
                 except ConnectionError:
                     break
             assert poured < 50_000_000
-            await r.until(lambda: r.proxy._frontend.count == 0)
+            await r.until(lambda: r.proxy._frontend.connection_count == 0)
             rests.close()
             pours.close()
 
@@ -164,10 +164,13 @@
             client = raw_client(r.proxy.port)
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             await r.until(
-                lambda: not r.proxy._frontend.acceptor._listener and r.proxy._frontend.count == 1
+                lambda: (
+                    not r.proxy._frontend.acceptor._listener
+                    and r.proxy._frontend.connection_count == 1
+                )
             )
             await asyncio.sleep(
-                2 * SHED_HURRIED_S
+                2 * SHED_URGENT_S
             )  # longer than a connection between requests is left
             client.send(request_bytes())
             assert (await takes(r, client, until_end=True)).startswith(b"HTTP/1.1 200")
@@ -242,7 +245,7 @@
             go.set()
             for reply in (await busy.read(), await rests.ask(), await busy.ask()):
                 assert reply.status == 200 and "connection" not in reply.headers
-            assert r.proxy._frontend.takes_clients()
+            assert r.proxy._frontend.accepts_new_clients()
             # Once it ends there is no way back.
             stopping = asyncio.create_task(r.proxy.stop(0.1))
             await asyncio.sleep(0)
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -244,7 +244,7 @@
     pool = proxy._pool
     held = {
         "ids": len(frontend._open_ids),
-        "accepted": frontend.count,
+        "accepted": frontend.connection_count,
         "requests": len(proxy._decider._pending),
         "requests of the balancer": len(balancer.requests.open),
         "queued": balancer.queue.count,
@@ -271,8 +271,8 @@
     """Let every time-out end within the seconds of a test."""
     monkeypatch.setattr(backend_connection, "STALL_S", 0.6)
     monkeypatch.setattr(response_relay, "STALL_S", 0.6)
-    monkeypatch.setattr(request_body, "UPLOAD_S", 0.4)
-    monkeypatch.setattr(deadlines, "UNREAD_S", 0.8)
+    monkeypatch.setattr(request_body, "UPLOAD_PROGRESS_TIMEOUT_S", 0.4)
+    monkeypatch.setattr(deadlines, "UNREAD_RESPONSE_TIMEOUT_S", 0.8)
     monkeypatch.setattr(deadlines, "PENALTY_S", 0.1)
     for state, timeout_s in connection_states.STATE_TIMEOUT_S.items():
         short_s = 0.3 if state is not ConnectionState.IDLE else 1.0
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -134,7 +134,7 @@
             assert (await client.read()).status == 503
             r.directory.tell(r.backends[0].row("DELETED"))
             held.set()
-            await r.until(r.proxy._frontend.takes_clients)
+            await r.until(r.proxy._frontend.accepts_new_clients)
             for _ in range(6):
                 assert (await r.ask()).status == 200
             assert not r.backends[0].seen
@@ -147,7 +147,7 @@
     async def run() -> None:
         held = asyncio.Event()
         async with rig(serves, held=held, discovery="push") as r:
-            await r.until(r.proxy._frontend.takes_clients, 4.0)
+            await r.until(r.proxy._frontend.accepts_new_clients, 4.0)
             assert r.count("discovery_failures") >= 1
             assert (await r.ask()).status == 200
             held.set()
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -90,7 +90,7 @@
 def test_any_customer_settings_serve_and_stop(site: str) -> None:
     async def run() -> None:
         async with rig(serves, serves, **changes(site)) as r:
-            await r.until(r.proxy._frontend.takes_clients)
+            await r.until(r.proxy._frontend.accepts_new_clients)
             for lane in lanes(site):
                 assert (await r.ask(lane, remaining="1000m")).status == 200
             assert r.count("faults") == r.count("checks_broken") == 0
@@ -112,7 +112,7 @@
 
     async def run() -> None:
         async with rig(behaviour, behaviour, **changes(site)) as r:
-            await r.until(r.proxy._frontend.takes_clients)
+            await r.until(r.proxy._frontend.accepts_new_clients)
             for lane in lanes(site):
                 before = sum(len(b.seen) for b in r.backends)
                 reply = await r.ask(lane, remaining="250m")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -474,7 +474,7 @@
             pool=self.pool,
             connect_timeout_ns=connect_ms * MS,
             load_names=("util", "queue"),
-            figures=RequestMetrics(("a",), self.counters),
+            metrics=RequestMetrics(("a",), self.counters),
             report=self.reports.append,
         )
 
