--- a/mothstall/net/backend_side/attempt.py
+++ b/mothstall/net/backend_side/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt of a backend's actor, from its command to its one end."""
+"""An attempt of a backend's actor, from its command until it ends."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     """A request that is in flight on a connection, or waits for one to be opened.
 
     Attributes:
-        command: What was ordered; None for a load probe.
+        command: The command that started it; None for a load probe.
         sent_at_ns: When it began, or when the last byte of its long body was written.
         due_s: When it times out, on the loop's clock.
-        raw_request: The bytes of its request.
-        connection: What it was written to.
-        connect_task: Opens its connection.
+        raw_request: The encoded request.
+        connection: The connection that it is written to.
+        connect_task: The task that opens its connection.
         timeout_timer: Ends it at `due_s`.
-        write_by_s: Its last byte is written by then or never, on the loop's clock; None: no limit.
-        retry_window_timer: Withdraws it at `write_by_s`.
+        write_by_s: No byte may be written after this time, on the loop's clock; None: no limit.
+        retry_window_timer: Cancels it at `write_by_s` unless it is written completely.
         is_connecting: Its connection is being opened and already counted in the pool.
-        is_over: It has ended, one way or the other.
+        is_over: It has ended, with whatever result.
     """
 
     __slots__ = (
@@ -47,6 +47,6 @@
         self.is_over = False
 
     def is_written(self) -> bool:
-        """Whether the last byte was handed to the socket, so that the backend may have begun it."""
+        """Return whether the last byte was handed to the socket, so that the attempt may run."""
         connection = self.connection
         return connection is not None and connection.is_flushed and not connection.is_uploading
--- a/mothstall/net/backend_side/backend.py
+++ b/mothstall/net/backend_side/backend.py
@@ -1,8 +1,8 @@
 """One backend: an actor with its address, its connections and the attempts in flight on them.
 
-An attempt is sent once. It ends in exactly one `AttemptEnded`, whose result never says "never ran"
-of what may have run: until the request's last byte is written nothing can have run, from then on
-anything may have.
+An attempt is sent once, and ends in exactly one `AttemptEnded`. Its result never claims that an
+attempt did not run if it may have: until the request's last byte is written it cannot have run,
+afterwards it may have.
 """
 
 from __future__ import annotations
@@ -46,13 +46,11 @@
 log = logging.getLogger("mothstall.backend")
 
 PROBE_TIMEOUT_NS = NS  # of a load probe
-IDLE_TIMEOUT_FRACTION = (
-    0.6  # of the backend's own idle timeout, after which an idle connection is closed
-)
-STALLED_LOOP_S = 0.01  # a timer that is this late shows that this process stood still
-STALLED_LOOP_READ_S = 0.005  # the time that is then given to read what has come
-# A connection that this machine could not open: no descriptor, port or memory. No fault of the
-# backend.
+# An idle connection is closed after this fraction of the backend's own idle timeout.
+IDLE_TIMEOUT_FRACTION = 0.6
+STALLED_LOOP_S = 0.01  # a timer that is this late shows that the event loop was stalled
+STALLED_LOOP_READ_S = 0.005  # how long pending input is then read before a timeout takes effect
+# Connect errors for lack of local descriptors, ports or memory, which are no fault of the backend.
 LOCAL_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
@@ -66,7 +64,7 @@
         ident: The backend's id.
         address: Where it listens.
         started_ns: When its process started, in Unix time; 0: not known.
-        incarnation: Counts the processes at that address, and the drains.
+        incarnation: Increases when the address or its process changes, and at a drain.
     """
 
     def __init__(
@@ -90,8 +88,8 @@
         self.ident = ident
         self.address = address
         self.started_ns = started_ns
-        # Guards against a successor at the same address: a connection to an earlier incarnation is
-        # never used again.
+        # Guards against requests to a successor at the same address on an old connection: one to an
+        # earlier incarnation is never reused.
         self.incarnation = 0
         self._clock = clock
         self._pool = pool
@@ -99,7 +97,7 @@
         self._load_names = load_names
         self._metrics = metrics
         self._connect_timeout_s = connect_timeout_ns / NS
-        # The latest to fall idle is used first, so that the others reach their idle timeout.
+        # The last to become idle is reused first, so that the others reach their idle timeout.
         self._idle: list[BackendConnection] = []
         self._in_flight: dict[tuple[int, int], OpenAttempt] = {}
         self._probes: set[OpenAttempt] = set()
@@ -139,7 +137,7 @@
         self.started_ns = command.started_ns
 
     def recover(self, batch: list[BackendCommand], why: Exception) -> None:
-        """End the attempts of a batch that failed before it began them."""
+        """End the attempts that a failed batch did not start."""
         for command in batch:
             if (
                 isinstance(command, SendAttempt)
@@ -150,7 +148,7 @@
 
     @property
     def in_flight(self) -> int:
-        """How many attempts are open."""
+        """Number of attempts in flight."""
         return len(self._in_flight)
 
     @property
@@ -164,7 +162,7 @@
         return self._pool.max_body_bytes
 
     def on_request_written(self, attempt: OpenAttempt, has_long_body: bool) -> None:
-        """Note that an attempt's last byte is written; only now the time of a long one begins."""
+        """Record that an attempt is written; the timeout of a long request starts only now."""
         command = attempt.command
         if command is None:
             return
@@ -180,7 +178,7 @@
     def on_response_started(
         self, attempt: OpenAttempt, message: RawResponseMessage, stream: Stream, length: int | None
     ) -> None:
-        """End an attempt as succeeded whose long response has begun."""
+        """End an attempt as successful once its long response has begun."""
         load = self._parse_load(message.headers.get(protocol.LOAD_HEADER))
         response = protocol.BackendResponse(
             b"", protocol.forwarded_headers(message.raw_headers), stream, length
@@ -191,21 +189,21 @@
         self._end_attempt(attempt, AttemptResult.OK, load, response)
 
     def on_unsolicited_bytes(self) -> None:
-        """Note that the backend sent more than the response."""
+        """Record that the backend sent bytes beyond its response."""
         self._pool.note_unsolicited_bytes()
 
     def on_response_cut(self) -> None:
-        """Report a long response that broke off."""
+        """Report a long response that was cut off."""
         self.counters.add("answers_cut")
         self._report(ResponseCut(self.number))
 
     # Connections
 
     def _begin_incarnation(self) -> None:
-        """Cancel what has no connection yet: it was meant for the incarnation that is over.
+        """Close idle connections, and cancel the attempts that have no connection yet.
 
-        Guards against a connection that is opened after its backend began to drain, past the grace
-        period at worst, or after another one took its address.
+        Guards against a connection that opens after its backend began to drain, possibly past the
+        grace period, or after another backend took over its address.
         """
         self.incarnation += 1
         self._close_idle_connections()
@@ -219,7 +217,7 @@
             self._idle[-1].drop()
 
     def on_connection_lost(self, connection: BackendConnection) -> None:
-        """End what was in flight on a connection that was closed by either side.
+        """End the attempt in flight on a connection that was closed by either side.
 
         May be called more than once for a connection.
         """
@@ -238,7 +236,7 @@
             )
 
     def release_connection(self, connection: BackendConnection, keep: bool) -> None:
-        """Pool a connection whose request is over, or close it unless `keep`."""
+        """Pool a connection after its request if `keep` and it is usable; else close it."""
         connection.attempt = None
         is_current = connection.incarnation == self.incarnation
         if keep and is_current and connection.is_flushed and connection.is_connected():
@@ -250,7 +248,7 @@
     # Attempts
 
     def _start_attempt(self, command: SendAttempt | None) -> None:
-        """Send a request, or without a command a load probe."""
+        """Send a request, or a load probe if there is no command."""
         now_ns = self._clock.now()
         attempt = (
             self._open_probe(now_ns) if command is None else self._open_attempt(command, now_ns)
@@ -325,7 +323,7 @@
             self.counters.add("faults")
             log.error("connect fault", exc_info=error, extra={"kv": {"backend": self.ident}})
         if not attempt.is_over:
-            # Guards against a lack of resources of our own that passes for a dead backend.
+            # Guards against a lack of local resources that looks like a dead backend.
             is_local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
             result = AttemptResult.NOT_SENT if is_local else AttemptResult.CONNECT_FAILED
             self._end_attempt(attempt, result)
@@ -338,8 +336,7 @@
             return
         command = attempt.command
         if command is not None:
-            # Guards against a backend that is given more time than is left once its connection is
-            # open.
+            # Guards against announcing more time than is left: opening the connection took some.
             left_ns = command.due_ns - now_ns
             attempt.raw_request = protocol.encode_request(command.client_request, left_ns)
         attempt.connection = connection
@@ -351,14 +348,14 @@
         command = attempt.command
         if command is None or command.client_request.stream is not None:
             return False
-        return now_ns >= command.due_ns  # the timer that ends it runs behind this callback
+        return now_ns >= command.due_ns  # its timeout timer may run only after this callback
 
     def _is_client_waiting(self, attempt: OpenAttempt, now_ns: int) -> bool:
-        """Guards against an attempt that begins for a client that has left, noticed or not.
+        """Guards against starting an attempt for a client that has left, noticed or not.
 
-        What is on its way between the actors, waits for its connection or was held up by this
-        process may be of a client that left meanwhile: after LOOK_NS the client's socket is
-        checked.
+        The client may have left while the command was in a mailbox, while the connection was being
+        opened or while this process was suspended: if its request is older than
+        CHECK_CLIENT_AFTER_NS, its socket is checked.
         """
         command = attempt.command
         if command is None or command.client_request.client is None:
@@ -369,14 +366,14 @@
         )
 
     def _on_retry_window_closed(self, attempt: OpenAttempt) -> None:
-        """Guards against a retry after the first is forgotten: its effect would happen twice."""
+        """Guards against a retry after backends forgot the first attempt: it would run twice."""
         if not attempt.is_written():
             self.cancel(attempt, AttemptResult.CANCELLED)
 
     def _on_timeout(self, attempt: OpenAttempt) -> None:
-        """End an attempt that is out of time.
+        """End an attempt that has timed out.
 
-        Guards against a process that stood still: what came meanwhile is read first.
+        Guards against a stalled event loop: a response that arrived meanwhile is read first.
         """
         if self.loop.time() - attempt.due_s > STALLED_LOOP_S:
             attempt.timeout_timer = self.loop.call_later(
@@ -386,22 +383,22 @@
             self.cancel(attempt, AttemptResult.TIMEOUT)
 
     def cancel(self, attempt: OpenAttempt, result: AttemptResult) -> None:
-        """End an attempt once; its connection closes with it.
+        """End an attempt, and close its connection.
 
         Args:
-            attempt: The attempt; nothing happens if it is over.
-            result: CANCELLED or TIMEOUT, for an attempt that may have run.
+            attempt: The attempt; nothing happens if it has ended.
+            result: CANCELLED or TIMEOUT; replaced by another result if the attempt cannot have run.
         """
         if attempt.is_over:
             return
         if not attempt.is_written():
-            # Closed before the last byte was handed to the socket, it can never run.
+            # Its last byte was not handed to the socket, so it can never run.
             is_timeout = result == AttemptResult.TIMEOUT
             result = AttemptResult.CONNECT_FAILED if is_timeout else AttemptResult.NOT_SENT
         self._end_attempt(attempt, result)
 
     def on_unreadable_response(self, attempt: OpenAttempt, error: Exception) -> None:
-        """End an attempt that may have run; its connection is of no further use."""
+        """End an attempt whose response is malformed, and close its connection."""
         self.counters.add("unreadable")
         log.debug("unreadable response", extra={"kv": {"backend": self.ident, "why": error}})
         self._end_attempt(attempt, AttemptResult.ERROR)
@@ -462,8 +459,8 @@
         self._in_flight.pop((command.request, command.attempt), None)
         self.counters.add("attempts_" + result.name.lower())
         if result in (AttemptResult.RESET, AttemptResult.CONNECT_FAILED):
-            # Guards against a network fault that ended: idle connections from before it would each
-            # fail a request.
+            # Guards against idle connections that a network fault, now over, has broken: each of
+            # them would fail a request.
             self._close_idle_connections()
         self._report(
             AttemptEnded(
--- a/mothstall/net/backend_side/connection.py
+++ b/mothstall/net/backend_side/connection.py
@@ -1,8 +1,8 @@
-"""A connection to a backend: one request at a time, its long body out, its response in.
+"""A connection to a backend: writes one request at a time, and reads its response.
 
-Connections use aiohttp's client protocol and its parser. Its session and connector are left to the
-calls of discovery: a task, a request object and a response object for each attempt were 40% of what
-one cost.
+Connections use aiohttp's client protocol and its parser. Only the calls to discovery use its
+session and connector: a task, a request object and a response object for each attempt made up 40%
+of the cost of an attempt.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 if TYPE_CHECKING:
     from mothstall.net.backend_side.backend import Backend
 
-STALL_S = 10.0  # without progress of a long body at the backend, in either direction
+STALL_S = 10.0  # timeout without progress of a long body, in either direction
 STALL_CHECKS = 4  # how often progress is checked within STALL_S
-PARSER_BUFFER_BYTES = 16 * MAX_READ_BYTES  # never filled: what was read is taken out at once
+PARSER_BUFFER_BYTES = 16 * MAX_READ_BYTES  # never filled: input is read out of the parser at once
 
 
 class BackendConnection(ResponseHandler):
@@ -33,10 +33,10 @@
     It is the sink of a request's long body, and the source of a response's.
 
     Attributes:
-        owner: The backend's actor, which is told of all that ends.
-        incarnation: Of the backend, when the connection was opened.
-        attempt: Whose response is awaited.
-        is_flushed: Nothing written waits for the socket to take it.
+        owner: The backend's actor, which is notified of responses, errors and closes.
+        incarnation: The backend's incarnation when the connection was opened.
+        attempt: The attempt whose response is awaited.
+        is_flushed: Whether all written data was handed to the socket.
     """
 
     def __init__(self, owner: Backend) -> None:
@@ -49,12 +49,12 @@
         self._body_parts: list[bytes] = []
         self._upload: Stream | None = None
         self._is_upload_chunked = False
-        self._is_upload_cut = False  # the backend waits for the rest of a body that never comes
-        # All of its long body was taken, and is not yet all handed to the socket.
+        self._is_upload_cut = False  # the backend waits for the rest of a cut body
+        # The attempt whose long body is complete, but not yet handed to the socket completely.
         self._flushing_attempt: OpenAttempt | None = None
         self._stream: Stream | None = None  # a long response that is being relayed
         self._last_progress_s = 0.0  # of a long body, on the loop's clock
-        self._progress_mark = 0  # bytes of the upload that the socket has taken
+        self._progress_mark = 0  # bytes of the upload handed to the socket
         self._stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -62,14 +62,14 @@
         BaseProtocol.connection_made(self, transport)
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=0)
-        # Guards against a quarter of a megabyte for each connection that reads at once.
+        # Guards against asyncio's read buffer of a quarter of a megabyte per connection.
         self.transport.max_size = MAX_READ_BYTES  # type: ignore[attr-defined]
         self.set_response_params(
             read_until_eof=False, auto_decompress=False, read_bufsize=PARSER_BUFFER_BYTES
         )
 
     def pause_writing(self) -> None:
-        """Stop the request's long body: the socket takes nothing more for now."""
+        """Block the request's long body: the socket's buffer is full."""
         self.is_flushed = False
         if self._upload is not None:
             self._upload.sink_blocked()
@@ -91,17 +91,17 @@
         self.owner.on_request_written(attempt, has_long_body)
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Resume reading, without the call back into the parser.
+        """Resume reading, without aiohttp's callback into the parser.
 
-        Guards against a call back with no data: what was read is taken out at once and never fills
-        the parser's buffer.
+        Guards against a callback with no data: input is read out at once and never fills the
+        parser's buffer.
         """
         if self._reading_paused:
             self._reading_paused = False
             self._resume_transport_reading()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End what is open; a response until the end of the connection is complete by it."""
+        """End the open attempt and streams; a response without length or chunks is complete now."""
         self._parser = None
         self.transport = None
         if self._reader.is_until_close and exc is None and self._reader.message is not None:
@@ -122,7 +122,7 @@
             stream.truncate()
 
     def drop(self) -> None:
-        """Close it at once; what was not handed to the socket is never sent."""
+        """Close the connection at once; data not yet handed to the socket is never sent."""
         self.attempt = None
         self._release_streams()
         if self.transport is not None:
@@ -131,16 +131,16 @@
         self.owner.on_connection_lost(self)
 
     def abort(self) -> None:
-        """Reset it as the process ends: what is in flight ends as lost.
+        """Abort the connection as the process ends; its attempt in flight is lost.
 
-        So does a response that would be complete by the end of its connection.
+        A response that ends with its connection does not count as complete either.
         """
         self._reader.is_until_close = False
         if self.transport is not None:
             self.transport.abort()
 
     def begin(self, attempt: OpenAttempt, raw_request: bytes) -> None:
-        """Write an attempt's request, or its head where a long body follows."""
+        """Write an attempt's request, or its head if a long body follows."""
         assert self.transport is not None
         self.attempt = attempt
         self._reader.reset()
@@ -162,7 +162,7 @@
 
     @property
     def is_uploading(self) -> bool:
-        """Whether a long body of the request is still on its way to here."""
+        """Whether the request's long body is not complete yet."""
         return self._upload is not None
 
     def write_body(self, data: bytes) -> None:
@@ -171,7 +171,7 @@
             self.transport.write(protocol.encode_chunk(data) if self._is_upload_chunked else data)
 
     def end_body(self) -> None:
-        """Write the end of the request's body: all of it was taken."""
+        """Write the end of the request's body, which is complete."""
         self._upload = None
         self._flushing_attempt = self.attempt
         if self._is_upload_chunked and self.transport is not None:
@@ -180,9 +180,9 @@
             self._on_flushed(self.attempt)
 
     def abort_body(self) -> None:
-        """Cancel the attempt whose client left in the middle of its body: it never runs.
+        """Cancel the attempt, whose request body was cut off: it never runs.
 
-        A long response that has begun goes on; behind it the connection is not used again.
+        A long response that has begun continues; the connection is not reused after it.
         """
         self._upload = None
         self._is_upload_cut = True
@@ -192,7 +192,7 @@
     # A response's long body
 
     def pause(self) -> None:
-        """Stop reading: the response's sink takes nothing more for now."""
+        """Pause reading: the response's sink is blocked."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
@@ -208,7 +208,7 @@
         self.drop()
 
     def _begin_relay(self) -> None:
-        """Relay the response from its first bytes on; the attempt has succeeded."""
+        """Begin to relay a long response; its attempt ends as successful."""
         attempt = self.attempt
         message = self._reader.message
         assert attempt is not None
@@ -225,7 +225,7 @@
         self.owner.on_response_started(attempt, message, stream, length)
 
     def _watch_progress(self) -> None:
-        """Guards against a peer that takes or gives nothing more of a long body."""
+        """Guards against a peer that stops reading or sending a long body."""
         self._last_progress_s = self.owner.loop.time()
         self._progress_mark = 0
         if self._stall_timer is None:
@@ -264,7 +264,7 @@
             self.drop()
 
     def data_received(self, data: bytes) -> None:
-        """Read what a backend sent."""
+        """Read input from the backend."""
         attempt = self.attempt
         if attempt is None and self._stream is None:
             self._drop_unsolicited()
@@ -282,7 +282,7 @@
         self._advance_response(has_more)
 
     def _drop_unsolicited(self) -> None:
-        """Guards against a response to no request: the next request would take it for its own."""
+        """Guards against a response without a request: the next request would receive it."""
         if self.transport is not None:
             self.owner.counters.add("unreadable")
             self.owner.on_unsolicited_bytes()
@@ -325,7 +325,7 @@
             self.owner.on_response(self.attempt, message, b"".join(parts), keep)
 
     def _on_body(self, data: bytes) -> None:
-        """Take bytes of the body, as they come."""
+        """Relay or buffer the next bytes of the body."""
         if self._stream is not None:
             self._stream.feed(data)
         elif data:
--- a/mothstall/net/backend_side/messages.py
+++ b/mothstall/net/backend_side/messages.py
@@ -16,9 +16,9 @@
     Attributes:
         request: The request's number.
         attempt: Number of the attempt among those of its request, from 0.
-        inbound: The request itself.
-        due_ns: Unix time by which the response has to be there.
-        write_by_ns: When the retry window ends: its last byte goes out by then or never; 0: none.
+        client_request: The request itself.
+        due_ns: Unix time by which the response has to arrive.
+        write_by_ns: Unix time at which the retry window ends: nothing is written later; 0: none.
     """
 
     request: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """End an attempt, whatever it has come to."""
+    """End an attempt, whether it may have run or not."""
 
     request: int
     attempt: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class WithholdAttempt:
-    """Nobody waits for this attempt any more: unless it was written completely, it never is."""
+    """Cancel an attempt that is no longer needed, unless it is written completely."""
 
     request: int
     attempt: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class SendProbe:
-    """Ask the backend for its load."""
+    """Send a load probe to the backend."""
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class AddressChanged:
-    """The endpoint list has this address for the backend, and this start of its process."""
+    """The backend's address and the start of its process, from the endpoint list."""
 
     address: Address
     started_ns: int
@@ -64,10 +64,10 @@
 
 @dataclass(slots=True)
 class DrainBackend:
-    """The backend drains or is gone.
+    """The backend drains or was removed.
 
-    What is in flight ends as it does, no connection is pooled, and none that is still being opened
-    is used.
+    Attempts in flight continue, but their connections are not pooled afterwards, and connections
+    that are still being opened are not used.
     """
 
 
@@ -92,22 +92,22 @@
 
 @dataclass(slots=True)
 class ResponseCut:
-    """A long response broke off at the backend after its first bytes were relayed."""
+    """A long response was cut off by the backend after its first bytes were relayed."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one end of an attempt.
+    """The end of an attempt, reported exactly once.
 
     Attributes:
         request: The request's number.
         attempt: Number of the attempt among those of its request, from 0.
         backend: The backend's number.
-        result: What became of it; it never says "never ran" of what may have run.
-        latency_ns: Since it was sent.
-        load: The values of the load report, in the settings' order; empty: none came.
+        result: Its result, which never claims that an attempt did not run if it may have.
+        latency_ns: Time since it was sent.
+        load: The values of the load report, in the settings' order; empty: no report.
         response: The response that is passed on to the client; None unless the result is OK.
     """
 
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True)
 class LoadProbeEnded:
-    """The one end of a load probe; its fields as in `AttemptEnded`."""
+    """The end of a load probe, reported exactly once; its fields as in `AttemptEnded`."""
 
     backend: int
     result: AttemptResult
--- a/mothstall/net/backend_side/pool.py
+++ b/mothstall/net/backend_side/pool.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from mothstall.net.backend_side.connection import BackendConnection
 
-REUSE_DELAY_S = 0.02  # how long a connection rests while backends send unsolicited bytes
-REUSE_DELAY_PERIOD_S = 60.0  # how long after the last such bytes connections rest
+REUSE_DELAY_S = 0.02  # idle time before a reuse while backends send unsolicited bytes
+REUSE_DELAY_PERIOD_S = 60.0  # how long reuse is delayed after the last such bytes
 
 
 class ConnectionPool:
@@ -23,8 +23,8 @@
         max_connections: The budget.
         buffer_grants: Permits for relaying long responses.
         max_body_bytes: Limit of one response's body.
-        open: Connections that are open or being opened.
-        links: Connections that are open.
+        open_count: Number of connections that are open or being opened.
+        connections: Connections that are open.
     """
 
     def __init__(
@@ -44,13 +44,13 @@
         self.open_count = 0
         self.connections: set[BackendConnection] = set()
         self._idle_timeout_s = idle_timeout_s
-        # Since when each is idle, on the loop's clock; in that order.
+        # The idle connections, each with the loop time since when it is idle, oldest first.
         self._idle: dict[BackendConnection, float] = {}
         self._reuse_delayed_until_s = 0.0
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     def has_capacity(self) -> bool:
-        """Return whether another connection may be opened, closing the longest idle one for it."""
+        """Return whether another connection may be opened; may close the oldest idle one."""
         if self.open_count < self.max_connections:
             return True
         oldest = next(iter(self._idle), None)
@@ -60,22 +60,23 @@
         return True
 
     def add_idle(self, connection: BackendConnection) -> None:
-        """Count a connection as idle from now on."""
+        """Record that a connection is idle from now on."""
         self._idle[connection] = self.loop.time()
         if self._sweep_timer is None:
             self._sweep_timer = self.loop.call_later(self._idle_timeout_s, self._close_expired)
 
     def note_unsolicited_bytes(self) -> None:
-        """Let connections rest for a while: a backend sent more than a response."""
+        """Delay the reuse of connections for a while: a backend sent bytes beyond a response."""
         self._reuse_delayed_until_s = self.loop.time() + REUSE_DELAY_PERIOD_S
 
     def take_idle(self, idle: list[BackendConnection]) -> BackendConnection | None:
-        """Take the one to use next out of a backend's idle connections.
+        """Remove the connection to use next from a backend's idle ones, and return it.
 
-        It is the latest; while backends send unsolicited bytes, the latest that has rested.
+        It is the last to become idle; while backends send unsolicited bytes, the last that has been
+        idle for REUSE_DELAY_S.
 
-        Guards against a second response, some milliseconds late, that the next request would take
-        for its own.
+        Guards against a second response, some milliseconds late, that would be taken for the
+        response to the next request.
         """
         if not idle:
             return None
@@ -98,7 +99,7 @@
         return None
 
     def remove_idle(self, connection: BackendConnection) -> None:
-        """Count a connection as idle no longer."""
+        """Record that a connection is not idle any more."""
         self._idle.pop(connection, None)
 
     def _close_expired(self) -> None:
@@ -118,7 +119,7 @@
             connection.drop()
 
     def close(self) -> None:
-        """Reset all connections as the process ends."""
+        """Abort all connections as the process ends."""
         if self._sweep_timer:
             self._sweep_timer.cancel()
         for connection in list(self.connections):
--- a/mothstall/net/backend_side/response_reader.py
+++ b/mothstall/net/backend_side/response_reader.py
@@ -1,7 +1,7 @@
-"""The reading of one backend response at a time out of the bytes of a connection.
+"""Reads backend responses from the bytes of a connection, one at a time.
 
-The head of a response is given to aiohttp's parser by itself, so that what a response says of
-itself is known before anything behind it is read: a good response stays good whatever comes after
+The head of a response is passed to aiohttp's parser by itself, so that the framing of the response
+is known before anything after the head is parsed: bytes after a valid response do not invalidate
 it.
 """
 
@@ -28,14 +28,14 @@
 
 
 class ResponseReader:
-    """The state of one response while it comes in.
+    """The state of one response while it is being received.
 
     Attributes:
-        message: The final response's head, None until it is complete.
+        message: The final response's head; None until it is complete.
         payload: aiohttp's reader of the body, set together with `message`.
         content_length: Bytes of the body where the head says so, else 0.
-        received_bytes: Bytes of the body that came so far.
-        is_until_close: The body ends with the connection.
+        received_bytes: Bytes of the body received so far.
+        is_until_close: Whether the body ends with the connection.
     """
 
     __slots__ = (
@@ -47,8 +47,9 @@
         """Prepare for the first response.
 
         Args:
-            max_body_bytes: Limit of the body of a 200 response; others have `protocol.MAX_BODY`.
-            on_body: Called with bytes of the body, as they come.
+            max_body_bytes: Limit of the body of a 200 response; for others it is
+                `protocol.MAX_BUFFERED_BODY_BYTES`.
+            on_body: Called with each part of the body as it is received.
         """
         self._max_body_bytes = max_body_bytes
         self._on_body = on_body
@@ -56,7 +57,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget the response before: the next bytes begin another one."""
+        """Prepare for the next response."""
         self._head = b""
         self._interim_count = 0
         self._chunked_decoder: ChunkedDecoder | None = None
@@ -67,14 +68,14 @@
 
     @property
     def expected_bytes(self) -> int:
-        """The length of the body as far as it is known: declared, or received."""
+        """The declared length of the body, or the bytes received if those are more."""
         return max(self.content_length, self.received_bytes)
 
     def feed(self, parser: HttpParser[Any], data: bytes) -> bool:
-        """Read what came.
+        """Read input from the backend.
 
         Returns:
-            Whether more came than the response.
+            Whether there were bytes beyond the response.
 
         Raises:
             UnreadableMessageError: The response cannot be read, or is too long.
@@ -100,7 +101,11 @@
         return self._read_sized_body(parser, rest)
 
     def handover_position(self) -> tuple[int | None, tuple[int, int, bytes] | None]:
-        """For a process that continues the response: bytes missing, position in its chunks."""
+        """Return where another process continues the response.
+
+        Returns:
+            The bytes still missing, and the position in the chunked coding.
+        """
         if self.is_until_close:
             return None, None
         decoder = self._chunked_decoder
@@ -109,14 +114,14 @@
         return self.content_length - self.received_bytes, None
 
     def _find_head_end(self) -> int | None:
-        """Return where the head that is collected ends, None if its end has not come."""
+        """Return the length of the buffered head; None if its end was not received yet."""
         if not self._head.startswith(HTTP_VERSION_PREFIX[: len(self._head)]):
-            raise protocol.UnreadableMessageError("no HTTP")
+            raise protocol.UnreadableMessageError("the response is not HTTP/1")
         position = self._head.find(HEAD_END)
         if position >= 0:
             return position + len(HEAD_END)
         if len(self._head) > MAX_HEAD_BYTES:
-            raise protocol.UnreadableMessageError("a head without end")
+            raise protocol.UnreadableMessageError("the response head is too long")
         return None
 
     def _read_head(self, parser: HttpParser[Any], head: bytes) -> None:
@@ -128,7 +133,7 @@
             return
         is_unexpected = message.code == STATUS_SWITCHING_PROTOCOLS
         if is_unexpected or self._interim_count >= MAX_INTERIM_RESPONSES:
-            raise protocol.UnreadableMessageError(f"response {message.code}")
+            raise protocol.UnreadableMessageError(f"unexpected interim response {message.code}")
         self._interim_count += 1
 
     def _parse_head(
@@ -136,10 +141,12 @@
     ) -> tuple[RawResponseMessage, StreamReader]:
         try:
             messages, _, _ = parser.feed_data(head)
-        except Exception as error:  # whatever the parser raises: the head cannot be read
-            raise protocol.UnreadableMessageError(f"head: {type(error).__name__}") from error
+        except Exception as error:  # the parser may raise any error for a malformed head
+            raise protocol.UnreadableMessageError(
+                f"malformed response head: {type(error).__name__}"
+            ) from error
         if len(messages) != 1:
-            raise protocol.UnreadableMessageError("head")
+            raise protocol.UnreadableMessageError("the response head is not a single message")
         message, payload = messages[0]
         return message, payload
 
@@ -148,14 +155,16 @@
         text = message.headers.get("Content-Length")
         if text is None:
             if "Transfer-Encoding" in message.headers and not message.chunked:
-                raise protocol.UnreadableMessageError("an unknown coding")
-            # With neither its end is that of the connection, unless it has no body at all.
+                raise protocol.UnreadableMessageError("unknown transfer coding")
+            # With neither, the body ends with the connection, unless the status has no body.
             self.is_until_close = not message.chunked and message.code not in NO_BODY_STATUSES
             return 0
         if message.chunked or not (text.isascii() and text.isdigit()):
-            raise protocol.UnreadableMessageError("lengths that do not fit")
+            raise protocol.UnreadableMessageError(
+                "Content-Length is malformed or conflicts with chunks"
+            )
         if int(text) > self._body_limit_bytes(message):
-            raise protocol.UnreadableMessageError("a response that is too long")
+            raise protocol.UnreadableMessageError("the response is too long")
         return int(text)
 
     def _read_sized_body(self, parser: HttpParser[Any], data: bytes) -> bool:
@@ -178,22 +187,26 @@
                 messages, _, _ = parser.feed_data(data)
                 has_more = bool(messages) or not data.endswith(LAST_CHUNK_END)
             except Exception as error:
-                # Noise behind a complete body is no fault of the response.
+                # Bytes after a complete body do not invalidate the response.
                 if not payload.is_eof() or payload.exception():
                     kind = type(error).__name__
-                    raise protocol.UnreadableMessageError(f"body: {kind}") from error
+                    raise protocol.UnreadableMessageError(
+                        f"malformed response body: {kind}"
+                    ) from error
                 has_more = True
         if payload.exception():
-            raise protocol.UnreadableMessageError("body")
+            raise protocol.UnreadableMessageError("malformed response body")
         self._deliver(payload.read_nowait())
         self._check_size()
         return has_more
 
     def _track_chunks(self, data: bytes) -> None:
-        """Decode beside aiohttp's parser, whose position in a body cannot be read out of it."""
+        """Track the position in the body, which aiohttp's parser does not expose."""
         if self._chunked_decoder is None:
             self._chunked_decoder = ChunkedDecoder()
-        with contextlib.suppress(ChunkedCodingError):  # the parser's verdict is the one that counts
+        with contextlib.suppress(
+            ChunkedCodingError
+        ):  # the parser decides whether the body is valid
             self._chunked_decoder.feed(data)
 
     def _deliver(self, data: bytes) -> None:
@@ -203,7 +216,7 @@
     def _check_size(self) -> None:
         assert self.message is not None
         if self.received_bytes > self._body_limit_bytes(self.message):
-            raise protocol.UnreadableMessageError("a response that is too long")
+            raise protocol.UnreadableMessageError("the response is too long")
 
     def _body_limit_bytes(self, message: RawResponseMessage) -> int:
         return (
--- a/mothstall/net/client_side/__init__.py
+++ b/mothstall/net/client_side/__init__.py
@@ -1,1 +1,1 @@
-"""Clients: their connections, the accept loop within its budget, load shedding and drain."""
+"""Client side: connections, the accept loop and its connection budget, load shedding, drain."""
--- a/mothstall/net/client_side/acceptor.py
+++ b/mothstall/net/client_side/acceptor.py
@@ -1,4 +1,4 @@
-"""The listener of the clients' address: accepts connections, adopts those of another process."""
+"""Accepts client connections, and adopts those that another process hands over."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 log = logging.getLogger("mothstall.frontend")
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPT_PAUSE_S = 0.01  # between two attempts to accept when there is no free connection
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+ACCEPT_PAUSE_S = 0.01  # before the next attempt to accept when no connection is free
 
 
 class Acceptor:
@@ -30,7 +30,7 @@
 
     Attributes:
         accepting: Tasks that set up an accepted connection.
-        port: The port that is listened on; 0 before `start`.
+        port: The listening port; 0 before `start`.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         clock: Clock,
         phases: Lifecycle,
     ) -> None:
-        """Listen on `address`, or on `listen_fd` where others hold the socket."""
+        """Listen on `address`, or on the inherited socket `listen_fd` unless that is None."""
         self._address = address
         self._listen_fd = listen_fd
         self._make_connection = make_connection
@@ -57,7 +57,7 @@
         self.port = 0
 
     async def start(self, budget: ConnectionBudget) -> None:
-        """Begin to accept, as far as `budget` allows.
+        """Start to accept connections within `budget`.
 
         Raises:
             OSError: The address is not available.
@@ -77,14 +77,14 @@
         return self._listener is not None
 
     def _accept(self, ignore_budget: bool = False) -> None:
-        """Accept what waits in the backlog, as far as there is capacity for it."""
+        """Accept connections until the backlog is empty or the budget is used up."""
         budget = self._budget
         assert budget is not None
         while self._listener:
             if not ignore_budget and not budget.has_capacity():
                 budget.waiting_since = budget.waiting_since or self._loop.time()
-                # Descriptors of what was aborted just now are back after this iteration of the
-                # loop.
+                # The descriptors of connections that were just aborted are free after this
+                # iteration of the event loop.
                 self._pause(0.0 if budget.has_aborted else ACCEPT_PAUSE_S)
                 return
             try:
@@ -143,21 +143,21 @@
             self._loop.add_reader(self._listener, self._accept)
 
     def pause(self) -> None:
-        """Leave the listener to another process that holds it too."""
+        """Stop accepting: another process that holds the same listener accepts instead."""
         if self._listener:
             self._loop.remove_reader(self._listener)
 
     def resume(self) -> None:
-        """Accept again."""
+        """Accept connections again."""
         if self._listener:
             self._loop.add_reader(self._listener, self._accept)
 
     def adopt(self, sock: socket.socket, is_new: bool, age_s: float) -> None:
-        """Take a client's connection from the process before.
+        """Take over a client connection from the previous process.
 
         Args:
-            sock: Its socket, owned by this process from now on.
-            is_new: Nothing came on it yet.
+            sock: The connection's socket, owned by this process from now on.
+            is_new: Whether nothing was received on it yet.
             age_s: How long it has been idle, or open if it is new.
         """
         self._counters.add("connections")
@@ -165,7 +165,10 @@
         self._start_setup(sock, not is_new, age_s)
 
     async def close(self) -> None:
-        """Accept what already waits in the backlog, then stop listening."""
+        """Stop listening, after accepting the connections in the backlog.
+
+        The backlog of an inherited listener is left to the processes that hold it too.
+        """
         if self._listener:
             self.pause()
             if self._listen_fd is None:
--- a/mothstall/net/client_side/connection.py
+++ b/mothstall/net/client_side/connection.py
@@ -1,4 +1,4 @@
-"""A client connection: one request after the other, each answered before the next is taken up."""
+"""A client connection: serves one request at a time, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -35,28 +35,28 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.frontend import Frontend
 
-# A first request that comes within this time of its connection counts from when that came.
+# A first request received this soon after its connection counts as arrived together with it.
 FIRST_REQUEST_S = 0.1
 
 
 class Connection(ParserConnection):
-    """One client.
+    """The connection of one client.
 
     Attributes:
-        frontend: What all connections share.
-        state: What the connection is doing; changed by `enter` alone.
-        state_since_s: When the state was entered, or its time began anew (loop time, seconds).
-        arrived_ns: Since when what is read may have been there (clock, nanoseconds).
-        request: The request that is read or open.
-        exchange: The open request, and what it holds; None in a state that has none open.
-        body: What has come of the request's body.
-        pipelined: What came behind an open request, not parsed yet.
-        is_http11: The open request is of HTTP/1.1.
-        keeps_alive: The connection stays open after the response to the open request.
-        deferred_error: Status and reason of an error that is owed behind the open request's
+        frontend: State shared by all client connections.
+        state: The connection's state; only `enter` changes it.
+        state_since_s: When the state was entered or its timeout restarted (loop time, seconds).
+        arrived_ns: Earliest time at which the current input may have arrived (Unix time).
+        request: The request that is being read or is open.
+        exchange: The open request and what it holds; None in a state without an open request.
+        body: The part of the request's body received so far.
+        pipelined: Input received while a request was open, not parsed yet.
+        is_http11: Whether the open request is HTTP/1.1.
+        keeps_alive: Whether the connection stays open after the open request's response.
+        deferred_error: Status and reason of an error that is sent after the open request's
             response.
-        discarded_bytes: Read and of no use, since the connection began to discard input.
-        is_read_blocked: A stream takes no more of the body.
+        discarded_bytes: Bytes discarded since the connection began to discard input.
+        is_read_blocked: Whether reading is paused because the body's stream is full.
     """
 
     __slots__ = (
@@ -93,35 +93,36 @@
         self.deferred_error: tuple[int, str] | None = None
         self.discarded_bytes = 0
         self.is_read_blocked = False
-        # The first input may have waited for long in the listener's backlog.
+        # The first input may have waited for a long time in the listener's backlog.
         self._is_late = False
-        # The last input came behind an open request: the parser may hold some of it.
+        # The last input arrived while a request was being read or open: the parser may hold some of
+        # it.
         self._was_pipelined = False
-        # The parser stopped at as many messages as may wait, and may hold more.
+        # The parser stopped at its limit of queued messages, and may hold more.
         self._parser_may_hold_more = False
 
     # Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin with a transport."""
+        """Register the connection, and limit the size of its reads."""
         super().connection_made(transport)
-        # Guards against a quarter of a megabyte for each connection that reads at once.
+        # Guards against asyncio's read buffer of a quarter of a megabyte per connection.
         self.set_max_read(MAX_READ_BYTES)
         self.arrived_ns = self.frontend.clock.arrived_after_ns()
         self.enter(ConnectionState.NEW)
 
     def on_accepted(self, arrived_ns: int, is_late: bool) -> None:
-        """Say since when its first request may have been there.
+        """Set when the first request may have arrived.
 
         Args:
-            arrived_ns: That time; 0 if it is unknown.
-            is_late: It may have been there long before.
+            arrived_ns: The earliest time; 0 if it is unknown.
+            is_late: Whether accepting was delayed, so that it may have arrived long before.
         """
         self.arrived_ns = arrived_ns or self.arrived_ns
         self._is_late = is_late
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End all that the connection has open."""
+        """Withdraw the open request, and release all that the connection holds."""
         if not self.unregister(exc):
             return
         self.on_client_left()
@@ -133,35 +134,35 @@
         self.body.parts = []
 
     def eof_received(self) -> None:
-        """A client that ends its sending has gone, also with an earlier response still to take."""
+        """Treat a half-close as the client's departure, even if a response is still unread."""
         self.on_client_left()
 
     def on_client_left(self) -> None:
-        """The client has gone: its open request is withdrawn."""
+        """Withdraw the open request, as its client has left."""
         if self.state in (ConnectionState.AWAITING_RESPONSE, ConnectionState.UPLOADING):
             self.enter(ConnectionState.LINGERING)
 
     def discard_pipelined(self) -> None:
-        """Drop what came behind the open request."""
+        """Drop the input received after the open request."""
         self._messages.clear()
         self.pipelined.clear()
         self._parser_may_hold_more = False
 
     @property
     def relay(self) -> ResponseRelay | None:
-        """The long response that is being relayed."""
+        """The long response that is being relayed, if any."""
         return None if self.exchange is None else self.exchange.relay
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full."""
+        """Block the relayed response: the transport's buffer is full."""
         BaseProtocol.pause_writing(self)
         if self.relay is not None:
             self.relay.stream.sink_blocked()
 
     def resume_writing(self) -> None:
-        """The transport takes more."""
+        """Continue writing: the transport's buffer has drained."""
         BaseProtocol.resume_writing(self)
-        # Guards against a close out of this call, which asyncio would carry out twice.
+        # Guards against a close from within this callback, which asyncio would carry out twice.
         self._loop.call_soon(self._on_writable)
 
     def _on_writable(self) -> None:
@@ -173,10 +174,10 @@
             self.start_next_request()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Resume the parser, called by the buffer of a body.
+        """Resume the parser; called when the buffer of a body has drained.
 
-        Guards against a call back into the parser while a body is taken out of it: it comes
-        afterwards.
+        Guards against re-entering the parser while a body is read out of it: the parser is resumed
+        in a later callback.
         """
         if self._reading_paused:
             self._reading_paused = False
@@ -186,12 +187,15 @@
                 self._loop.call_soon(self._resume_parser)
 
     def _resume_parser(self) -> None:
-        """Where aiohttp stopped its parser, at so many chunks of any size, it holds input."""
+        """Parse the input that aiohttp's parser held back.
+
+        aiohttp pauses its parser at a limited number of chunks, whatever their size.
+        """
         if self.state in READS_BODY:
             self._parse(b"")
 
     def has_pipelined_input(self) -> bool:
-        """Tell whether something behind the last request may have been read already."""
+        """Return whether input after the last request may have been read already."""
         return (
             self._was_pipelined
             or bool(self._messages)
@@ -200,32 +204,32 @@
         )
 
     def shed(self) -> None:
-        """End by a lingering close if nothing is open; part of a request is rejected."""
+        """Reject an incomplete request, or begin a lingering close if there is none."""
         if self.state in (ConnectionState.READING_HEAD, ConnectionState.READING_BODY):
             rejection.reject_and_close(self, 503, "no room")
         else:
             lingering_close.begin(self)
 
     def abort(self) -> None:
-        """End at once, whatever its client has still to take: its descriptor is needed."""
+        """Close at once, even with unsent response data, to free the descriptor."""
         self.frontend.table.remove(self)
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
 
     def release(self) -> None:
-        """Close our copy of the descriptor: another process owns the connection now."""
+        """Close this process's descriptor: another process owns the connection now."""
         self.abort()
 
     def has_unread_response(self) -> bool:
-        """Tell whether its client has still to take some of a response."""
+        """Return whether part of a response still waits to be sent."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def enter(self, state: ConnectionState) -> None:
         """Change the state.
 
-        Guards against a way out of a state that forgets the open request: what has not ended
-        otherwise is withdrawn with the change.
+        Guards against a transition that forgets the open request: unless it has ended, it is
+        withdrawn when the new state has no open request.
         """
         if self.exchange is not None and state not in HAS_OPEN_EXCHANGE:
             self.end_exchange(ExchangeEnd.WITHDRAWN)
@@ -238,7 +242,7 @@
     # Reading
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came, or hold it back behind the open request, or discard it."""
+        """Parse input, buffer it while a request is open, or discard it."""
         state = self.state
         self._was_pipelined = state not in (ConnectionState.IDLE, ConnectionState.NEW)
         if (
@@ -258,8 +262,8 @@
     def _receive(self, data: bytes, arrived_ns: int) -> None:
         state = self.state
         if state == ConnectionState.NEW or state == ConnectionState.IDLE:
-            # The first request may have come with its connection, and waited as long to be
-            # accepted.
+            # The first request may have arrived with its connection, and have waited in the backlog
+            # for as long.
             if (
                 state == ConnectionState.IDLE
                 or self.frontend.loop.time() - self.state_since_s > FIRST_REQUEST_S
@@ -268,22 +272,21 @@
             state_since_s = self.state_since_s
             self.enter(ConnectionState.READING_HEAD)
             if state == ConnectionState.NEW:
-                self.state_since_s = (
-                    state_since_s  # a complete head is owed since the connection was opened
-                )
+                # The timeout for a complete head counts from when the connection was opened.
+                self.state_since_s = state_since_s
         self._parse(data)
 
     def _buffer_pipelined(self, data: bytes) -> None:
-        """Hold input unparsed, so that its client's leaving is always seen."""
+        """Buffer input unparsed, so that the client's departure is always noticed."""
         self.pipelined.append(data, self.frontend.clock.arrived_after_ns())
         if self.state in DEFERS_INPUT and self.pipelined.exceeds_limit():
-            # Guards against a client whose leaving would hide behind what it sent at once: it is
-            # read on.
+            # Guards against a departure that stays unnoticed behind unread input: reading goes on,
+            # and the input is discarded.
             self.discard_pipelined()
             lingering_close.discard_further_input(self, 400, "too much was sent ahead of an answer")
 
     def _take_pipelined(self) -> None:
-        """Parse what came behind an answered request: a piece in an iteration of the loop."""
+        """Parse the input buffered after an answered request, one piece per loop iteration."""
         if (
             not self.pipelined.pieces
             or self._messages
@@ -315,7 +318,7 @@
             self.start_next_request()
 
     def start_next_request(self) -> None:
-        """Take up the next request, if none is open and the last response went out."""
+        """Start the next request, if none is open and the last response was written."""
         if (
             self.state not in (ConnectionState.IDLE, ConnectionState.READING_HEAD)
             or self._paused
@@ -328,14 +331,14 @@
         message, payload = self._messages.popleft()
         if self._parser is not None:
             self._parser.message_consumed()
-        # A pipelined one waited behind the others, and its time counts from when it came, too.
+        # A pipelined request waited behind others; its time counts from its arrival, too.
         is_late = (
             self._is_late or self.frontend.clock.now() - self.arrived_ns > CHECK_CLIENT_AFTER_NS
         )
         self._is_late = False
         if is_late and has_peer_hung_up(self.transport):
-            # Guards against a request that waited unread longer than its client: this process stood
-            # still, or had no descriptor for it.
+            # Guards against forwarding a request whose client left while it waited unread, as this
+            # process was suspended or had no free descriptor.
             self.discard_pipelined()
             self.force_close()
             return
@@ -344,22 +347,22 @@
             self._parser_may_hold_more = False
             self._parse(b"")
         if self.pipelined.pieces:
-            self._loop.call_soon(self._take_pipelined)  # where the rest of this one is
+            self._loop.call_soon(self._take_pipelined)  # the rest of this request may be there
 
     def submit_request(self) -> None:
-        """Hand a complete request to the decisions."""
+        """Submit a complete request to the decider."""
         assert self.request is not None
         number = self.frontend.submit_request(self, self.request, self.arrived_ns)
         if number is None:
             rejection.reject_request(self, 400, "X-Txn is that of an open request")
 
     def open_exchange(self, exchange: OpenExchange, state: ConnectionState) -> None:
-        """Note the request that the decisions get now."""
+        """Record the request that is submitted to the decider."""
         self.exchange = exchange
         self.enter(state)
 
     def end_exchange(self, end: ExchangeEnd) -> None:
-        """End the open request, if there is one: nothing of it stays open anywhere."""
+        """End the open request, if there is one, and release all that it holds."""
         exchange = self.exchange
         if exchange is None:
             return
@@ -371,12 +374,12 @@
     # As the source of a long body
 
     def pause(self) -> None:
-        """Read no more for now."""
+        """Pause reading."""
         self.is_read_blocked = True
         self._pause_transport_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading, and restart the timeout of the state."""
         self.is_read_blocked = False
         self.state_since_s = self.frontend.loop.time()
         if self.pipelined.pieces:
@@ -385,15 +388,15 @@
             self._resume_transport_reading()
 
     def sink_closed(self) -> None:
-        """The backend takes nothing more of it; the response to the request follows."""
+        """Pause reading: the backend reads no more of the body, and its response follows."""
         self.pause()
 
     def is_waiting(self, request: protocol.ClientRequest, check_socket: bool) -> bool:
-        """Tell whether the client still waits for its response.
+        """Return whether the client still waits for its response.
 
         Args:
             request: The request.
-            check_socket: Ask the kernel too, not only what was read.
+            check_socket: Also check the socket for a hang-up that was not read yet.
         """
         if (
             self.request is not request
@@ -426,10 +429,10 @@
             self.write_response(response)
 
     def _send_early_response(self, response: ClientResponse) -> None:
-        """Write the response at once; what still comes of the body is read and thrown away.
+        """Write a response to an incomplete request, and discard the rest of the request's body.
 
-        Guards against a client that reads its response only after it has written: it would see a
-        reset.
+        Guards against a client that reads its response only after it has sent the whole body: it
+        would see a reset.
         """
         assert self.transport is not None
         self.keeps_alive = self.keeps_alive and not self.frontend.closes_after_response()
@@ -443,7 +446,7 @@
         request_body.on_data(self)
 
     def write_response(self, response: ClientResponse) -> None:
-        """Write a complete response, and go on."""
+        """Write a complete response, then continue with `after_response`."""
         transport = self.transport
         self.body.payload = None
         if transport is None:
@@ -456,7 +459,7 @@
         self.after_response(transport)
 
     def after_response(self, transport: asyncio.Transport) -> None:
-        """Go on to the next request, or to a lingering close."""
+        """Continue with the next request, or begin a lingering close."""
         if not self.keeps_alive:
             lingering_close.begin(self)
             return
@@ -466,10 +469,10 @@
         if self.deferred_error is not None:
             rejection.reject_and_close(self, *self.deferred_error)
         elif self._messages or self.pipelined.pieces:
-            # Guards against a pipeline that keeps the loop to itself.
+            # Guards against a long pipeline that blocks the event loop.
             self._loop.call_soon(self.start_next_request)
 
     def reject_open_request(self, status: int, reason: str) -> None:
-        """Answer the open request with an error too; it is forwarded no more."""
+        """Withdraw the open request, and answer it with an error."""
         self.enter(ConnectionState.READING_BODY)
         rejection.reject_and_close(self, status, reason)
--- a/mothstall/net/client_side/connection_handover.py
+++ b/mothstall/net/client_side/connection_handover.py
@@ -1,4 +1,4 @@
-"""Handing over to the process that takes over: idle connections, long responses midway."""
+"""Hands over idle connections and partly sent responses to the successor process."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from mothstall.net.lifecycle import Lifecycle, Phase
 from mothstall.net.listener import unsent_bytes
 
-# The backend's position within its chunked coding: see ChunkedDecoder.
+# The position in the chunked coding of the backend's response: see ChunkedDecoder.
 ChunkedPosition = tuple[int, int, bytes] | None
-# Arguments: descriptors of a client and its backend (none: it owes nothing), how many bytes the
-# backend owes, its position in its chunks, whether the client gets chunks, what is encoded for it
-# already, and what is buffered.
+# Arguments: descriptors of a client and its backend (None: it has sent everything), how many bytes
+# the backend still has to send, its position in the chunked coding, whether the client gets chunks,
+# encoded bytes that are not sent yet, and buffered parts of the body.
 GiveResponse = Callable[
     [int, int | None, int | None, ChunkedPosition, bool, bytes, list[bytes]], bool
 ]
-# Arguments: descriptor of a client, whether nothing came on it yet, its age in seconds.
+# Arguments: descriptor of a client, whether nothing was received on it yet, its age in seconds.
 GiveConnection = Callable[[int, bool, float], bool]
 
 
 @dataclass(frozen=True)
 class HandoverTarget:
-    """How connections are given to the process that takes over; both return whether it took them.
+    """Sends connections to the successor; both functions return whether it accepted them.
 
     Attributes:
-        give_connection: Gives a connection on which nothing is open.
-        give_response: Gives a long response.
+        give_connection: Sends a connection without an open request.
+        give_response: Sends a long response that is being relayed.
     """
 
     give_connection: GiveConnection
@@ -41,7 +41,7 @@
 
 
 class ConnectionHandover:
-    """Gives the connections of a table to the process that takes over."""
+    """Hands over the connections of a table to the successor."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         counters: Counters,
         phases: Lifecycle,
     ) -> None:
-        """Give connections of `table` to `target`."""
+        """Hand over connections of `table` to `target`."""
         self._table = table
         self._target = target
         self._loop = loop
@@ -59,7 +59,7 @@
         self._phases = phases
 
     def hand_over(self, connection: Connection) -> bool:
-        """Give a connection on which nothing is open to the process that took over."""
+        """Hand over a connection without an open request; False if it stays with this process."""
         transport = connection.transport
         if (
             transport is None
@@ -68,7 +68,7 @@
         ):
             return False
         sock = transport.get_extra_info("socket")
-        transport.pause_reading()  # what comes from now on waits in the kernel
+        transport.pause_reading()  # further input waits in the kernel
         is_new = connection.state == ConnectionState.NEW
         age_s = self._loop.time() - connection.state_since_s
         if not self._target.give_connection(sock.fileno(), is_new, age_s):
@@ -79,13 +79,13 @@
         return True
 
     def hand_over_idle(self) -> None:
-        """Give all connections on which nothing is open."""
+        """Hand over all connections without an open request."""
         for state in (ConnectionState.IDLE, ConnectionState.NEW):
             for connection in list(self._table.by_state[state]):
                 self.hand_over(connection)
 
     def hand_over_responses(self) -> None:
-        """Give the long responses that are midway, their buffers empty."""
+        """Hand over the long responses that are partly sent, with their unsent bytes."""
         states = [ConnectionState.RELAYING]
         if self._phases.phase is Phase.STOPPING:
             states += [ConnectionState.LINGERING, ConnectionState.IDLE]
@@ -94,7 +94,7 @@
                 self._hand_over_response(connection)
 
     def resume_responses(self) -> None:
-        """Go on with what waited for the process that took over, which is gone."""
+        """Resume the responses that were paused for a successor that is gone."""
         for connection in list(self._table.by_state[ConnectionState.RELAYING]):
             if connection.relay is not None:
                 connection.relay.stream.thaw()
@@ -108,7 +108,7 @@
             return
         stream = connection.relay.stream
         if stream.is_truncated:
-            return  # it ends here, as cut
+            return  # this process ends it, as cut off
         stream.freeze()
         encoded = unsent_bytes(transport)
         if encoded is None:
@@ -116,8 +116,8 @@
         source = stream.source
         position: tuple[int | None, int | None, ChunkedPosition] | None = None
         if stream.has_ended:
-            # Of a response that came complete nothing is owed, however much its client has still to
-            # take.
+            # The backend has sent the complete response, however much of it the client has still to
+            # read.
             position = (None, 0, None)
         elif isinstance(source, BackendConnection):
             position = source.handover_position()
@@ -140,7 +140,7 @@
         connection.release()
 
     def _hand_over_unsent_bytes(self, connection: Connection, transport: asyncio.Transport) -> None:
-        """Guards against a slow reader whose last bytes would go down with this process."""
+        """Guards against the loss of a response's last bytes when this process ends."""
         encoded = unsent_bytes(transport)
         if not encoded:
             return
--- a/mothstall/net/client_side/connection_states.py
+++ b/mothstall/net/client_side/connection_states.py
@@ -1,30 +1,33 @@
-"""The states of a client connection, how long each may last, and which state follows which."""
+"""The states of a client connection, their timeouts, and the transitions between them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-LINGER_S = 1.0  # a lingering close reads what still comes for at most this time
+LINGER_S = 1.0  # a lingering close reads further input for at most this time
 
 
 class ConnectionState(IntEnum):
-    """What a connection is doing; all but the first four owe something, and are closed."""
+    """What a connection is doing.
 
-    IDLE = 0  # served, and between requests
-    AWAITING_RESPONSE = 1  # a complete request is with the decisions
-    PENALIZED = 2  # a request was rejected a moment ago: the next one waits
-    LINGERING = 3  # the last response, if any was owed, is written, and our side half closed
-    NEW = 4  # nothing came since the connection was opened
+    From NEW on, a peer has to send or read something in time, or the connection is closed.
+    """
+
+    IDLE = 0  # between requests
+    AWAITING_RESPONSE = 1  # a complete request was submitted to the decider
+    PENALIZED = 2  # a request was just rejected: the next one is delayed
+    LINGERING = 3  # the last response, if any, is written, and the write side is closed
+    NEW = 4  # nothing was received since the connection was opened
     READING_HEAD = 5
     READING_BODY = 6
-    UPLOADING = 7  # a request is with the decisions, and the rest of its long body is coming
-    RELAYING = 8  # a long response is relayed as it comes
-    DISCARDING_BODY = 9  # the response is written, and the rest of a long request body is coming
+    UPLOADING = 7  # a submitted request, the rest of whose long body is being received
+    RELAYING = 8  # a long response is being relayed
+    DISCARDING_BODY = 9  # the response is written; the rest of a long request body is discarded
     REJECTED = 10  # a lingering close after a request that was rejected before it was complete
 
 
-# States in which input is held back until the open request has its response.
+# States in which input is buffered unparsed.
 DEFERS_INPUT = (
     ConnectionState.AWAITING_RESPONSE,
     ConnectionState.RELAYING,
@@ -38,18 +41,18 @@
     ConnectionState.DISCARDING_BODY,
 )
 
-# States in which a request is with the decisions, or its long response is on its way.
+# States with an open request: submitted to the decider, or its long response being relayed.
 HAS_OPEN_EXCHANGE = (
     ConnectionState.AWAITING_RESPONSE,
     ConnectionState.UPLOADING,
     ConnectionState.RELAYING,
 )
 
-# States behind the last response: our side is half closed, and input is discarded.
+# States after the last response: the write side is closed, and input is discarded.
 IS_CLOSING = (ConnectionState.LINGERING, ConnectionState.REJECTED)
 
-# How long each state may last, in seconds: an idle connection that was served, a first byte and a
-# complete head, a short body, and what comes after an error. A client may take 2 s for a head.
+# How long each state may last, in seconds; NEW and the READING_HEAD after it share one timeout. A
+# client may take 2 s to send a head.
 STATE_TIMEOUT_S = {
     ConnectionState.IDLE: 6.0,
     ConnectionState.LINGERING: LINGER_S,
@@ -82,7 +85,7 @@
 # All edges. A pipelined request begins in IDLE, not in READING_HEAD, as its head is parsed already.
 TRANSITIONS: tuple[Transition, ...] = (
     Transition(None, "accepted", _S.NEW, "client: a first byte"),
-    Transition(_S.NEW, "adopted from the process before", _S.IDLE, "nothing"),
+    Transition(_S.NEW, "adopted from the previous process", _S.IDLE, "nothing"),
     Transition(_S.NEW, "first bytes", _S.READING_HEAD, "client: a complete head"),
     Transition(_S.IDLE, "first bytes", _S.READING_HEAD, "client: a complete head"),
     # A request.
@@ -107,25 +110,25 @@
     Transition(_S.IDLE, "rejected, pipelined, kept alive", _S.PENALIZED, "proxy: a pause"),
     Transition(_S.READING_BODY, "rejected, kept alive", _S.PENALIZED, "proxy: a pause"),
     Transition(_S.PENALIZED, "penalty is over", _S.IDLE, "nothing"),
-    # A request that is withdrawn from the decisions before it is rejected.
+    # A request that is withdrawn from the decider before it is rejected.
     Transition(_S.UPLOADING, "body abandoned", _S.READING_BODY, "proxy: an error"),
     Transition(_S.AWAITING_RESPONSE, "too much input", _S.READING_BODY, "proxy: an error"),
     # A lingering close.
-    Transition(_S.NEW, "shed, expired or drained", _S.LINGERING, "client: its end"),
-    Transition(_S.IDLE, "shed, expired or drained", _S.LINGERING, "client: its end"),
-    Transition(_S.PENALIZED, "shed or stopping", _S.LINGERING, "client: its end"),
-    Transition(_S.READING_HEAD, "local page, last response", _S.LINGERING, "client: its end"),
-    Transition(_S.AWAITING_RESPONSE, "last response, or left", _S.LINGERING, "client: its end"),
+    Transition(_S.NEW, "shed, expired or drained", _S.LINGERING, "client: a close"),
+    Transition(_S.IDLE, "shed, expired or drained", _S.LINGERING, "client: a close"),
+    Transition(_S.PENALIZED, "shed or stopping", _S.LINGERING, "client: a close"),
+    Transition(_S.READING_HEAD, "local page, last response", _S.LINGERING, "client: a close"),
+    Transition(_S.AWAITING_RESPONSE, "last response, or left", _S.LINGERING, "client: a close"),
     Transition(_S.UPLOADING, "client left", _S.LINGERING, "nothing"),
-    Transition(_S.RELAYING, "last response, or cut", _S.LINGERING, "client: its end"),
+    Transition(_S.RELAYING, "last response, or cut", _S.LINGERING, "client: a close"),
     Transition(
-        _S.DISCARDING_BODY, "body complete, malformed or given up", _S.LINGERING, "client: its end"
+        _S.DISCARDING_BODY, "body complete, malformed or given up", _S.LINGERING, "client: a close"
     ),
-    # A lingering close behind an error.
-    Transition(_S.NEW, "drain overdue", _S.REJECTED, "client: its end"),
-    Transition(_S.IDLE, "error in pipelined input", _S.REJECTED, "client: its end"),
-    Transition(_S.PENALIZED, "drain overdue, or malformed", _S.REJECTED, "client: its end"),
-    Transition(_S.READING_HEAD, "rejected, shed or overdue", _S.REJECTED, "client: its end"),
-    Transition(_S.READING_BODY, "rejected, shed or overdue", _S.REJECTED, "client: its end"),
-    Transition(_S.UPLOADING, "body malformed", _S.REJECTED, "client: its end"),
+    # A lingering close after an error.
+    Transition(_S.NEW, "drain overdue", _S.REJECTED, "client: a close"),
+    Transition(_S.IDLE, "error in pipelined input", _S.REJECTED, "client: a close"),
+    Transition(_S.PENALIZED, "drain overdue, or malformed", _S.REJECTED, "client: a close"),
+    Transition(_S.READING_HEAD, "rejected, shed or overdue", _S.REJECTED, "client: a close"),
+    Transition(_S.READING_BODY, "rejected, shed or overdue", _S.REJECTED, "client: a close"),
+    Transition(_S.UPLOADING, "body malformed", _S.REJECTED, "client: a close"),
 )
--- a/mothstall/net/client_side/connection_table.py
+++ b/mothstall/net/client_side/connection_table.py
@@ -11,7 +11,7 @@
 
 
 class ConnectionTable:
-    """Which connections are in which state.
+    """The open client connections, grouped by state.
 
     Attributes:
         by_state: For each state its connections, in the order in which they entered it.
@@ -21,19 +21,19 @@
         self.by_state: tuple[dict[Connection, None], ...] = tuple({} for _ in ConnectionState)
 
     def add(self, connection: Connection) -> None:
-        """Add a connection to its present state."""
+        """Add a connection under its current state."""
         self.by_state[connection.state][connection] = None
 
     def remove(self, connection: Connection) -> None:
-        """Take a connection out of its present state; no effect if it is not there."""
+        """Remove a connection from its current state; no effect if it is not there."""
         self.by_state[connection.state].pop(connection, None)
 
     def oldest(self, state: ConnectionState) -> Connection | None:
-        """Return the connection that has been in `state` for the longest time, if any is."""
+        """Return the connection that has been in `state` the longest, if any."""
         return next(iter(self.by_state[state]), None)
 
     def counts(self) -> dict[str, int]:
-        """Count the connections of each state that has any, by its name in lower case."""
+        """Return the number of connections by lower-case state name, without empty states."""
         return {
             state.name.lower(): len(self.by_state[state])
             for state in ConnectionState
--- a/mothstall/net/client_side/frontend.py
+++ b/mothstall/net/client_side/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side of the proxy: composes connections, accepting, load shedding and handover."""
+"""The client side of the proxy: composes connections, acceptor, load shedding and handover."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
     from aiohttp import web
 
 SWEEP_S = 0.1  # between two checks of all connections
-SHUTDOWN_TIMEOUT_S = 0.05  # for what is still open when the time to stop is over
+SHUTDOWN_TIMEOUT_S = 0.05  # for connections that are still open at the end of a shutdown
 
 
 @dataclass(frozen=True)
 class ClientLimits:
-    """What clients may take.
+    """Limits on the resources that clients use.
 
     Attributes:
-        max_connections: The budget of connections.
-        max_body_bytes: The longest request body that is taken.
-        max_pipelined_bytes: All clients together may send so much ahead of responses.
-        retry_after_ns: Sent with what the proxy's end rejects.
+        max_connections: The budget of client connections.
+        max_body_bytes: The longest request body that is accepted.
+        max_pipelined_bytes: Limit of the input that all clients may send ahead of responses.
+        retry_after_ns: The Retry-After of a rejection (503) on the client side.
     """
 
     max_connections: int
@@ -53,14 +53,14 @@
 
 
 class Server(web_server.Server):
-    """aiohttp's table of connections, with connections of our own."""
+    """aiohttp's server with its table of connections; it creates `Connection` objects."""
 
     def __init__(self, frontend: Frontend) -> None:
         super().__init__(frontend.no_handler)
         self._frontend = frontend
 
     def __call__(self) -> Connection:
-        """Make the protocol of a connection that was accepted."""
+        """Create the protocol of an accepted connection."""
         return Connection(self._frontend, self)
 
 
@@ -68,19 +68,19 @@
     """All client connections.
 
     Attributes:
-        names: Names of headers and the like.
-        loop: Where the connections run.
-        counters: Of the proxy.
-        clock: Of the proxy.
-        phases: Whether the proxy takes clients, drains or stops.
-        grants: Permits of long request bodies.
-        max_body_bytes: The longest request body that is taken.
-        retry_after_head: Header lines of what the proxy's end rejects.
-        pipelined_budget: Of all that clients sent ahead of responses.
+        names: Header names and other configured names.
+        loop: The event loop of the connections.
+        counters: The proxy's counters.
+        clock: The proxy's clock.
+        phases: The proxy's lifecycle: serving, draining or stopping.
+        grants: Permits for streaming long request bodies.
+        max_body_bytes: The longest request body that is accepted.
+        retry_after_head: The Retry-After header line of a rejection (503).
+        pipelined_budget: Counts the input that all connections buffer while a request is open.
         table: The connections by state.
-        budget: Of connections.
-        acceptor: Of new connections.
-        handover: To the process that takes over.
+        budget: The budget of connections.
+        acceptor: Accepts new connections.
+        handover: Hands connections over to the successor process.
     """
 
     def __init__(
@@ -99,10 +99,10 @@
         listen_fd: int | None = None,
         handover_target: HandoverTarget,
     ) -> None:
-        """Serve clients at `address`, or at `listen_fd` where others hold the clients' socket.
+        """Serve clients at `address`, or on the inherited listener `listen_fd` unless that is None.
 
-        `decide` takes messages to the decisions, and `ready` tells whether these know the
-        endpoints; `handover_target` takes connections when another process takes over.
+        `decide` sends messages to the decider, `ready` returns whether the decider has an endpoint
+        list, and `handover_target` receives connections when another process takes over.
         """
         self.names = names
         self.loop = loop
@@ -116,7 +116,7 @@
         self._decide = decide
         self._ready = ready
         self._request_numbers = itertools.count(1)
-        self._open_ids: set[bytes] = set()  # of requests that have no response yet
+        self._open_ids: set[bytes] = set()  # ids of requests that have no response yet
         self._server = Server(self)
         self._accepted = open_connections(self._server)
         self.table = ConnectionTable()
@@ -133,7 +133,7 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Begin to take clients.
+        """Start to accept clients.
 
         Raises:
             OSError: The address is not available.
@@ -143,32 +143,32 @@
 
     async def no_handler(self, request: web.BaseRequest) -> web.StreamResponse:
         """Stand in for aiohttp's handler, which is never called."""
-        raise NotImplementedError("connections answer by themselves")
+        raise NotImplementedError("connections handle their requests themselves")
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The listening port."""
         return self.acceptor.port
 
     @property
     def connection_count(self) -> int:
-        """Client connections that are open."""
+        """Number of open client connections."""
         return len(self._accepted)
 
     def open_by_state(self) -> dict[str, int]:
-        """Count the connections of each state that has any."""
+        """Return the number of connections by lower-case state name, without empty states."""
         return self.table.counts()
 
     def accepts_new_clients(self) -> bool:
-        """Tell whether new clients are welcome."""
+        """Return whether the proxy is ready and accepts new clients."""
         return self._ready() and self.acceptor.is_listening and self.phases.taking
 
     def closes_after_response(self) -> bool:
-        """Tell whether a response is the last of its connection: at a drain, or to make room."""
+        """Return whether a response ends its connection: in a drain or under pressure."""
         return self.phases.closing or self.budget.is_under_pressure()
 
     def local_page(self, path: str) -> ClientResponse:
-        """Return what the proxy says of itself at `path`."""
+        """Return the response for a local page: the counters, or the readiness."""
         if path == "/counters":
             return ClientResponse(200, self.counters.text().encode())
         if self.accepts_new_clients():
@@ -184,10 +184,10 @@
         arrived_ns: int,
         state: ConnectionState = ConnectionState.AWAITING_RESPONSE,
     ) -> int | None:
-        """Hand a request to the decisions.
+        """Submit a request to the decider.
 
         Returns:
-            The number of the request; None if its id is that of an open one.
+            The number of the request; None if another open request has the same id.
         """
         if request.request_id in self._open_ids:
             return None
@@ -204,11 +204,11 @@
         return number
 
     def end_exchange(self, exchange: OpenExchange, end: ExchangeEnd) -> None:
-        """Give back all that an open request holds, and tell the decisions if they do not know."""
+        """Release all that an open request holds, and inform the decider of its end if needed."""
         self._open_ids.discard(exchange.request.request_id)
         message = exchange.end_message(end)
         if message is not None:
-            # Ahead of the attempt's end, which the streams may cause: nothing is retried.
+            # Before the streams are released, which may end the attempt: it must not be retried.
             self._decide(message)
         exchange.release_streams()
 
@@ -235,14 +235,13 @@
     # Stopping
 
     async def close(self) -> None:
-        """Accept what already waits in the backlog, then stop listening."""
+        """Stop listening, after accepting the connections in the backlog."""
         await self.acceptor.close()
 
     def close_idle(self) -> bool:
-        """Close the connections that have been idle a while; True if others are left."""
+        """Close the connections that have been idle for a while; True if any are still open."""
         if self.phases.is_handing_over:
-            # Guards against a close that takes away what another process could still hand to the
-            # client.
+            # Guards against closing a connection that the successor process could still serve.
             self.handover.hand_over_idle()
             self.handover.hand_over_responses()
         now = self.loop.time()
@@ -257,7 +256,7 @@
         return bool(self._accepted)
 
     async def stop(self) -> None:
-        """End what is still open."""
+        """Close the connections that are still open."""
         if self._sweep_timer:
             self._sweep_timer.cancel()
         await self._server.shutdown(SHUTDOWN_TIMEOUT_S)
--- a/mothstall/net/client_side/lingering_close.py
+++ b/mothstall/net/client_side/lingering_close.py
@@ -1,4 +1,4 @@
-"""Closing so that the client still gets the last response: half-close, read on, close."""
+"""Lingering close: half-close, discard further input, close, so that the response is not lost."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 __all__ = ["LINGER_BYTES", "LINGER_S", "begin", "discard", "discard_further_input", "reset"]
 
-LINGER_BYTES = 256 * 1024  # a lingering close reads at most so much of what still comes
-# Read and discarded behind an open request, in all: more than two kernels hold between them.
+LINGER_BYTES = 256 * 1024  # a lingering close reads at most this much further input
+# Limit of the input discarded while a request is open: more than both kernels' buffers hold.
 MAX_DISCARDED_BYTES = 16 * 1024 * 1024
-DISCARD_READ_BYTES = 1024 * 1024  # the same, in one read
+DISCARD_READ_BYTES = 1024 * 1024  # maximum size of one read of such input
 
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0
 
 
 def begin(connection: Connection, state: ConnectionState = ConnectionState.LINGERING) -> None:
-    """Half-close behind what is written; what still comes is read and discarded.
+    """Half-close after the data written so far; further input is read and discarded.
 
-    Guards against a close over bytes that were not read, which resets the connection and takes from
-    the client the response that it has not read yet. Bounded by LINGER_S, LINGER_BYTES and the
-    client's own end.
+    Guards against closing a socket with unread input: that resets the connection, and the client
+    loses the response that it has not read yet. Ends when the client closes, or after LINGER_S; at
+    most about LINGER_BYTES are read.
     """
     transport = connection.transport
     if transport is None:
@@ -46,20 +46,20 @@
 
 
 def discard(connection: Connection, data: bytes) -> None:
-    """Count what was read and is of no use."""
+    """Count discarded input, and bound it."""
     connection.discarded_bytes += len(data)
     if connection.state == ConnectionState.AWAITING_RESPONSE:
-        # Read on with no pause. Guards against an attempt for a client whose end comes behind all
-        # that.
+        # Reading is not paused. Guards against an attempt for a client whose departure is hidden
+        # behind unread input.
         if connection.discarded_bytes > MAX_DISCARDED_BYTES:
             connection.reject_open_request(400, "too much was sent ahead of an answer")
     elif connection.discarded_bytes > LINGER_BYTES:
-        # Guards against 60 MB read at once to be thrown away.
+        # Guards against reading 60 MB at once only to discard them.
         connection._pause_transport_reading()
 
 
 def discard_further_input(connection: Connection, status: int, reason: str) -> None:
-    """Discard what comes behind the open request; an error follows that request's response."""
+    """Discard further input while a request is open; an error follows its response."""
     connection.deferred_error = (status, reason)
     connection.discarded_bytes = 0
     connection.set_max_read(DISCARD_READ_BYTES)
--- a/mothstall/net/client_side/load_shedding.py
+++ b/mothstall/net/client_side/load_shedding.py
@@ -1,4 +1,4 @@
-"""The budget of client connections: which are shed so that newcomers find a free descriptor."""
+"""The client connection budget: sheds connections so that new clients find a free descriptor."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from mothstall.net.client_side.connection_table import ConnectionTable
 from mothstall.net.counters import Counters
 
-# From this part of the budget on a response is the last of its connection.
+# Once this fraction of the budget is used, each response ends its connection.
 KEEP_ALIVE_FRACTION = 0.5
-# This part of the budget, and at least so many connections, is free or being closed.
+# This fraction of the budget, and at least MIN_SPARE connections, is free or being closed.
 SPARE_FRACTION = 1 / 16
 MIN_SPARE = 4
-URGENT_AFTER_S = (
-    0.1  # newcomers wait so long before connections that are idle for a moment are shed
-)
-# A lingering close gets so long under pressure, if newcomers need not wait longer for it.
+# Shedding is urgent once new clients have waited this long: connections that have been idle only
+# briefly are shed, too.
+URGENT_AFTER_S = 0.1
+# Once the budget is used up, a lingering close is aborted after this time.
 LINGER_GRACE_S = 0.05
-URGENT_LINGER_GRACE_S = ACCEPT_PAUSE_S  # the same when newcomers have waited for too long
-# Ages in a state from which a connection may be shed.
+URGENT_LINGER_GRACE_S = ACCEPT_PAUSE_S  # the same when shedding is urgent
+# Times in a state after which a connection may be shed.
 SHED_NEW_S = FIRST_REQUEST_S
 SHED_INCOMPLETE_S = 0.5
 SHED_IDLE_S = 2.0
@@ -35,8 +35,8 @@
 
     Attributes:
         max_connections: The maximum.
-        spare: So many connections are kept free, or being closed.
-        waiting_since: Since when newcomers wait for a free connection (loop time), if they do.
+        spare: Number of connections that are kept free or being closed.
+        waiting_since: Since when new clients wait for a free connection (loop time), if any do.
         has_aborted: Whether the last call of `has_capacity` aborted a connection.
     """
 
@@ -49,7 +49,7 @@
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
     ) -> None:
-        """Watch over `accepted` connections and those that are still `accepting`."""
+        """Limit the `accepted` connections together with those being set up (`accepting`)."""
         self.max_connections = max_connections
         self.spare = max(MIN_SPARE, int(max_connections * SPARE_FRACTION))
         self._table = table
@@ -61,11 +61,11 @@
         self.has_aborted = False
 
     def has_capacity(self) -> bool:
-        """Tell whether one more connection fits in, after shedding others if few are left.
+        """Return whether one more connection may be accepted; shed others if few are free.
 
-        Guards against running out of descriptors: others are shed, or newcomers wait.
+        Guards against running out of descriptors: others are shed, or new clients wait.
 
-        What was closed a moment ago still holds its descriptor, and counts until it is gone.
+        A connection that was just closed still holds its descriptor, and counts until it is lost.
         """
         open_count = len(self._accepted) + len(self._accepting)
         self.has_aborted = False
@@ -74,11 +74,11 @@
         return open_count < self.max_connections
 
     def _shed(self, open_count: int) -> None:
-        """See to it that the spare connections are free or being closed.
+        """Shed connections until the spare ones are free or being closed.
 
-        Linear in that number. Guards against bad clients that hoard connections, against closing a
-        usual one at work, and against a close over bytes that cross it, which its client would see
-        as a reset.
+        Linear in the number of spare connections. Guards against misbehaving clients that hoard
+        connections, against closing a connection in use, and against a close that crosses a request
+        on its way, which the client would see as a reset.
         """
         now = self._loop.time()
         is_urgent = self.waiting_since is not None and now - self.waiting_since > URGENT_AFTER_S
@@ -99,10 +99,10 @@
                 self.has_aborted = True
 
     def _select(self, now: float, is_urgent: bool, count: int) -> list[Connection]:
-        """Choose at most `count` to shed.
+        """Select at most `count` connections to shed.
 
-        First those that never sent a request; one that was served only after 2 s, unless newcomers
-        have waited for too long.
+        Those that never sent a request come first; one that was served is shed only after it has
+        been idle for 2 s, unless shedding is urgent.
         """
         min_ages = [(ConnectionState.NEW, SHED_NEW_S), (ConnectionState.PENALIZED, 0.0)]
         min_ages += [
@@ -123,12 +123,12 @@
                 if len(selected) >= count:
                     return list(selected)
                 if now - connection.state_since_s < min_age_s:
-                    break  # the others came into this state later
+                    break  # the others entered this state later
                 selected[connection] = None
         return list(selected)
 
     def abort_one(self) -> None:
-        """Abort one connection at once, for want of a descriptor in spite of the budget."""
+        """Abort one connection at once, as no descriptor is free in spite of the budget."""
         for state in (
             ConnectionState.REJECTED,
             ConnectionState.LINGERING,
@@ -143,11 +143,11 @@
                 return
 
     def is_under_pressure(self) -> bool:
-        """Tell whether a response is the last of its connection, to make room for newcomers.
+        """Return whether each response ends its connection, so that new clients can connect.
 
-        Guards against clients that send one request and hold their connection: they run out of
-        connections themselves long before the proxy does.
+        Guards against clients that send one request and hold their connection: they lose it long
+        before the proxy runs out of connections.
         """
-        # Those in a lingering close can be ended at once.
+        # Connections in a lingering close can be aborted at once.
         lingering = self._table.by_state[ConnectionState.LINGERING]
         return len(self._accepted) - len(lingering) >= KEEP_ALIVE_FRACTION * self.max_connections
--- a/mothstall/net/client_side/open_exchange.py
+++ b/mothstall/net/client_side/open_exchange.py
@@ -1,4 +1,4 @@
-"""The request that a client connection has open with the decisions, and its one way to end."""
+"""The open request of a client connection, and the single way in which it ends."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     """Why an exchange ends."""
 
     ANSWERED = "answered"  # its complete response is written
-    RELAYED = "relayed"  # its long response is written, or another process goes on with it
-    CUT = "cut"  # its long response broke off, or its client takes nothing more of it
-    WITHDRAWN = "withdrawn"  # its client has gone, or sent what cannot be forwarded
+    RELAYED = "relayed"  # its long response is written, or another process continues it
+    CUT = "cut"  # its long response was cut off, or its client stopped reading it
+    WITHDRAWN = "withdrawn"  # its client has left, or sent input that cannot be forwarded
 
 
 _RELAY_OUTCOME = {
@@ -32,12 +32,12 @@
 
 @dataclass(slots=True)
 class OpenExchange:
-    """A request from when the decisions get it until its response is out or it is withdrawn.
+    """A request, from its submission to the decider until it is answered or withdrawn.
 
     Attributes:
-        number: Of the request, with the decisions.
-        request: The request; its `stream` is the long body that may still be on its way.
-        relay: The long response that is being relayed.
+        number: The request's number in the decider.
+        request: The request; its `stream` is the long body that may still be incomplete.
+        relay: The long response that is being relayed, if any.
     """
 
     number: int
@@ -45,7 +45,7 @@
     relay: ResponseRelay | None = None
 
     def end_message(self, end: ExchangeEnd) -> ClientLeft | ResponseRelayed | None:
-        """Return what the decisions have to be told of the end; None if they know."""
+        """Return the message that informs the decider of the end; None if it needs none."""
         if self.relay is not None:
             return ResponseRelayed(self.number, _RELAY_OUTCOME[end])
         if end is ExchangeEnd.WITHDRAWN:
@@ -53,10 +53,10 @@
         return None
 
     def release_streams(self) -> None:
-        """End both long bodies, as far as they have not ended.
+        """End the streams of the request and of its response, unless they have ended.
 
-        Guards against a backend that waits for the rest of a request, or writes the rest of a
-        response, for nobody: its connection would stay open for good.
+        Guards against a backend that waits for the rest of a request, or writes a response that
+        nobody reads: its connection would stay open for good.
         """
         if self.request.stream is not None:
             self.request.stream.abort()
--- a/mothstall/net/client_side/pipelined_input.py
+++ b/mothstall/net/client_side/pipelined_input.py
@@ -1,4 +1,4 @@
-"""Input that comes behind an open request, held unparsed until that request has its response."""
+"""Input received while a request is open, buffered unparsed until that request is answered."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class PipelinedInputBudget:
-    """Bytes that all connections together hold behind open requests.
+    """Counts the bytes that all connections together buffer while requests are open.
 
     Attributes:
-        used_bytes: Held at present.
-        max_bytes: May be held at most.
+        used_bytes: Bytes buffered at present.
+        max_bytes: The limit of `used_bytes`.
     """
 
     __slots__ = ("max_bytes", "used_bytes")
@@ -23,7 +23,7 @@
 
 
 class PipelinedInput:
-    """The pieces that one connection holds, each with the time since when it may have been there.
+    """The buffered input of one connection, each piece with its earliest arrival time.
 
     Attributes:
         pieces: Pairs of data and arrival time (nanoseconds), oldest first.
@@ -38,16 +38,16 @@
         self._budget = budget
 
     def append(self, data: bytes, arrived_ns: int) -> None:
-        """Hold one more piece."""
+        """Buffer one more piece."""
         self.pieces.append((data, arrived_ns))
         self.byte_count += len(data)
         self._budget.used_bytes += len(data)
 
     def popleft(self) -> tuple[bytes, int]:
-        """Take out the oldest piece.
+        """Remove and return the oldest piece.
 
         Raises:
-            IndexError: Nothing is held.
+            IndexError: Nothing is buffered.
         """
         data, arrived_ns = self.pieces.popleft()
         self.byte_count -= len(data)
@@ -61,7 +61,7 @@
         self.byte_count = 0
 
     def exceeds_limit(self) -> bool:
-        """Tell whether this connection, or all of them together, hold too much."""
+        """Return whether this connection, or all connections together, exceed their limit."""
         return (
             self.byte_count > MAX_PIPELINED_BYTES
             or self._budget.used_bytes > self._budget.max_bytes
--- a/mothstall/net/client_side/rejection.py
+++ b/mothstall/net/client_side/rejection.py
@@ -1,4 +1,4 @@
-"""Rejecting what a client sent: an error, and what becomes of the connection behind it."""
+"""Rejects client input with an error, and delays or closes the connection afterwards."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def reject_request(connection: Connection, status: int, reason: str) -> None:
-    """Reject a request that is not well-formed: an error at once, nothing is forwarded.
+    """Reject a request that is not well-formed with an error at once; nothing is forwarded.
 
-    Guards against the same again as soon as it is rejected: the next one waits a while.
+    Guards against a client that repeats such requests without a pause: the next one is delayed.
     """
     frontend = connection.frontend
     frontend.counters.add("requests_bad")
@@ -35,7 +35,7 @@
 
 
 def reject_and_close(connection: Connection, status: int, reason: str) -> None:
-    """Write an error and end the connection, such that the client gets to see the error."""
+    """Write an error, and close the connection so that the client can still read the error."""
     if connection.state == ConnectionState.AWAITING_RESPONSE:
         # The open request is answered first.
         lingering_close.discard_further_input(connection, status, reason)
--- a/mothstall/net/client_side/request_body.py
+++ b/mothstall/net/client_side/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a request: a short one is collected, a long one becomes a stream."""
+"""The body of a request: a short one is buffered, a long one is streamed."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.connection import Connection
 
-# A long body has to bring so many bytes in such a time.
+# A client has to send MIN_UPLOAD_BYTES of a long body within each period of this length.
 UPLOAD_PROGRESS_TIMEOUT_S = 2.5
 MIN_UPLOAD_BYTES = 48 * 1024
 
 
 class RequestBody:
-    """What has come of the body of the request that is read.
+    """The body received so far of the request that is being read.
 
     Attributes:
-        payload: The parser's end of it; `None` between requests.
-        parts: What was collected of a short body.
-        received_bytes: Of this body, in all.
-        progress_bytes: `received_bytes` when the client's time last began anew.
-        stream: A long body on its way to the backend.
+        payload: aiohttp's reader of the body; `None` between requests.
+        parts: The buffered parts of a short body.
+        received_bytes: Bytes received of this body.
+        progress_bytes: `received_bytes` when the upload timeout was last restarted.
+        stream: The stream of a long body to the backend.
     """
 
     __slots__ = ("parts", "payload", "progress_bytes", "received_bytes", "stream")
@@ -41,12 +41,12 @@
         self.stream: Stream | None = None
 
     def is_complete(self) -> bool:
-        """Tell whether nothing more of it is to come."""
+        """Return whether the whole body was received."""
         return self.payload is None or self.payload.is_eof()
 
 
 def on_data(connection: Connection) -> None:
-    """Take what the parser holds of the body."""
+    """Process the part of the body that the parser has buffered."""
     body = connection.body
     payload = body.payload
     assert payload is not None
@@ -56,11 +56,11 @@
     if payload.exception() is not None:
         abandon(connection, 400, "the body is unreadable")
         return
-    # Taken out at once: aiohttp's reader stops its parser at so many bytes, or chunks of any size.
+    # Read out at once: aiohttp's reader pauses its parser at a limit of bytes, or of chunks.
     data = payload.read_nowait()
     is_complete = payload.is_eof()
     if is_complete and body.stream is not None and has_peer_hung_up(connection.transport):
-        # Guards against the last byte of a body that was held up, behind which its client has gone.
+        # Guards against completing a blocked body whose client has left after the last byte.
         connection.on_client_left()
         connection.force_close()
         return
@@ -80,7 +80,7 @@
 
 
 def _deliver(connection: Connection, data: bytes, is_complete: bool) -> None:
-    """Collect `data`, or pass it on; a body that is complete sets its request going."""
+    """Buffer or stream `data`; a short body that is complete submits its request."""
     body = connection.body
     assert connection.request is not None
     if body.stream is None:
@@ -102,7 +102,7 @@
 
 
 def begin_stream(connection: Connection, length: int | None) -> bool:
-    """Hand the request on while its body is still coming; False if it was rejected."""
+    """Submit the request while its body is still being received; False if it was rejected."""
     body = connection.body
     request = connection.request
     assert request is not None
@@ -125,7 +125,7 @@
 
 
 def abandon(connection: Connection, status: int, reason: str) -> None:
-    """Give up a body that cannot be taken: what has begun of it ends."""
+    """Give up a body that cannot be accepted; its request is rejected unless it is answered."""
     if connection.state == ConnectionState.DISCARDING_BODY:
         lingering_close.begin(connection)
         return
@@ -135,12 +135,12 @@
 
 
 def on_malformed_input(connection: Connection, reason: str) -> None:
-    """Reject input that is no request; one that came complete before it is answered first."""
+    """Reject malformed input; a request that was completed before it is answered first."""
     connection.frontend.counters.add("requests_malformed")
     if connection.state in READS_BODY and connection.body.is_complete():
         on_data(connection)
     elif connection.state == ConnectionState.DISCARDING_BODY:
-        # The request has its response: an error would be a second one.
+        # The request is answered already: an error would be a second response.
         lingering_close.begin(connection)
     if connection.state not in IS_CLOSING:
         rejection.reject_and_close(connection, 400, reason)
--- a/mothstall/net/client_side/request_head.py
+++ b/mothstall/net/client_side/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request: which requests are answered here, rejected, or read on."""
+"""The head of a request: answers local pages, rejects invalid requests, starts on the body."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.connection import Connection
 
-LOCAL_PAGES = ("/ready", "/counters")  # answered here, if no request id makes them a client's
+LOCAL_PAGES = ("/ready", "/counters")  # answered by the proxy itself unless they have a request id
 
 
 def handle_head(connection: Connection, message: RawRequestMessage, payload: StreamReader) -> None:
-    """Check the head of a request, and begin with its body."""
+    """Check the head of a request, and begin to read its body."""
     frontend = connection.frontend
     connection.keeps_alive = not message.should_close
     connection.body.payload = payload
@@ -51,7 +51,7 @@
 
 
 def _begin_body(connection: Connection, message: RawRequestMessage, length: int) -> None:
-    """Read a body that has not come yet, or is a long one."""
+    """Begin to read a body that is not complete yet, or is a long one."""
     connection.enter(ConnectionState.READING_BODY)
     expects_continue = message.headers.get("Expect", "").lower() == "100-continue"
     if expects_continue and connection.transport is not None:
--- a/mothstall/net/client_side/response_relay.py
+++ b/mothstall/net/client_side/response_relay.py
@@ -1,4 +1,4 @@
-"""A long response on its way to its client: the sink of the stream that its backend feeds."""
+"""Relays a long response to its client: the sink of the stream that its backend feeds."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.connection import Connection
 
-STALL_S = 10.0  # a client may take nothing of a long response for so long
-SEND_BUFFER_BYTES = 128 * 1024  # in the kernel, of a long response
+STALL_S = 10.0  # how long a client may stop reading a long response
+SEND_BUFFER_BYTES = 128 * 1024  # the kernel's send buffer for a long response
 
 
 class ResponseRelay:
-    """Writes one long response as it comes.
+    """Writes one long response to its client as the backend sends it.
 
     Attributes:
-        stream: Where the response comes from.
-        is_chunked: The body goes out in chunks.
-        has_length: The head named the body's length.
-        acknowledged_bytes: How far the client had come when it last made progress.
+        stream: The source of the response's body.
+        is_chunked: Whether the body is sent in chunks.
+        has_length: Whether the head declared the body's length.
+        acknowledged_bytes: Bytes that the client had acknowledged at its last progress.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
             transport.write(protocol.encode_chunk(data) if self.is_chunked else data)
 
     def end_body(self) -> None:
-        """All of the body was written: the connection goes on to its next request."""
+        """End a complete body; the connection continues with its next request."""
         connection = self._connection
         transport = connection.transport
         if transport is not None and self.is_chunked:
@@ -61,10 +61,10 @@
             connection.after_response(transport)
 
     def abort_body(self) -> None:
-        """The body was cut.
+        """End a body that was cut off.
 
-        Guards against half a response that passes for a complete one: a reset says so if nothing
-        else does.
+        Guards against a partial response that looks complete: without chunks or a length, only a
+        reset shows the cut.
         """
         connection = self._connection
         connection.end_exchange(ExchangeEnd.CUT)
@@ -74,7 +74,7 @@
             lingering_close.reset(connection)
 
     def check_progress(self, now: float) -> None:
-        """Guards against a client that takes nothing more of a long response."""
+        """Guards against a client that stops reading a long response."""
         connection = self._connection
         transport = connection.transport
         if transport is None:
@@ -95,14 +95,14 @@
 
 
 def start(connection: Connection, response: ClientResponse, stream: Stream) -> None:
-    """Write the head of a long response; the rest follows as it comes."""
+    """Write the head of a long response, and begin to relay its body."""
     transport = connection.transport
     exchange = connection.exchange
     assert transport is not None
     assert exchange is not None
     body = connection.body
     upload, body.stream = body.stream, None
-    if upload is not None:  # the response came before its request was complete
+    if upload is not None:  # the response began before its request was complete
         connection.keeps_alive = False
         upload.abort()
     is_http11 = connection.is_http11
@@ -116,7 +116,7 @@
     transport.set_write_buffer_limits(high=0)
     sock = transport.get_extra_info("socket")
     if sock is not None:
-        # Guards against megabytes in the kernel for each slow reader, which also hide its progress.
+        # Guards against megabytes of kernel buffer per slow reader, which also hide its progress.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     transport.write(
         protocol.encode_response_head(
