--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -42,27 +42,31 @@
 )
 from tests.policy import harness as helpers
 
-SHORT = [
+SHORT_DEADLINES = [
     {"name": name, "effect": effect, "aim-ns": 25 * MS, "deadline-ns": 60 * MS, "worth": 1}
     for name, effect in (("search", "pure"), ("order", "side_effect"))
 ]
 
 
-class Orders:
+class RecordingBackend:
     """In place of a backend's actor: what the decider tells it."""
 
     def __init__(self, ident: str) -> None:
         self.ident = ident
-        self.orders: list[Any] = []
+        self.commands: list[Any] = []
 
-    def tell(self, order: Any) -> None:
-        self.orders.append(order)
+    def tell(self, command: Any) -> None:
+        self.commands.append(command)
 
     def sends(self) -> list[backend_messages.SendAttempt]:
-        return [order for order in self.orders if isinstance(order, backend_messages.SendAttempt)]
+        return [
+            command
+            for command in self.commands
+            if isinstance(command, backend_messages.SendAttempt)
+        ]
 
 
-class Desk:
+class DeciderDriver:
     """The decider by itself, given whole batches of messages."""
 
     def __init__(self, **changes: Any) -> None:
@@ -70,7 +74,7 @@
         tree["discovery"], tree["known"] = "127.0.0.1:1", None
         self.config = config.from_tree(tree)
         self.counters, self.clock = Counters(), Clock()
-        self.backends: dict[int, Orders] = {}
+        self.backends: dict[int, RecordingBackend] = {}
         self.replies: list[int] = []
         self.decider = Decider(
             self.config,
@@ -85,17 +89,17 @@
             protocol.ListedEndpoint(f"s-{e.backend}", config.Address("127.0.0.1", 1), e)
             for e in rows
         ]
-        self.batch(EndpointsUpdated(UpdateScope.FULL, protocol.ParsedUpdate(1, True, members)))
+        self.receive(EndpointsUpdated(UpdateScope.FULL, protocol.ParsedUpdate(1, True, members)))
 
     def _make(self, number: int, member: protocol.ListedEndpoint) -> Any:
-        self.backends[number] = Orders(member.id)
+        self.backends[number] = RecordingBackend(member.id)
         return self.backends[number]
 
-    def batch(self, *messages: DeciderMessage) -> None:
+    def receive(self, *messages: DeciderMessage) -> None:
         self.decider.receive(list(messages))
 
     def arrived(self, number: int, lane: str = "search") -> RequestArrived:
-        inbound = protocol.parse_request(
+        client_request = protocol.parse_request(
             "GET" if lane == "search" else "POST",
             "/" + lane,
             [
@@ -107,7 +111,7 @@
             b"",
             self.config.names,
         )
-        return RequestArrived(number, inbound, self.clock.now(), self._reply)
+        return RequestArrived(number, client_request, self.clock.now(), self._reply)
 
     def _reply(self, reply: ClientResponse) -> None:
         self.replies.append(reply.status)
@@ -115,14 +119,14 @@
     def sends(self) -> list[backend_messages.SendAttempt]:
         return [send for backend in self.backends.values() for send in backend.sends()]
 
-    def on(self, send: backend_messages.SendAttempt) -> int:
-        return next(n for n, b in self.backends.items() if send in b.orders)
+    def backend_number_of(self, send: backend_messages.SendAttempt) -> int:
+        return next(n for n, b in self.backends.items() if send in b.commands)
 
     def ended(
         self, send: backend_messages.SendAttempt, result: AttemptResult
     ) -> backend_messages.AttemptEnded:
         return backend_messages.AttemptEnded(
-            send.request, send.attempt, self.on(send), result, MS, (), None
+            send.request, send.attempt, self.backend_number_of(send), result, MS, (), None
         )
 
     @property
@@ -139,11 +143,11 @@
 
 def test_client_that_leaves_in_the_batch_of_its_request_leaves_nothing_in_flight() -> None:
     async def run() -> None:
-        desk = Desk()
-        desk.batch(desk.arrived(1), ClientLeft(1))
+        driver = DeciderDriver()
+        driver.receive(driver.arrived(1), ClientLeft(1))
         await settle()
-        assert desk.in_flight == (0, 0)
-        assert not desk.sends() and not desk.decider._pending
+        assert driver.in_flight == (0, 0)
+        assert not driver.sends() and not driver.decider._pending
 
     asyncio.run(run())
 
@@ -155,13 +159,13 @@
     result: AttemptResult,
 ) -> None:
     async def run() -> None:
-        desk = Desk()
-        desk.batch(desk.arrived(1))
-        (send,) = desk.sends()
-        desk.batch(desk.ended(send, result), ClientLeft(1))
+        driver = DeciderDriver()
+        driver.receive(driver.arrived(1))
+        (send,) = driver.sends()
+        driver.receive(driver.ended(send, result), ClientLeft(1))
         await settle()
-        assert desk.in_flight == (0, 0)
-        assert desk.sends() == [send] and not desk.decider._pending
+        assert driver.in_flight == (0, 0)
+        assert driver.sends() == [send] and not driver.decider._pending
 
     asyncio.run(run())
 
@@ -188,7 +192,7 @@
     asyncio.run(run())
 
 
-def listed(r: Rig, index: int, how: str) -> dict[str, Any]:
+def changed_row(r: Rig, index: int, how: str) -> dict[str, Any]:
     row = r.backends[index].row("SERVING" if how == "replaced" else how)
     return {**row, "up_since_ms": 1_000_000} if how == "replaced" else row
 
@@ -208,16 +212,16 @@
             gate.hold(r.backends[0])
             client = await r.client()
             await r.until(lambda: r.count("list_updates") >= 2)  # the watch is on
-            asked = asyncio.create_task(client.ask(lane))
+            reply_task = asyncio.create_task(client.ask(lane))
             await r.until(lambda: gate.waiting == 1)
-            r.directory.tell(listed(r, 0, how))
+            r.directory.tell(changed_row(r, 0, how))
             await r.until(lambda: r.count("list_updates") >= 3)
             await settle()
-            again = gate.waiting  # a successor at the same address may be asked anew
+            reconnects = gate.waiting  # a successor at the same address may be asked anew
             gate.open.set()
-            reply = await asked
-            assert len(r.backends[0].seen) == again <= (how == "replaced")
-            assert reply.status == (200 if again else 503)
+            reply = await reply_task
+            assert len(r.backends[0].seen) == reconnects <= (how == "replaced")
+            assert reply.status == (200 if reconnects else 503)
             assert r.count("attempts_not_sent") + r.count("attempts_cancelled") == 1
             client.close()
 
@@ -264,7 +268,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> None:
-        async with rig(serves, **{"limits--connect_timeout_ns": 5_000 * MS, "classes": SHORT}) as r:  # type: ignore[arg-type]
+        async with rig(
+            serves,
+            **{"limits--connect_timeout_ns": 5_000 * MS, "classes": SHORT_DEADLINES},  # type: ignore[arg-type]
+        ) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             for lane in ("search", "order"):
@@ -279,17 +286,17 @@
 @pytest.mark.parametrize("first", ["answer", "deadline"])
 def test_response_and_deadline_in_one_batch_give_one_response(first: str) -> None:
     async def run() -> None:
-        desk = Desk()
-        desk.batch(desk.arrived(1))
-        (send,) = desk.sends()
-        served = desk.ended(send, AttemptResult.OK)
+        driver = DeciderDriver()
+        driver.receive(driver.arrived(1))
+        (send,) = driver.sends()
+        served = driver.ended(send, AttemptResult.OK)
         served.response = protocol.BackendResponse(b"served", b"")
-        both: list[DeciderMessage] = [served, RequestOverdue(1)]
-        desk.batch(*(both if first == "answer" else reversed(both)))
+        ends: list[DeciderMessage] = [served, RequestOverdue(1)]
+        driver.receive(*(ends if first == "answer" else reversed(ends)))
         await settle()
-        assert desk.replies == [200 if first == "answer" else 502]
-        assert desk.in_flight == (0, 0) and not desk.decider._pending
-        assert not desk.counters.values["checks_broken"]
+        assert driver.replies == [200 if first == "answer" else 502]
+        assert driver.in_flight == (0, 0) and not driver.decider._pending
+        assert not driver.counters.values["checks_broken"]
 
     asyncio.run(run())
 
@@ -302,10 +309,10 @@
         async with rig(serves, **changes) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
-            asked = asyncio.create_task(r.ask())
+            reply_task = asyncio.create_task(r.ask())
             await r.until(lambda: gate.waiting == 1)
             gate.open.set()
-            assert (await asked).status == 200
+            assert (await reply_task).status == 200
             assert len(r.backends[0].seen) == 1
 
     asyncio.run(run())
@@ -355,15 +362,15 @@
             window_s = 0.9  # of the class `pay`
             gate = Gate(r.proxy.loop, monkeypatch)
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
-            asked = asyncio.create_task(r.ask("pay", remaining="3000m"))
+            reply_task = asyncio.create_task(r.ask("pay", remaining="3000m"))
             await r.until(lambda: any(b.seen for b in r.backends))
-            began = r.proxy.loop.time()
+            started_s = r.proxy.loop.time()
             gate.hold(*(b for b in r.backends if not b.seen))
             go.set()
             await r.until(lambda: gate.waiting == 1)
-            reply = await asked
+            reply = await reply_task
             assert (
-                r.proxy.loop.time() - began < window_s + 1.5
+                r.proxy.loop.time() - started_s < window_s + 1.5
             )  # given up when the window ended, of 3 s
             gate.open.set()
             await settle()
@@ -373,14 +380,14 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("wants", [errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL])
+@pytest.mark.parametrize("error_number", [errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL])
 def test_lack_of_local_resources_ejects_no_backend(
-    monkeypatch: pytest.MonkeyPatch, wants: int
+    monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     async def run() -> None:
         async with rig(serves, serves) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
-            gate.fails = OSError(wants, "none left")
+            gate.fails = OSError(error_number, "none left")
             gate.open.set()
             gate.hold(*r.backends)
             assert (await r.ask()).status == 503
@@ -397,52 +404,54 @@
     sent_at = drive.now
     drive.now += 20 * helpers.MS
     drive.balancer.retry_budget.tokens = 5.0
-    (again,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
-    assert again.write_by_ns == sent_at + NS
+    (retry,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
+    assert retry.write_by_ns == sent_at + NS
     # What surely never ran binds nothing.
     rid, backend = drive.send(1)
-    (again,) = helpers.sends(drive.end(rid, backend, AttemptResult.REJECTED))
-    assert again.write_by_ns == 0
+    (retry,) = helpers.sends(drive.end(rid, backend, AttemptResult.REJECTED))
+    assert retry.write_by_ns == 0
     rid, backend = drive.send(0)
-    (again,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
-    assert again.write_by_ns == 0 and helpers.cls(Effect.IDEMPOTENT).effect == Effect.IDEMPOTENT
+    (retry,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
+    assert retry.write_by_ns == 0 and helpers.cls(Effect.IDEMPOTENT).effect == Effect.IDEMPOTENT
 
 
-def test_end_of_an_earlier_queueing_does_not_end_a_later_one() -> None:
+def test_end_of_an_earlier_wait_in_the_queue_does_not_end_a_later_one() -> None:
     drive = helpers.Drive(backends=2, max_attempts=4)
-    out = []
+    open_attempts = []
     while True:
-        rid, acts = drive.ask()
-        if not (sent := helpers.sends(acts)):
+        rid, actions = drive.ask()
+        if not (sent := helpers.sends(actions)):
             break
-        out.append((rid, sent[0].backend))
-    until = drive.now + 125 * helpers.MS  # a quarter of the aim
+        open_attempts.append((rid, sent[0].backend))
+    wait_ends_ns = drive.now + 125 * helpers.MS  # a quarter of the aim
     drive.now += 100 * helpers.MS
-    first, second = out[0], out[1]
+    first, second = open_attempts[0], open_attempts[1]
     (sent_now,) = helpers.sends(drive.end(*first))
     assert sent_now.request == rid
     # Its turn comes; the backend turns it away, as does everybody else: it waits again.
     drive.now += 10 * helpers.MS
     for _ in range(2):
-        acts = drive.end(rid, sent_now.backend, AttemptResult.REJECTED, attempt=len(drive.attempts))
+        actions = drive.end(
+            rid, sent_now.backend, AttemptResult.REJECTED, attempt=len(drive.attempts)
+        )
         drive.attempts[len(drive.attempts)] = 1
-        if not (more := helpers.sends(acts)):
+        if not (more := helpers.sends(actions)):
             break
         sent_now = more[0]
-    assert drive.balancer.requests.open[rid].queued_until_ns > until
-    drive.now = until + helpers.MS
-    acts = drive.feed(interface.TimerFired(drive.now))
-    assert not [a for a in acts if isinstance(a, interface.Reject) and a.request == rid], second
+    assert drive.balancer.requests.open[rid].queued_until_ns > wait_ends_ns
+    drive.now = wait_ends_ns + helpers.MS
+    actions = drive.feed(interface.TimerFired(drive.now))
+    assert not [a for a in actions if isinstance(a, interface.Reject) and a.request == rid], second
 
 
-def test_backend_reads_the_attempt_that_was_sent() -> None:
+def test_request_rejected_by_one_backend_reaches_the_other_once() -> None:
     """A stand-in sees each attempt of a request once, with what is left of its time."""
 
     async def run() -> None:
-        async def fails_once(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def rejects(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"", 503, X_Turned_Away="1"))
 
-        async with rig(fails_once, serves) as r:
+        async with rig(rejects, serves) as r:
             for _ in range(4):
                 assert (await r.ask()).status == 200
             assert len(r.backends[1].seen) == 4
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -31,20 +31,22 @@
 )
 
 
-def resets(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Closes with a reset, behind what was written."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def then_resets(raw: bytes, taken: Callable[[], Awaitable[Any]] | None = None) -> Behaviour:
+def writes_then_resets(
+    raw: bytes, condition: Callable[[], Awaitable[Any]] | None = None
+) -> Behaviour:
     """Says something and, once that was taken, resets: a reset at once would take it along."""
 
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(raw)
-        await (taken() if taken else asyncio.sleep(0.05))
-        resets(writer)
+        await (condition() if condition else asyncio.sleep(0.05))
+        reset_connection(writer)
 
     return behave
 
@@ -67,7 +69,7 @@
     raw, result = CUTS[where]
 
     async def run() -> None:
-        stand_in, single = await alone(then_resets(raw), connect_ms=5000)
+        stand_in, single = await alone(writes_then_resets(raw), connect_ms=5000)
         single.send(within_ms=2000)
         assert await single.ended() == [result]
         async with asyncio.timeout(3):
@@ -113,10 +115,10 @@
                 assert (await r.ask()).status == 200
             before = [len(b.seen) for b in r.backends]
 
-            async def gone(seen: Seen, writer: asyncio.StreamWriter) -> None:
-                resets(writer)
+            async def resets_at_once(seen: Seen, writer: asyncio.StreamWriter) -> None:
+                reset_connection(writer)
 
-            r.backends[0].behave = gone
+            r.backends[0].behave = resets_at_once
             replies = [await r.ask(lane) for _ in range(4)]
             sent = [len(b.seen) - n for b, n in zip(r.backends, before, strict=True)]
             if lane == "search":
@@ -134,22 +136,22 @@
     "chunks": b"400\r\n" + b"z" * 1024 + b"\r\n",
     "noise": b"\x00\xff" * 500,
 }
-BEGINS = {
+RESPONSE_STARTS = {
     "head": HEAD,
     "chunks": b"HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n",
 }
 
 
-@pytest.mark.parametrize("what", ENDLESS)
-def test_endless_responses_end_their_attempt_and_their_connection(what: str) -> None:
+@pytest.mark.parametrize("part", ENDLESS)
+def test_endless_responses_end_their_attempt_and_their_connection(part: str) -> None:
     async def run() -> None:
-        async def pours(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(BEGINS.get(what, b""))
+        async def sends_endlessly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            writer.write(RESPONSE_STARTS.get(part, b""))
             for _ in range(100_000):
-                writer.write(ENDLESS[what])
+                writer.write(ENDLESS[part])
                 await writer.drain()
 
-        stand_in, single = await alone(pours, connect_ms=5000)
+        stand_in, single = await alone(sends_endlessly, connect_ms=5000)
         single.send(within_ms=5000)
         assert await single.ended() == [AttemptResult.ERROR]
         async with asyncio.timeout(3):
@@ -161,7 +163,7 @@
     asyncio.run(run())
 
 
-def test_late_unsolicited_response_reaches_nobody_once_one_was_seen(
+def test_late_second_response_reaches_no_request_once_one_was_seen(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The next request must not go out on a connection on which a second answer is still on its way."""
@@ -210,7 +212,7 @@
     asyncio.run(run())
 
 
-def small_buffers() -> socket.socket:
+def unread_listener() -> socket.socket:
     """A listener that takes nothing: what is sent stays in the kernel, as much as goes in there."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -225,15 +227,15 @@
 
     async def run() -> None:
         async with rig(silent) as r:
-            with small_buffers() as listener:
+            with unread_listener() as listener:
                 row = {**r.backends[0].row(), "id": "s-9"}
                 row["host_port"] = f"127.0.0.1:{listener.getsockname()[1]}"
                 r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
-                told = r.proxy._decider._backends
-                await r.until(lambda: [b.ident for b in told.values()] == ["s-9"])
+                listed_backends = r.proxy._decider._backends
+                await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
                 reply = await r.ask("order", remaining="300m", body=b"x" * size)
-                handed = r.proxy.figures.relayed
-                assert (reply.status in (502, 504)) == bool(handed)
+                written_count = r.proxy.figures.relayed
+                assert (reply.status in (502, 504)) == bool(written_count)
                 assert reply.status in (502, 503, 504) and r.count("attempts") == 1
 
     asyncio.run(run())
@@ -241,7 +243,7 @@
 
 def test_attempt_that_was_not_completely_written_never_ran() -> None:
     async def run() -> None:
-        with small_buffers() as listener:
+        with unread_listener() as listener:
             stand_in, single = await alone(silent, connect_ms=5000)
             single.actor.tell(backend_messages.AddressChanged(Address(*listener.getsockname()), 1))
             single.send("POST", within_ms=300, body=b"x" * 30_000_000)
@@ -255,17 +257,19 @@
     async def run() -> None:
         async with rig(serves) as r:
 
-            async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def answer_early(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(answer(b"too early"))
                 await writer.drain()
 
-            server = await asyncio.start_server(early, "127.0.0.1", 0)
+            server = await asyncio.start_server(answer_early, "127.0.0.1", 0)
             row = {**r.backends[0].row(), "id": "s-9"}
             row["host_port"] = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
-            told = r.proxy._decider._backends
-            await r.until(lambda: [b.ident for b in told.values()] == ["s-9"])
+            listed_backends = r.proxy._decider._backends
+            await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
             client = await r.client()
             size = 500_000
             client.writer.write(
@@ -290,7 +294,7 @@
         from tests.peers import Gate
 
         go = asyncio.Event()
-        waits = serves_after(go)
+        serves_after_go = serves_after(go)
 
         changes: dict[str, Any] = {
             "limits--connect_timeout_ns": 5_000 * MS,
@@ -300,21 +304,21 @@
             for _ in range(4):
                 assert (await r.ask()).status == 200
             for backend in r.backends:
-                backend.behave = waits
+                backend.behave = serves_after_go
             for actor in r.proxy._decider._backends.values():
                 actor.tell(backend_messages.CloseIdleConnections())
             balancer = r.proxy._decider._balancer
             balancer.retry_budget.tokens = 5.0
             for known in balancer.endpoints.by_id.values():
                 known.outlier.failure_score = 1.0
-            asked = asyncio.create_task(r.ask(remaining="3900m"))
+            reply_task = asyncio.create_task(r.ask(remaining="3900m"))
             await r.until(lambda: sum(len(b.seen) for b in r.backends) == 5)
             gate = Gate(r.proxy.loop, monkeypatch)
             before = [len(b.seen) for b in r.backends]
             gate.hold(*r.backends)
             await r.until(lambda: gate.waiting == 1)  # the second copy
             go.set()
-            assert (await asked).status == 200
+            assert (await reply_task).status == 200
             await r.until(lambda: gate.waiting == 0)
             gate.open.set()
             await asyncio.sleep(0.02)
@@ -344,21 +348,21 @@
         single.send(within_ms=2000)
         await single.ended()
         await stand_in.stop()
-        again = StandIn(serves)
-        again.port = stand_in.port
+        restarted = StandIn(serves)
+        restarted.port = stand_in.port
         async with asyncio.timeout(3):
             while single.pool.open_count:
                 await asyncio.sleep(0.002)
-        again.server = await asyncio.start_server(again._serve, "127.0.0.1", stand_in.port)
+        restarted.server = await asyncio.start_server(restarted._serve, "127.0.0.1", stand_in.port)
         single.send(within_ms=2000)
         assert await single.ended(2) == [AttemptResult.OK] * 2
         single.pool.close()
-        await again.stop()
+        await restarted.stop()
 
     asyncio.run(run())
 
 
-def test_descriptor_of_a_dropped_connection_is_back_before_its_place_is_used(
+def test_descriptor_of_a_dropped_connection_is_free_before_its_pool_slot_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A connection gives its place in the pool back at once, its descriptor in the next iteration.
@@ -371,21 +375,21 @@
     async def run() -> None:
         stand_in, first = await alone(serves, most=1)
         second = Single(Address("127.0.0.1", stand_in.port), pool=first.pool)
-        dialled: list[socket.socket] = []
-        open_at_dial: list[int] = []
-        dial = first.loop.sock_connect
+        sockets: list[socket.socket] = []
+        open_counts: list[int] = []
+        unpatched_connect = first.loop.sock_connect
 
-        async def counted(sock: socket.socket, address: tuple[str, int]) -> None:
-            dialled.append(sock)
-            open_at_dial.append(sum(other.fileno() >= 0 for other in dialled))
-            await dial(sock, address)
+        async def count_open_sockets(sock: socket.socket, address: tuple[str, int]) -> None:
+            sockets.append(sock)
+            open_counts.append(sum(other.fileno() >= 0 for other in sockets))
+            await unpatched_connect(sock, address)
 
-        monkeypatch.setattr(first.loop, "sock_connect", counted)
+        monkeypatch.setattr(first.loop, "sock_connect", count_open_sockets)
         for count in range(1, 21):
             for single in (first, second):
                 single.send()
                 assert await single.ended(count) == [AttemptResult.OK] * count
-        assert open_at_dial == [1] * 40
+        assert open_counts == [1] * 40
         first.pool.close()
         await stand_in.stop()
 
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -21,7 +21,7 @@
 import pytest
 
 from mothstall.net.backend_side.connection import BackendConnection
-from tests.net.client_side.test_net_leaving import given_back
+from tests.net.client_side.test_net_leaving import resources_released
 from tests.net.test_net_body_relay import Swallows, swallowing
 from tests.net.test_process import started
 from tests.peers import Client, Rig, StandIn, request_bytes, rig
@@ -45,20 +45,20 @@
     "malformed trailer": chunk(LONG_BODY) + b"0\r\n\x00nonsense\r\n\r\n",
 }
 
-INPUT_BEHIND = {
+TRAILING_INPUT = {
     "malformed head": b"\x00nonsense\r\n\r\n",
     "surplus of the body": b"u" * 50_000,
     "upgrade": UPGRADE,
 }
 
 
-def nothing_open(r: Rig) -> bool:
+def no_resources_open(r: Rig) -> bool:
     """Whether all is given back that requests and their clients held."""
     proxy = r.proxy
     streams = [*proxy._frontend.grants._holders, *proxy._frontend.grants._waiting]
     in_flight = [actor.in_flight for actor in proxy._decider._backends.values()]
     return (
-        given_back(r)
+        resources_released(r)
         and not proxy._decider._pending
         and not proxy._frontend.connection_count
         and not streams
@@ -85,68 +85,70 @@
 
 @pytest.mark.parametrize("name", MALFORMED_CHUNKS)
 @pytest.mark.parametrize("at_once", [True, False], ids=["at once", "in two parts"])
-def test_upload_that_breaks_leaves_nothing_open(name: str, at_once: bool) -> None:
+def test_malformed_upload_leaves_no_resources_open(name: str, at_once: bool) -> None:
     async def run() -> None:
-        async with swallowing() as (r, taker):
+        async with swallowing() as (r, upload_backend):
             raw = MALFORMED_CHUNKS[name]
             if at_once:
                 client = await r.client()
                 client.writer.write(upload_head() + raw)
             else:
                 client = await send_upload(r, chunk(LONG_BODY))
-                await r.until(lambda: len(taker.framings) == 1)
+                await r.until(lambda: len(upload_backend.framings) == 1)
                 client.writer.write(raw.removeprefix(chunk(LONG_BODY)))
             assert (await client.read()).status == 400
             assert await client.closed()
             client.close()
-            await r.until(lambda: nothing_open(r))
-            await r.until(lambda: not taker.writers)
-            assert not taker.digests
+            await r.until(lambda: no_resources_open(r))
+            await r.until(lambda: not upload_backend.writers)
+            assert not upload_backend.digests
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("name", INPUT_BEHIND)
+@pytest.mark.parametrize("name", TRAILING_INPUT)
 @pytest.mark.parametrize("chunked", [True, False], ids=["chunked", "length"])
-def test_complete_upload_is_answered_before_an_error_behind_it(name: str, chunked: bool) -> None:
+def test_complete_upload_is_answered_before_the_error_for_trailing_input(
+    name: str, chunked: bool
+) -> None:
     """All in one read: the end of the body, and what is malformed."""
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
+        async with swallowing() as (r, upload_backend):
             body = chunk(LONG_BODY) if chunked else LONG_BODY
             client = await send_upload(r, body[:-10], chunked)
             end = body[-10:] + (b"0\r\n\r\n" if chunked else b"")
-            client.writer.write(end + INPUT_BEHIND[name])
+            client.writer.write(end + TRAILING_INPUT[name])
             reply = await client.read()
             assert (reply.status, reply.body) == (200, b"swallowed")
             assert (await client.read()).status == 400
             assert await client.closed()
             client.close()
-            await r.until(lambda: nothing_open(r))
-            assert [size for size, _ in taker.digests] == [len(LONG_BODY)]
+            await r.until(lambda: no_resources_open(r))
+            assert [size for size, _ in upload_backend.digests] == [len(LONG_BODY)]
 
     asyncio.run(run())
 
 
-def test_upload_that_breaks_after_its_early_response_gets_no_second_one(
+def test_malformed_upload_after_an_early_response_gets_no_second_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A backend may answer before it has the whole body; the client goes on sending."""
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
-            taker.stuck = True
+        async with swallowing() as (r, upload_backend):
+            upload_backend.stuck = True
             client = await send_upload(r, chunk(LONG_BODY))
-            await r.until(lambda: len(taker.framings) == 1)
-            for writer in list(taker.writers):
+            await r.until(lambda: len(upload_backend.framings) == 1)
+            for writer in list(upload_backend.writers):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
             reply = await client.read()
             assert (reply.status, reply.body) == (200, b"early")
             client.writer.write(b"zz\r\n")
             assert await client.closed()
             client.close()
-            await r.until(lambda: nothing_open(r))
-            taker.stuck = False
+            await r.until(lambda: no_resources_open(r))
+            upload_backend.stuck = False
 
     asyncio.run(run())
 
@@ -159,21 +161,21 @@
     """
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
-            taker.stuck = True
+        async with swallowing() as (r, upload_backend):
+            upload_backend.stuck = True
             client = await send_upload(r, chunk(LONG_BODY))
-            await r.until(lambda: len(taker.framings) == 1)
+            await r.until(lambda: len(upload_backend.framings) == 1)
             size = 200_000
-            for writer in list(taker.writers):
+            for writer in list(upload_backend.writers):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
                 writer.write(b"y" * size)
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200")
             assert await client.reader.readexactly(size) == b"y" * size
             client.close()
-            await r.until(lambda: nothing_open(r))
+            await r.until(lambda: no_resources_open(r))
             await r.until(lambda: r.proxy._pool.open_count == 0)
-            taker.stuck = False
+            upload_backend.stuck = False
 
     asyncio.run(run())
 
@@ -195,8 +197,10 @@
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
-                row = StandIn().row()
-                r.directory.tell({**row, "host_port": f"127.0.0.1:{listener.getsockname()[1]}"})
+                listed_backend = StandIn().row()
+                r.directory.tell(
+                    {**listed_backend, "host_port": f"127.0.0.1:{listener.getsockname()[1]}"}
+                )
                 await r.until(lambda: r.proxy._decider.listed_count() == 1)
                 client = await send_upload(r, chunk(b"u" * 70_000) + b"0\r\n\r\n")
                 await r.until(lambda: r.proxy._frontend.open_by_state() == {"awaiting_response": 1})
@@ -205,7 +209,7 @@
                 stopping = asyncio.create_task(r.proxy.stop(0.0))
                 assert (await client.read()).status in (502, 503)
                 await stopping
-                assert nothing_open(r)
+                assert no_resources_open(r)
 
     asyncio.run(run())
 
@@ -214,26 +218,28 @@
     """Let the kernel hold little of what is on its way to a backend."""
     connection_made = BackendConnection.connection_made
 
-    def made(connection: BackendConnection, transport: asyncio.BaseTransport) -> None:
+    def connection_made_with_small_buffer(
+        connection: BackendConnection, transport: asyncio.BaseTransport
+    ) -> None:
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         connection_made(connection, transport)
 
-    monkeypatch.setattr(BackendConnection, "connection_made", made)
+    monkeypatch.setattr(BackendConnection, "connection_made", connection_made_with_small_buffer)
 
 
 @pytest.mark.processes
-@pytest.mark.parametrize("name", [*MALFORMED_CHUNKS, *INPUT_BEHIND])
-def test_broken_uploads_hold_no_descriptor_of_the_process(tmp_path: Path, name: str) -> None:
+@pytest.mark.parametrize("name", [*MALFORMED_CHUNKS, *TRAILING_INPUT])
+def test_malformed_uploads_leak_no_descriptors(tmp_path: Path, name: str) -> None:
     """Each of 25 clients breaks its upload, takes what it gets, and goes."""
-    raw = MALFORMED_CHUNKS.get(name) or chunk(LONG_BODY) + b"0\r\n\r\n" + INPUT_BEHIND.get(
+    raw = MALFORMED_CHUNKS.get(name) or chunk(LONG_BODY) + b"0\r\n\r\n" + TRAILING_INPUT.get(
         name, b""
     )
 
     async def run() -> None:
-        taker = Swallows()
-        await taker.start()
-        async with started(tmp_path, taker) as proxy:
+        upload_backend = Swallows()
+        await upload_backend.start()
+        async with started(tmp_path, upload_backend) as proxy:
             descriptors = Path(f"/proc/{proxy.process.pid}/fd")
             before = len(list(descriptors.iterdir()))
             for _ in range(25):
@@ -245,6 +251,6 @@
                 # Its connection to the backend may stay for the next request.
                 while len(list(descriptors.iterdir())) > before + 1:
                     await asyncio.sleep(0.05)
-        await taker.stop()
+        await upload_backend.stop()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -32,18 +32,20 @@
 )
 from tests.ports import free_port
 
-LOW = 96  # descriptors of a process
-CROWD = 300  # idle clients, far more than that
+DESCRIPTOR_LIMIT = 96  # descriptors of a process
+IDLE_CLIENTS = 300  # idle clients, far more than that
 
 
-async def begun(path: Path) -> asyncio.subprocess.Process:
+async def start_limited_proxy(path: Path) -> asyncio.subprocess.Process:
     """A proxy with few descriptors, by its limit alone."""
     process = await asyncio.create_subprocess_exec(
         *MAIN,
         env={**os.environ, "LB_CONFIG": str(path)},
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LOW, LOW)),
+        preexec_fn=lambda: resource.setrlimit(
+            resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)
+        ),
     )
     assert process.stderr
     while b"event=listening" not in await asyncio.wait_for(process.stderr.readline(), 15):
@@ -66,36 +68,36 @@
             tmp_path, directory, discovery=mode, operators=f"127.0.0.1:{admin}"
         )
         directory.tell(old.row())
-        process = await begun(path)
+        process = await start_limited_proxy(path)
         assert process.stderr
-        said: list[bytes] = []
-        reading = asyncio.create_task(keeps(process.stderr, said))
+        log_lines: list[bytes] = []
+        reading = asyncio.create_task(collect_lines(process.stderr, log_lines))
         async with asyncio.timeout(10):
-            while (await ask(port)) != 200:
+            while (await ask_once(port)) != 200:
                 await asyncio.sleep(0.05)
         await directory.stop()
         directory.cut()
-        crowd: list[socket.socket] = []
+        idle_sockets: list[socket.socket] = []
         stop = asyncio.Event()
-        pressing = asyncio.create_task(presses(port, crowd, stop))
-        while len(crowd) < CROWD:
+        connecting = asyncio.create_task(connect_idle_clients(port, idle_sockets, stop))
+        while len(idle_sockets) < IDLE_CLIENTS:
             await asyncio.sleep(0.01)
         assert (await call(admin, "/api/telemetry")).status == 200  # the operators' door
         directory.tell(old.row("DELETED"), new.row())
         directory.members = [new.row()]
         await directory.start()
-        back = asyncio.get_running_loop().time()
-        while not new.seen and asyncio.get_running_loop().time() - back < 6.0:
-            await ask(port)
+        restarted_at = asyncio.get_running_loop().time()
+        while not new.seen and asyncio.get_running_loop().time() - restarted_at < 6.0:
+            await ask_once(port)
         assert new.seen  # told within 6 s of discovery's return, and served by that
         stop.set()
-        await pressing
-        for sock in crowd:
+        await connecting
+        for sock in idle_sockets:
             sock.close()
         process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(process.wait(), 10) == 0
         await reading
-        assert b"Too many open files" not in b"".join(said)
+        assert b"Too many open files" not in b"".join(log_lines)
         for backend in (old, new):
             await backend.stop()
         await directory.stop()
@@ -104,12 +106,12 @@
     asyncio.run(run())
 
 
-async def keeps(reader: asyncio.StreamReader, said: list[bytes]) -> None:
+async def collect_lines(reader: asyncio.StreamReader, log_lines: list[bytes]) -> None:
     while line := await reader.readline():
-        said.append(line)
+        log_lines.append(line)
 
 
-async def ask(port: int) -> int:
+async def ask_once(port: int) -> int:
     """One request on a connection of its own; 0 if that is closed with no answer."""
     try:
         client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -121,7 +123,9 @@
         return 0
 
 
-async def presses(port: int, crowd: list[socket.socket], stop: asyncio.Event) -> None:
+async def connect_idle_clients(
+    port: int, idle_sockets: list[socket.socket], stop: asyncio.Event
+) -> None:
     """Idle clients, some that never ask, some with part of a request, some that read no answer."""
     loop = asyncio.get_running_loop()
     while not stop.is_set():
@@ -129,13 +133,13 @@
         sock.setblocking(False)
         try:
             await asyncio.wait_for(loop.sock_connect(sock, ("127.0.0.1", port)), 1.0)
-            if len(crowd) % 3:
-                sock.send(request_bytes()[: -2 if len(crowd) % 3 == 1 else None])
+            if len(idle_sockets) % 3:
+                sock.send(request_bytes()[: -2 if len(idle_sockets) % 3 == 1 else None])
         except (OSError, TimeoutError):
             pass
-        crowd.append(sock)
-        if len(crowd) > 2 * CROWD:
-            crowd.pop(0).close()
+        idle_sockets.append(sock)
+        if len(idle_sockets) > 2 * IDLE_CLIENTS:
+            idle_sockets.pop(0).close()
         await asyncio.sleep(0.002)
 
 
@@ -146,31 +150,31 @@
 
     async def run() -> None:
         async with rig(serves, sockets=96) as r:
-            front = r.proxy._frontend
-            assert front.acceptor._listener is not None
-            most = [0]
-            listener = front.acceptor._listener
+            frontend = r.proxy._frontend
+            assert frontend.acceptor._listener is not None
+            max_open = [0]
+            listener = frontend.acceptor._listener
 
-            class Counts:
+            class CountingListener:
                 def accept(self) -> Any:
-                    came = listener.accept()
-                    most[0] = max(most[0], held() + 1)
-                    return came
+                    accepted = listener.accept()
+                    max_open[0] = max(max_open[0], open_count() + 1)
+                    return accepted
 
                 def __getattr__(self, name: str) -> Any:
                     return getattr(listener, name)
 
-            def held() -> int:
-                return len(front._accepted) + len(front.acceptor.accepting)
+            def open_count() -> int:
+                return len(frontend._accepted) + len(frontend.acceptor.accepting)
 
-            monkeypatch.setattr(front.acceptor, "_listener", Counts())
+            monkeypatch.setattr(frontend.acceptor, "_listener", CountingListener())
             first = [raw_client(r.proxy.port) for _ in range(40)]
-            await r.until(lambda: front.connection_count >= 40)
+            await r.until(lambda: frontend.connection_count >= 40)
             await asyncio.sleep(0.15)
             second = [raw_client(r.proxy.port) for _ in range(60)]
             assert (await asyncio.wait_for(r.ask(), 3)).status == 200
-            assert 40 <= most[0] <= front.budget.max_connections
-            monkeypatch.setattr(front.acceptor, "_listener", listener)
+            assert 40 <= max_open[0] <= frontend.budget.max_connections
+            monkeypatch.setattr(frontend.acceptor, "_listener", listener)
             for client in first + second:
                 client.close()
 
@@ -182,24 +186,24 @@
 
     async def run() -> None:
         async with rig(serves, sockets=64) as r:
-            loop, front = r.proxy.loop, r.proxy._frontend
-            rests = raw_client(r.proxy.port)
-            rests.send(request_bytes())
-            assert b"served" in await asyncio.wait_for(loop.sock_recv(rests, 65536), 3)
-            (connection,) = front._accepted
+            loop, frontend = r.proxy.loop, r.proxy._frontend
+            idle_client = raw_client(r.proxy.port)
+            idle_client.send(request_bytes())
+            assert b"served" in await asyncio.wait_for(loop.sock_recv(idle_client, 65536), 3)
+            (connection,) = frontend._accepted
             assert isinstance(connection, Connection)
             connection.state_since_s -= SHED_IDLE_S  # idle for long enough
             others = [
                 raw_client(r.proxy.port)
-                for _ in range(front.budget.max_connections - front.budget.spare)
+                for _ in range(frontend.budget.max_connections - frontend.budget.spare)
             ]
             await r.until(lambda: connection.state == ConnectionState.LINGERING)
-            rests.send(request_bytes())  # it crosses the close
+            idle_client.send(request_bytes())  # it crosses the close
             seen = len(r.backends[0].seen)
             await r.until(lambda: connection.discarded_bytes > 0)
-            assert await asyncio.wait_for(loop.sock_recv(rests, 65536), 3) == b""
+            assert await asyncio.wait_for(loop.sock_recv(idle_client, 65536), 3) == b""
             assert len(r.backends[0].seen) == seen
-            for client in [rests, *others]:
+            for client in [idle_client, *others]:
                 client.close()
 
     asyncio.run(run())
@@ -209,24 +213,24 @@
     """It is closed with what it has still to take, and not counted as gone while it is not."""
 
     async def run() -> None:
-        async def big(seen: Any, writer: asyncio.StreamWriter) -> None:
+        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"z" * 60_000))
 
-        async with rig(big, sockets=64) as r:
-            front = r.proxy._frontend
-            deaf = []
-            for _ in range(front.budget.max_connections + 10):
+        async with rig(long_response, sockets=64) as r:
+            frontend = r.proxy._frontend
+            unread_sockets = []
+            for _ in range(frontend.budget.max_connections + 10):
                 sock = socket.socket()
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 sock.setblocking(False)
-                deaf.append(sock)
+                unread_sockets.append(sock)
                 await asyncio.wait_for(
                     r.proxy.loop.sock_connect(sock, ("127.0.0.1", r.proxy.port)), 3
                 )
                 sock.send(b"".join(request_bytes(remaining="3900m") for _ in range(100)))
             assert (await asyncio.wait_for(r.ask(remaining="3900m"), 8)).status in (200, 503)
-            assert front.connection_count <= front.budget.max_connections
-            for sock in deaf:
+            assert frontend.connection_count <= frontend.budget.max_connections
+            for sock in unread_sockets:
                 sock.close()
 
     asyncio.run(run())
@@ -241,17 +245,17 @@
 def test_answered_and_pending_admin_calls_share_their_descriptors() -> None:
     async def run() -> None:
         async with rig(serves, operators="127.0.0.1:0") as r:
-            door = r.proxy._admin_server
-            assert door is not None
-            held = []
+            admin_server = r.proxy._admin_server
+            assert admin_server is not None
+            callers = []
             for i in range(3 * MAX_CALLERS):
                 sock = raw_client(r.proxy.admin_port)
                 sock.send(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n" + (b"\r\n" if i % 2 else b""))
-                held.append(sock)
+                callers.append(sock)
                 await asyncio.sleep(0.002)
-                assert len(door._callers) + len(door._lingering) <= MAX_CALLERS
+                assert len(admin_server._callers) + len(admin_server._lingering) <= MAX_CALLERS
             assert (await r.call("/api/ready")).status == 200
-            for sock in held:
+            for sock in callers:
                 sock.close()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -161,11 +161,11 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.write(answer())
 
-        stand_in, single = await alone(waits)
+        stand_in, single = await alone(serves_after_gate)
         for _ in range(3):
             single.send()
         while len(stand_in.seen) < 3:
@@ -188,12 +188,12 @@
 
 def test_unsolicited_response_reaches_no_client() -> None:
     async def run() -> None:
-        async def strays(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def sends_second_response(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"for " + (seen.header(b"X-Txn") or b"")))
             await asyncio.sleep(0.01)
             writer.write(answer(b"stray"))
 
-        stand_in, single = await alone(strays)
+        stand_in, single = await alone(sends_second_response)
         for i in (1, 2, 3):
             single.send()
             await single.ended(i)
@@ -235,10 +235,10 @@
                 filler.setblocking(False)
                 filler.connect_ex(address)
             single = Single(config.Address("127.0.0.1", address[1]))
-            before = single.loop.time()
+            started_s = single.loop.time()
             single.send(within_ms=2000)
             assert await single.ended() == [AttemptResult.CONNECT_FAILED]
-            assert 0.1 < single.loop.time() - before < 0.6
+            assert 0.1 < single.loop.time() - started_s < 0.6
             single.send(within_ms=40)  # out of time while it still connects
             assert await single.ended(2) == [AttemptResult.CONNECT_FAILED] * 2
             single.pool.close()
@@ -298,10 +298,10 @@
             "",
             "util=nan,queue=1",
         ]
-        texts = iter(reports)
+        load_texts = iter(reports)
 
         async def reporting(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(X_Pressure=next(texts)))
+            writer.write(answer(X_Pressure=next(load_texts)))
 
         stand_in, single = await alone(reporting)
         for i in range(len(reports)):
@@ -332,13 +332,13 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             if seen.connection == 1:  # ends last, so it is the latest to fall idle
                 await asyncio.sleep(0.03)
             writer.write(answer())
 
-        stand_in, single = await alone(waits)
+        stand_in, single = await alone(serves_after_gate)
         for _ in range(3):
             single.send()
             await asyncio.sleep(0.01)
@@ -416,15 +416,17 @@
         async with rig(silent, silent) as r:
             loop = asyncio.get_running_loop()
 
-            async def timed(lane: str) -> tuple[int, float]:
-                before = loop.time()
+            async def ask_timed(lane: str) -> tuple[int, float]:
+                started_s = loop.time()
                 reply = await r.ask(lane, remaining="400m")
-                return reply.status, loop.time() - before
+                return reply.status, loop.time() - started_s
 
             replies = await asyncio.gather(
-                *(timed(lane) for lane in ("search", "pay", "order") * 5)
+                *(ask_timed(lane) for lane in ("search", "pay", "order") * 5)
+            )
+            assert all(
+                status in (502, 503, 504) and duration_s < 0.45 for status, duration_s in replies
             )
-            assert all(status in (502, 503, 504) and spent < 0.45 for status, spent in replies)
             unsafe = [status for status, _ in replies[2::3]]
             assert 504 in unsafe  # sent, and nothing came
             assert r.count("answers_overdue") == 0
@@ -444,8 +446,8 @@
 
 def test_request_rejected_by_a_backend_is_retried_on_another() -> None:
     async def run() -> None:
-        away = says(answer(b"", 503, X_Turned_Away="1"))
-        async with rig(away, away, serves) as r:
+        rejects = says(answer(b"", 503, X_Turned_Away="1"))
+        async with rig(rejects, rejects, serves) as r:
             for _ in range(6):
                 assert (await r.ask("order")).status == 200
             assert r.count("attempts_rejected") >= 1
@@ -454,12 +456,12 @@
 
 
 def test_response_that_arrived_while_the_proxy_was_suspended_is_read_before_its_timeout() -> None:
-    asked = threading.Event()
+    received = threading.Event()
 
-    def answers(listener: socket.socket) -> None:
+    def answers_late(listener: socket.socket) -> None:
         peer_socket, _ = listener.accept()
         peer_socket.recv(65536)
-        asked.set()
+        received.set()
         time.sleep(0.03)
         peer_socket.sendall(answer())
 
@@ -467,11 +469,11 @@
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            thread = threading.Thread(target=answers, args=(listener,))
+            thread = threading.Thread(target=answers_late, args=(listener,))
             thread.start()
             single = Single(config.Address("127.0.0.1", listener.getsockname()[1]))
             single.send(within_ms=60)
-            while not asked.is_set():
+            while not received.is_set():
                 await asyncio.sleep(0.001)
             time.sleep(0.1)  # meanwhile the answer comes, and then the time is over
             assert await single.ended() == [AttemptResult.OK]
@@ -509,7 +511,7 @@
 
 
 def test_burst_of_connections_beyond_the_budget_is_answered_in_time() -> None:
-    async def burst() -> float:
+    async def longest_response_time() -> float:
         async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.05)
             writer.write(answer())
@@ -517,22 +519,22 @@
         async with rig(slow, slow, sockets=96) as r:
             loop = asyncio.get_running_loop()
 
-            async def timed() -> tuple[int, float]:
-                before = loop.time()
+            async def ask_timed() -> tuple[int, float]:
+                started_s = loop.time()
                 client = await r.client()  # which keeps its connection
                 clients.append(client)
                 reply = await client.ask("search", remaining="500m")
-                return reply.status, loop.time() - before
+                return reply.status, loop.time() - started_s
 
             clients: list[Client] = []
-            replies = await asyncio.gather(*(timed() for _ in range(200)))
+            replies = await asyncio.gather(*(ask_timed() for _ in range(200)))
             assert {status for status, _ in replies} <= {200, 503}
             assert sum(status == 200 for status, _ in replies) >= 5
             assert (await r.ask()).status == 200
-            return max(spent for _, spent in replies)
+            return max(duration_s for _, duration_s in replies)
 
     # The best of some bursts: a machine that is busy with something else makes any one of them late.
-    assert any(asyncio.run(burst()) < 0.5 for _ in range(4))
+    assert any(asyncio.run(longest_response_time()) < 0.5 for _ in range(4))
 
 
 # Faults of our own
@@ -541,20 +543,20 @@
 def test_exception_in_the_balancer_fails_its_open_requests_and_the_proxy_continues() -> None:
     async def run() -> None:
         async with rig(silent) as r:
-            held = asyncio.create_task(r.ask("order", remaining="3000m"))
+            pending = asyncio.create_task(r.ask("order", remaining="3000m"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             balancer = r.proxy._decider._balancer
             handle = balancer.handle
 
-            def broken(now: int, events: list[Event]) -> list[Any]:
+            def raise_on_request(now: int, events: list[Event]) -> list[Any]:
                 # At the next request and not at a tick before it, which the module that follows would take.
                 if any(isinstance(event, RequestArrived) for event in events):
                     raise RuntimeError("broken")
                 return handle(now, events)
 
-            balancer.handle = broken  # type: ignore[method-assign]
+            balancer.handle = raise_on_request  # type: ignore[method-assign]
             assert (await r.ask("search")).status == 502
-            assert (await asyncio.wait_for(held, 1)).status in (502, 504)
+            assert (await asyncio.wait_for(pending, 1)).status in (502, 504)
             assert r.count("faults") == 1
             r.backends[0].behave = serves
             assert (await r.ask("search")).status == 200
@@ -567,10 +569,10 @@
         async with rig(serves) as r:
             await r.until(lambda: r.proxy._decider.endpoints_known.is_set())
             r.proxy._decider._balancer.handle = lambda now, events: []  # type: ignore[method-assign]
-            before = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             reply = await r.ask("search", remaining="200m")
             assert reply.status == 502
-            assert 0.19 < asyncio.get_running_loop().time() - before < 0.3
+            assert 0.19 < asyncio.get_running_loop().time() - started_s < 0.3
             assert r.count("answers_overdue") == 1
 
     asyncio.run(run())
@@ -594,20 +596,20 @@
 # Clients that owe something
 
 
-async def slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serves_slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.1)
     await serves(seen, writer)
 
 
-def shorter(monkeypatch: pytest.MonkeyPatch) -> None:
-    owed = dict.fromkeys(STATE_TIMEOUT_S, 0.3)
-    owed |= {ConnectionState.IDLE: 0.5, ConnectionState.REJECTED: 0.2}
-    monkeypatch.setattr(deadlines, "STATE_TIMEOUT_S", owed)
+def shorten_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    timeouts = dict.fromkeys(STATE_TIMEOUT_S, 0.3)
+    timeouts |= {ConnectionState.IDLE: 0.5, ConnectionState.REJECTED: 0.2}
+    monkeypatch.setattr(deadlines, "STATE_TIMEOUT_S", timeouts)
     monkeypatch.setattr(frontend, "SWEEP_S", 0.02)
 
 
 @pytest.mark.parametrize(
-    "said",
+    "raw_input",
     [
         b"",
         b"GET /sea",
@@ -617,16 +619,16 @@
     ],
 )
 def test_incomplete_request_gets_an_error_or_a_close_in_time(
-    said: bytes, monkeypatch: pytest.MonkeyPatch
+    raw_input: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorter(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     async def run() -> None:
         async with rig(serves) as r:
             client, loop = await r.client(), asyncio.get_running_loop()
             start = loop.time()
-            client.writer.write(said)
-            if said:
+            client.writer.write(raw_input)
+            if raw_input:
                 assert (await client.read(1.0)).status == 408
             assert await client.closed(1.0)
             assert 0.25 < loop.time() - start < 1.0
@@ -638,7 +640,7 @@
 def test_idle_connection_is_closed_after_its_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    shorter(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     async def run() -> None:
         async with rig(serves) as r:
@@ -678,8 +680,8 @@
     async def run() -> None:
         async with rig(serves) as r:
             client, other = await r.client(), await r.client()
-            hidden = b"GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
-            client.writer.write(raw + hidden)
+            smuggled = b"GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
+            client.writer.write(raw + smuggled)
             assert (await client.read()).status in (400, 413)
             assert await client.closed()
             assert (await other.ask()).status == 200
@@ -712,14 +714,14 @@
             client.writer.write(head)
             sent = 0
 
-            async def sends() -> None:
+            async def send_body() -> None:
                 nonlocal sent
                 while sent < 60_000_000:
                     client.writer.write(b"x" * 100_000)
                     sent += 100_000
                     await client.writer.drain()
 
-            sending = asyncio.create_task(sends())
+            sending = asyncio.create_task(send_body())
             assert (await client.read(2.0)).status == 413
             assert await client.closed(3.0)
             with contextlib.suppress(ConnectionError):
@@ -738,7 +740,7 @@
             client.writer.write(b"".join(request_bytes("search", X_Txn=i) for i in ids))
             for i in ids:
                 assert (await client.read()).body == b"served " + i.encode()
-            r.backends[0].behave = slowly
+            r.backends[0].behave = serves_slowly
             client.writer.write(request_bytes("search", X_Txn="last"))
             await r.until(lambda: len(r.backends[0].seen) == 61)
             client.writer.write(b"\x00nonsense\r\n")
@@ -753,8 +755,8 @@
 def test_response_ends_its_connection_when_half_of_the_connection_budget_is_used() -> None:
     async def run() -> None:
         async with rig(serves, sockets=64) as r:
-            held = [await r.client() for _ in range(18)]
-            endings = [(await client.ask()).headers.get("connection") for client in held]
+            clients = [await r.client() for _ in range(18)]
+            endings = [(await client.ask()).headers.get("connection") for client in clients]
             assert endings[0] == "close"  # 18 of 23: a crowd
             assert endings[-1] is None  # most have been let go by then
             assert r.count("connections_shed") == 0
@@ -765,11 +767,11 @@
 def test_new_silent_connections_are_shed_before_one_that_was_served() -> None:
     async def run() -> None:
         async with rig(serves, sockets=64) as r:
-            usual = await r.client()
-            assert (await usual.ask()).status == 200
+            served_client = await r.client()
+            assert (await served_client.ask()).status == 200
             silent_ones = [await r.client() for _ in range(40)]
             await asyncio.sleep(0.5)
-            assert (await usual.ask()).status == 200
+            assert (await served_client.ask()).status == 200
             assert r.count("connections_shed") >= 10
             for client in silent_ones:
                 client.close()
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -21,7 +21,13 @@
 from mothstall.net.client_side import frontend, lingering_close
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.listener import CHECK_CLIENT_AFTER_NS, has_peer_hung_up
-from tests.net.client_side.test_net_leaving import ENDS, LONG, connections, given_back, nothing_owed
+from tests.net.client_side.test_net_leaving import (
+    DEPARTURES,
+    LONG_REMAINING,
+    connections,
+    no_open_requests_or_clients,
+    resources_released,
+)
 from tests.net.test_net_body_relay import swallowing
 from tests.peers import (
     MS,
@@ -39,9 +45,9 @@
     silent,
 )
 
-SLOW_DIAL: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
+LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
 # A request may wait for room for a quarter of its aim.
-PATIENT = [
+LONG_OBJECTIVE = [
     {
         "name": "search",
         "effect": "pure",
@@ -52,7 +58,7 @@
 ]
 
 
-def leaves_unread(r: Rig, client: socket.socket, end: Callable[[socket.socket], None]) -> None:
+def leave_unread(r: Rig, client: socket.socket, end: Callable[[socket.socket], None]) -> None:
     """The client ends, and nobody reads it."""
     for connection in connections(r):
         if connection.transport is not None:
@@ -60,40 +66,40 @@
     end(client)
 
 
-async def unread(r: Rig) -> None:
+async def hang_ups_pending(r: Rig) -> None:
     """What came of the ends is with the kernel by now."""
     await r.until(lambda: all(has_peer_hung_up(c.transport) for c in connections(r)))
 
 
-async def seen_late(r: Rig) -> None:
+async def wait_past_socket_check(r: Rig) -> None:
     """Longer than an end may be there unread without being asked for."""
     await asyncio.sleep(2 * CHECK_CLIENT_AFTER_NS / 1e9)
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", DEPARTURES)
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_connection_established_after_its_client_left_unread_is_not_written_to(
     monkeypatch: pytest.MonkeyPatch, cancelling: bool, end: Callable[[socket.socket], None]
 ) -> None:
     async def run() -> None:
-        async with rig(serves, limits__cancelling=cancelling, **SLOW_DIAL) as r:
+        async with rig(serves, limits__cancelling=cancelling, **LONG_CONNECT_TIMEOUT) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(remaining=LONG))
+            client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: gate.waiting == 1)
-            leaves_unread(r, client, end)
-            await unread(r)
-            await seen_late(r)
+            leave_unread(r, client, end)
+            await hang_ups_pending(r)
+            await wait_past_socket_check(r)
             gate.open.set()
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and not r.backends[0].seen
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and not r.backends[0].seen
             assert r.proxy._pool.open_count == 1  # up, and good for the next request
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", DEPARTURES)
 def test_retry_for_a_client_that_left_unread_is_not_sent(
     end: Callable[[socket.socket], None],
 ) -> None:
@@ -102,43 +108,43 @@
             for backend in r.backends:
                 backend.behave = says(b"")
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(remaining=LONG))
+            client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: any(b.seen for b in r.backends))
             first = next(b for b in r.backends if b.seen)
-            leaves_unread(r, client, end)
-            await unread(r)
-            await seen_late(r)
+            leave_unread(r, client, end)
+            await hang_ups_pending(r)
+            await wait_past_socket_check(r)
             (writer,) = first.writers
             writer.write(answer(b"", 503, X_Turned_Away="1"))
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and sum(len(b.seen) for b in r.backends) == 1
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and sum(len(b.seen) for b in r.backends) == 1
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", DEPARTURES)
 def test_queued_request_whose_client_left_unread_is_not_sent(
     end: Callable[[socket.socket], None],
 ) -> None:
     async def run() -> None:
         go = asyncio.Event()
-        async with rig(serves_after(go), classes=PATIENT) as r:
-            module = r.proxy._decider._balancer
+        async with rig(serves_after(go), classes=LONG_OBJECTIVE) as r:
+            balancer = r.proxy._decider._balancer
             clients = []
-            while not module.queue.count:
+            while not balancer.queue.count:
                 clients.append(raw_client(r.proxy.port))
-                clients[-1].send(request_bytes(remaining=LONG))
-                known = len(clients)
-                await r.until(lambda known=known: len(module.requests.open) == known)  # type: ignore[misc]
+                clients[-1].send(request_bytes(remaining=LONG_REMAINING))
+                sent = len(clients)
+                await r.until(lambda sent=sent: len(balancer.requests.open) == sent)  # type: ignore[misc]
             served = len(clients) - 1
             await r.until(lambda: len(r.backends[0].seen) == served)
-            leaves_unread(r, clients[-1], end)
+            leave_unread(r, clients[-1], end)
             await r.until(lambda: any(has_peer_hung_up(c.transport) for c in connections(r)))
-            await seen_late(r)
-            assert module.queue.count
+            await wait_past_socket_check(r)
+            assert balancer.queue.count
             go.set()
             await r.until(lambda: r.count("answers_ok") >= served)
-            await r.until(lambda: given_back(r))
+            await r.until(lambda: resources_released(r))
             assert len(r.backends[0].seen) == served
             for client in clients[:-1]:
                 client.close()
@@ -146,41 +152,41 @@
     asyncio.run(run())
 
 
-class Left:
+class DepartedClient:
     """In place of a client's connection: it has gone."""
 
     def __init__(self) -> None:
-        self.looks: list[bool] = []
+        self.socket_checks: list[bool] = []
 
     def is_waiting(self, request: Any, check_socket: bool) -> bool:
-        self.looks.append(check_socket)
+        self.socket_checks.append(check_socket)
         return False
 
 
-@pytest.mark.parametrize("known", [True, False], ids=["on a known connection", "on a new one"])
+@pytest.mark.parametrize("is_reused", [True, False], ids=["on a known connection", "on a new one"])
 def test_no_kind_of_attempt_begins_for_a_client_that_left(
-    monkeypatch: pytest.MonkeyPatch, known: bool
+    monkeypatch: pytest.MonkeyPatch, is_reused: bool
 ) -> None:
     """First ones, repeats, second copies and those from a queue: all come by the backend's actor."""
 
     async def run() -> None:
         stand_in, single = await alone(serves)
-        if known:
+        if is_reused:
             single.send()
             await single.ended()
         before = len(stand_in.seen)
-        left = Left()
+        departed = DepartedClient()
         tell = single.actor.tell
 
-        def marked(order: Any) -> None:
-            order.client_request.client = left
-            tell(order)
+        def tell_with_departed_client(command: Any) -> None:
+            command.client_request.client = departed
+            tell(command)
 
-        monkeypatch.setattr(single.actor, "tell", marked)
+        monkeypatch.setattr(single.actor, "tell", tell_with_departed_client)
         single.send()
         assert (await single.ended(before + 1))[-1] == AttemptResult.NOT_SENT
-        assert len(stand_in.seen) == before and left.looks == [True]  # it came long ago
-        assert single.pool.open_count == int(known)
+        assert len(stand_in.seen) == before and departed.socket_checks == [True]  # it came long ago
+        assert single.pool.open_count == int(is_reused)
         single.pool.close()
         await stand_in.stop()
 
@@ -201,16 +207,16 @@
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             tell = Backend.tell
 
-            def told(self: Backend, order: Any) -> None:
-                tell(self, order)
-                if isinstance(order, backend_messages.SendAttempt):
+            def tell_then_read_end(self: Backend, command: Any) -> None:
+                tell(self, command)
+                if isinstance(command, backend_messages.SendAttempt):
                     (connection,) = connections(r)
                     connection.eof_received()
 
-            monkeypatch.setattr(Backend, "tell", told)
+            monkeypatch.setattr(Backend, "tell", tell_then_read_end)
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(remaining=LONG))
-            await r.until(lambda: r.count("attempts") == 2 and given_back(r))
+            client.send(request_bytes(remaining=LONG_REMAINING))
+            await r.until(lambda: r.count("attempts") == 2 and resources_released(r))
             assert len(r.backends[0].seen) == 1
             client.close()
 
@@ -228,24 +234,24 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             single = Single(config.Address("127.0.0.1", listener.getsockname()[1]))
-            number = single.send("POST", within_ms=3_000, body=b"x" * 8_000_000)
-            taken, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
+            request_number = single.send("POST", within_ms=3_000, body=b"x" * 8_000_000)
+            accepted, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
             async with asyncio.timeout(3):
                 while not (links := list(single.pool.connections)) or links[0].attempt is None:
                     await asyncio.sleep(0.005)
             assert not links[0].is_flushed
-            single.actor.tell(backend_messages.WithholdAttempt(number, 0))
+            single.actor.tell(backend_messages.WithholdAttempt(request_number, 0))
             assert await single.ended() == [AttemptResult.NOT_SENT]
             single.pool.close()
-            taken.close()
+            accepted.close()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("much", [3_000_000, 12_000_000])
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("body_size", [3_000_000, 12_000_000])
+@pytest.mark.parametrize("end", DEPARTURES)
 def test_input_beyond_the_kernels_buffers_is_read_up_to_the_clients_end(
-    monkeypatch: pytest.MonkeyPatch, much: int, end: Callable[[socket.socket], None]
+    monkeypatch: pytest.MonkeyPatch, body_size: int, end: Callable[[socket.socket], None]
 ) -> None:
     """Sent ahead of an answer: what cannot be held is read and dropped with no pause, as far as its end."""
     monkeypatch.setattr(
@@ -255,13 +261,15 @@
     async def run() -> None:
         async with rig(silent) as r:
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(remaining=LONG))
+            client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: len(r.backends[0].seen) == 1)
-            raw = request_bytes("order", body=b"x" * 200, remaining=LONG) + b"x" * much
+            raw = (
+                request_bytes("order", body=b"x" * 200, remaining=LONG_REMAINING) + b"x" * body_size
+            )
             await asyncio.wait_for(r.proxy.loop.sock_sendall(client, raw), 3)
             end(client)
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and len(r.backends[0].seen) == 1
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and len(r.backends[0].seen) == 1
 
     asyncio.run(run())
 
@@ -275,12 +283,12 @@
     async def run() -> None:
         async with rig(silent) as r:
             client = await r.client()
-            client.writer.write(request_bytes(remaining=LONG))
+            client.writer.write(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: len(r.backends[0].seen) == 1)
-            sending = asyncio.create_task(_pours(client.writer))
-            refused = await client.read()
-            assert (refused.status, refused.headers["connection"]) == (400, "close")
-            await r.until(lambda: given_back(r))
+            sending = asyncio.create_task(_send_endlessly(client.writer))
+            rejected = await client.read()
+            assert (rejected.status, rejected.headers["connection"]) == (400, "close")
+            await r.until(lambda: resources_released(r))
             assert len(r.backends[0].seen) == 1 and r.count("attempts_cancelled") == 1
             sending.cancel()
             client.writer.transport.abort()
@@ -288,25 +296,25 @@
     asyncio.run(run())
 
 
-async def _pours(writer: asyncio.StreamWriter) -> None:
+async def _send_endlessly(writer: asyncio.StreamWriter) -> None:
     for _ in range(200):
         writer.write(b"x" * 65536)
         await writer.drain()
 
 
 @pytest.mark.parametrize(
-    "hidden", [False, True], ids=["with the kernel", "more than the kernel holds"]
+    "is_end_hidden", [False, True], ids=["with the kernel", "more than the kernel holds"]
 )
 def test_blocked_body_whose_client_left_is_never_sent_completely(
-    monkeypatch: pytest.MonkeyPatch, hidden: bool
+    monkeypatch: pytest.MonkeyPatch, is_end_hidden: bool
 ) -> None:
     """All of it was sent, and then the client closed: the end comes with the last byte, if no sooner."""
 
     async def run() -> None:
-        async with swallowing(**SLOW_DIAL) as (r, taker):
+        async with swallowing(**LONG_CONNECT_TIMEOUT) as (r, upload_backend):
             gate = Gate(r.proxy.loop, monkeypatch)
-            gate.hold(taker)
-            if hidden:
+            gate.hold(upload_backend)
+            if is_end_hidden:
                 assert r.proxy._frontend.acceptor._listener is not None
                 r.proxy._frontend.acceptor._listener.setsockopt(
                     socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
@@ -317,7 +325,10 @@
             client.setblocking(False)
             size = 160_000
             head = request_bytes(
-                "order", drop=("Content-Length",), Content_length=str(size), remaining=LONG
+                "order",
+                drop=("Content-Length",),
+                Content_length=str(size),
+                remaining=LONG_REMAINING,
             )
             await asyncio.wait_for(r.proxy.loop.sock_sendall(client, head + b"u" * size), 3)
             await r.until(lambda: gate.waiting == 1)
@@ -330,11 +341,13 @@
             await asyncio.sleep(0.2)  # the last sweep is over
             client.close()
             await asyncio.sleep(0.05)
-            assert has_peer_hung_up(connections(r)[0].transport) is not hidden
+            assert has_peer_hung_up(connections(r)[0].transport) is not is_end_hidden
             gate.open.set()
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and not taker.digests
-            assert len(taker.framings) <= int(hidden)  # its head may go out; a part never runs
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and not upload_backend.digests
+            assert len(upload_backend.framings) <= int(
+                is_end_hidden
+            )  # its head may go out; a part never runs
 
     asyncio.run(run())
 
@@ -348,18 +361,18 @@
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             client = raw_client(r.proxy.port)
             await r.until(lambda: r.proxy._frontend.connection_count == 1)
-            client.send(request_bytes(remaining=LONG)[:-2])
+            client.send(request_bytes(remaining=LONG_REMAINING)[:-2])
             await r.until(lambda: connections(r)[0].state == ConnectionState.READING_HEAD)
-            await seen_late(r)
+            await wait_past_socket_check(r)
             client.send(b"\r\n")
             client.close()
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
-            assert len(r.backends[0].seen) == 1 and given_back(r)
+            assert len(r.backends[0].seen) == 1 and resources_released(r)
 
     asyncio.run(run())
 
 
-def told_ms(value: bytes | None) -> float:
+def remaining_ms(value: bytes | None) -> float:
     assert value is not None and value.endswith(b"u")
     return int(value[:-1]) / 1000
 
@@ -368,18 +381,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> None:
-        async with rig(serves, **SLOW_DIAL) as r:
+        async with rig(serves, **LONG_CONNECT_TIMEOUT) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
-            asked = asyncio.create_task(r.ask(remaining="2900m"))
+            reply_task = asyncio.create_task(r.ask(remaining="2900m"))
             await r.until(lambda: gate.waiting == 1)
             began = time.monotonic()
             await asyncio.sleep(0.3)
-            held = 1000 * (time.monotonic() - began)
+            held_ms = 1000 * (time.monotonic() - began)
             gate.open.set()
-            assert (await asked).status == 200
+            assert (await reply_task).status == 200
             (seen,) = r.backends[0].seen
-            assert 0 < told_ms(seen.header(b"X-Remaining")) <= 2900 - held
+            assert 0 < remaining_ms(seen.header(b"X-Remaining")) <= 2900 - held_ms
 
     asyncio.run(run())
 
@@ -395,12 +408,12 @@
             await r.until(lambda: connections(r)[0].has_pipelined_input())
             sent = time.monotonic()
             await asyncio.sleep(0.3)
-            held = 1000 * (time.monotonic() - sent)
+            held_ms = 1000 * (time.monotonic() - sent)
             go.set()
             for _ in range(3):
                 assert (await client.read()).status == 200
             for seen in r.backends[0].seen[1:]:
-                assert told_ms(seen.header(b"X-Remaining")) <= 2900 - held
+                assert remaining_ms(seen.header(b"X-Remaining")) <= 2900 - held_ms
             client.close()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -33,8 +33,8 @@
 )
 from tests.policy import harness as helpers
 
-ENDS: list[Callable[[socket.socket], None]] = [socket.socket.close, reset]
-LONG = "3900m"  # far longer than any wait of these tests: an end by time would show as a test out of time
+DEPARTURES: list[Callable[[socket.socket], None]] = [socket.socket.close, reset]
+LONG_REMAINING = "3900m"  # far longer than any wait of these tests: an end by time would show as a test out of time
 
 
 def connections(r: Rig) -> list[Connection]:
@@ -42,11 +42,11 @@
     return [c for c in r.proxy._frontend._accepted if isinstance(c, Connection)]
 
 
-def nothing_owed(r: Rig) -> bool:
+def no_open_requests_or_clients(r: Rig) -> bool:
     return not r.proxy._decider._pending and not r.proxy._frontend.connection_count
 
 
-def given_back(r: Rig) -> bool:
+def resources_released(r: Rig) -> bool:
     """All that requests held: what is in flight, places in queues, ids."""
     balancer = r.proxy._decider._balancer
     held = (
@@ -58,37 +58,39 @@
     return held == (0, 0, 0, 0)
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", DEPARTURES)
 def test_client_that_leaves_behind_many_pipelined_requests_is_noticed(
     end: Callable[[socket.socket], None],
 ) -> None:
     async def run() -> None:
         async with rig(silent) as r:
             client = raw_client(r.proxy.port)
-            client.send(b"".join(request_bytes(remaining=LONG) for _ in range(100)))
+            client.send(b"".join(request_bytes(remaining=LONG_REMAINING) for _ in range(100)))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             end(client)
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and len(r.backends[0].seen) == 1
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and len(r.backends[0].seen) == 1
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("end", ENDS)
-@pytest.mark.parametrize("much", [100_000, 2_000_000])
+@pytest.mark.parametrize("end", DEPARTURES)
+@pytest.mark.parametrize("body_size", [100_000, 2_000_000])
 def test_client_that_pipelines_much_and_leaves_is_noticed(
-    much: int, end: Callable[[socket.socket], None]
+    body_size: int, end: Callable[[socket.socket], None]
 ) -> None:
     async def run() -> None:
         async with rig(silent) as r:
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(remaining=LONG))
+            client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: len(r.backends[0].seen) == 1)
-            ahead = request_bytes("order", body=b"x" * 200, remaining=LONG) + b"x" * much
-            assert client.send(ahead) >= 100_000
+            pipelined = (
+                request_bytes("order", body=b"x" * 200, remaining=LONG_REMAINING) + b"x" * body_size
+            )
+            assert client.send(pipelined) >= 100_000
             end(client)
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and len(r.backends[0].seen) == 1
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and len(r.backends[0].seen) == 1
 
     asyncio.run(run())
 
@@ -96,18 +98,18 @@
 def test_pipelined_input_over_the_limit_is_rejected_after_the_open_requests_response() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        waits = serves_after(go)
+        serves_after_go = serves_after(go)
 
-        async with rig(waits) as r:
+        async with rig(serves_after_go) as r:
             client = await r.client()
-            client.writer.write(request_bytes(remaining=LONG))
+            client.writer.write(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             client.writer.write(request_bytes() * (2 * MAX_PIPELINED_BYTES // 150))
             await r.until(lambda: any(c.deferred_error for c in connections(r)))
             go.set()
             assert (await client.read()).status == 200
-            refused = await client.read()
-            assert (refused.status, refused.headers["connection"]) == (400, "close")
+            rejected = await client.read()
+            assert (rejected.status, rejected.headers["connection"]) == (400, "close")
             assert len(r.backends[0].seen) == 1
             client.close()
 
@@ -133,11 +135,11 @@
     async def run() -> None:
         async with rig(silent) as r:
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(remaining=LONG))
+            client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             client.shutdown(socket.SHUT_WR)
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and r.count("attempts_cancelled") == 1
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and r.count("attempts_cancelled") == 1
             client.close()
 
     asyncio.run(run())
@@ -154,18 +156,18 @@
             with socket.socket() as listener:
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
-                at = f"127.0.0.1:{listener.getsockname()[1]}"
-                row = {**r.backends[0].row(), "id": "s-9", "host_port": at}
+                address = f"127.0.0.1:{listener.getsockname()[1]}"
+                row = {**r.backends[0].row(), "id": "s-9", "host_port": address}
                 r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
-                told = r.proxy._decider._backends
-                await r.until(lambda: [b.ident for b in told.values()] == ["s-9"])
+                listed_backends = r.proxy._decider._backends
+                await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
                 client = raw_client(r.proxy.port)
                 size = 30_000_000
                 client.send(
                     request_bytes("order", drop=("Content-Length",), Content_length=str(size))
                 )
 
-                def held_up() -> bool:
+                def is_body_blocked() -> bool:
                     for _ in range(64):
                         try:
                             client.send(b"u" * 65536)
@@ -176,15 +178,15 @@
                         for c in connections(r)
                     )
 
-                await r.until(held_up)
+                await r.until(is_body_blocked)
                 reset(client)
-                await r.until(lambda: nothing_owed(r))
-                assert given_back(r)
+                await r.until(lambda: no_open_requests_or_clients(r))
+                assert resources_released(r)
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", DEPARTURES)
 def test_request_delayed_by_a_penalty_is_not_forwarded_after_its_client_left(
     monkeypatch: pytest.MonkeyPatch, end: Callable[[socket.socket], None]
 ) -> None:
@@ -198,14 +200,14 @@
             await r.until(lambda: r.count("requests_bad") == 1)
             client.send(request_bytes())
             end(client)
-            await r.until(lambda: nothing_owed(r))
+            await r.until(lambda: no_open_requests_or_clients(r))
             assert not r.backends[0].seen and not r.count("requests")
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("known", [True, False], ids=["on an open connection", "on a new one"])
-def test_unread_request_is_not_forwarded_after_its_client_left(known: bool) -> None:
+@pytest.mark.parametrize("is_reused", [True, False], ids=["on an open connection", "on a new one"])
+def test_unread_request_is_not_forwarded_after_its_client_left(is_reused: bool) -> None:
     """The process stood still meanwhile: bytes and end of a client are there at once."""
 
     async def run(poll: TimedSelector) -> None:
@@ -216,24 +218,24 @@
         proxy = Proxy(config.from_tree(tree_of(directory, [backend.row()])), poll)
         await proxy.start()
         r = Rig(proxy, [backend], directory)
-        gone, stays = raw_client(proxy.port), raw_client(proxy.port)
+        leaving, staying = raw_client(proxy.port), raw_client(proxy.port)
         for client in (
-            gone,
-            stays,
+            leaving,
+            staying,
         ):  # both at once, so that a connection to the backend waits for each
             client.send(request_bytes())
         await r.until(lambda: len(backend.seen) == 2 and r.count("answers_ok") == 2)
-        if not known:
-            gone.close()
+        if not is_reused:
+            leaving.close()
             await r.until(lambda: proxy._frontend.connection_count == 1)
-            gone = raw_client(proxy.port)
-        gone.send(request_bytes())
-        gone.close()
-        stays.send(request_bytes())
+            leaving = raw_client(proxy.port)
+        leaving.send(request_bytes())
+        leaving.close()
+        staying.send(request_bytes())
         time.sleep(0.25)
         await r.until(lambda: proxy._frontend.connection_count == 1 and r.count("answers_ok") == 3)
-        assert len(backend.seen) == 3 and given_back(r)
-        stays.close()
+        assert len(backend.seen) == 3 and resources_released(r)
+        staying.close()
         await proxy.stop(0.0)
         await directory.stop()
         await backend.stop()
@@ -250,21 +252,21 @@
 
     async def run() -> None:
         async with rig(serves) as r:
-            front = r.proxy._frontend
+            frontend = r.proxy._frontend
             assert (
                 await r.ask()
             ).status == 200  # a connection to the backend waits for the next request
-            await r.until(lambda: front.connection_count == 0)
-            with monkeypatch.context() as full:
-                full.setattr(front.budget, "has_capacity", lambda: False)
-                gone, stays = raw_client(r.proxy.port), raw_client(r.proxy.port)
-                gone.send(request_bytes())
-                gone.close()
-                stays.send(request_bytes())
-                await r.until(lambda: front.budget.waiting_since is not None)
-            await r.until(lambda: r.count("answers_ok") == 2 and front.connection_count == 1)
-            assert len(r.backends[0].seen) == 2 and given_back(r)
-            stays.close()
+            await r.until(lambda: frontend.connection_count == 0)
+            with monkeypatch.context() as patch:
+                patch.setattr(frontend.budget, "has_capacity", lambda: False)
+                leaving, staying = raw_client(r.proxy.port), raw_client(r.proxy.port)
+                leaving.send(request_bytes())
+                leaving.close()
+                staying.send(request_bytes())
+                await r.until(lambda: frontend.budget.waiting_since is not None)
+            await r.until(lambda: r.count("answers_ok") == 2 and frontend.connection_count == 1)
+            assert len(r.backends[0].seen) == 2 and resources_released(r)
+            staying.close()
 
     asyncio.run(run())
 
@@ -274,18 +276,18 @@
     monkeypatch.setitem(STATE_TIMEOUT_S, ConnectionState.IDLE, 0.2)
 
     async def run() -> None:
-        async def big(seen: Any, writer: asyncio.StreamWriter) -> None:
+        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"z" * 60_000))
 
-        async with rig(big) as r:
+        async with rig(long_response) as r:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", r.proxy.port))
             client.setblocking(False)
-            client.send(b"".join(request_bytes(remaining=LONG) for _ in range(200)))
+            client.send(b"".join(request_bytes(remaining=LONG_REMAINING) for _ in range(200)))
             await r.until(lambda: r.count("connections_overdue") == 1, 8.0)
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r) and len(r.backends[0].seen) < 200
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r) and len(r.backends[0].seen) < 200
             client.close()
 
     asyncio.run(run())
@@ -296,12 +298,12 @@
         async with rig(silent, silent, silent) as r:
             clients = [raw_client(r.proxy.port) for _ in range(60)]
             for client in clients:
-                client.send(request_bytes(remaining=LONG))
+                client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: r.proxy._decider._balancer.queue.count > 0)  # some wait for room
             for i, client in enumerate(clients):
-                ENDS[i % 2](client)
-            await r.until(lambda: nothing_owed(r))
-            assert given_back(r)
+                DEPARTURES[i % 2](client)
+            await r.until(lambda: no_open_requests_or_clients(r))
+            assert resources_released(r)
             sent = sum(len(b.seen) for b in r.backends)
             for backend in r.backends:
                 backend.behave = serves
@@ -314,12 +316,12 @@
 def test_id_of_a_request_whose_client_left_can_be_reused() -> None:
     async def run() -> None:
         async with rig(silent) as r:
-            raw = request_bytes("pay", remaining=LONG, body=b"x")
+            raw = request_bytes("pay", remaining=LONG_REMAINING, body=b"x")
             client = raw_client(r.proxy.port)
             client.send(raw)
             await r.until(lambda: len(r.backends[0].seen) == 1)
             client.close()
-            await r.until(lambda: nothing_owed(r))
+            await r.until(lambda: no_open_requests_or_clients(r))
             r.backends[0].behave = serves
             again = await r.client()
             again.writer.write(raw)
@@ -331,16 +333,16 @@
 
 def test_queued_request_is_not_forwarded_after_its_client_left() -> None:
     drive = helpers.Drive()
-    out = []
+    open_attempts = []
     while True:
-        rid, acts = drive.ask()
-        if not (sent := helpers.sends(acts)):
+        rid, actions = drive.ask()
+        if not (sent := helpers.sends(actions)):
             break
-        out.append((rid, sent[0].backend))
+        open_attempts.append((rid, sent[0].backend))
     drive.feed(interface.ClientLeft(rid))
-    for held in out:
+    for attempt in open_attempts:
         drive.now += helpers.MS
-        assert not [s for s in helpers.sends(drive.end(*held)) if s.request == rid]
+        assert not [s for s in helpers.sends(drive.end(*attempt)) if s.request == rid]
     assert not drive.balancer.queue.count and not drive.balancer.requests.open
 
 
@@ -352,22 +354,22 @@
 
     async def run() -> None:
         async with rig(serves) as r:
-            after = Connection.after_response
+            unpatched_after_response = Connection.after_response
 
-            def closes(self: Connection, transport: asyncio.Transport) -> None:
-                after(self, transport)
+            def close_after_response(self: Connection, transport: asyncio.Transport) -> None:
+                unpatched_after_response(self, transport)
                 if who == "the client":
                     self.eof_received()
                     transport.close()  # as asyncio does on its end
                 else:
                     self.force_close()
 
-            monkeypatch.setattr(Connection, "after_response", closes)
+            monkeypatch.setattr(Connection, "after_response", close_after_response)
             client = await r.client()
             client.writer.write(request_bytes() + request_bytes())
             assert (await client.read()).status == 200
             assert await client.closed()
-            await r.until(lambda: nothing_owed(r))
+            await r.until(lambda: no_open_requests_or_clients(r))
             assert len(r.backends[0].seen) == 1 and r.count("requests") == 1
             client.close()
 
@@ -376,22 +378,24 @@
 
 def test_pipelined_body_of_a_slow_reader_is_read_completely() -> None:
     async def run() -> None:
-        async def big(seen: Any, writer: asyncio.StreamWriter) -> None:
+        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"z" * 60_000))
 
-        async with rig(big) as r:
+        async with rig(long_response) as r:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", r.proxy.port))
             client.setblocking(False)
             count = 100
             bodies = [b"%d" % i * 2000 for i in range(count)]
-            raw = b"".join(request_bytes("order", body=body, remaining=LONG) for body in bodies)
+            raw = b"".join(
+                request_bytes("order", body=body, remaining=LONG_REMAINING) for body in bodies
+            )
             sending = asyncio.create_task(r.proxy.loop.sock_sendall(client, raw))
-            came = 0
+            received_bytes = 0
             async with asyncio.timeout(10):
-                while came < count * 60_000:
-                    came += len(await r.proxy.loop.sock_recv(client, 65536))
+                while received_bytes < count * 60_000:
+                    received_bytes += len(await r.proxy.loop.sock_recv(client, 65536))
             await sending
             await r.until(lambda: r.count("answers_ok") == count)
             assert [s.body for s in r.backends[0].seen] == bodies
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -19,33 +19,35 @@
     async def run() -> None:
         go = asyncio.Event()
         async with rig(serves_after(go), serves, discovery=mode) as r:
-            left, stays = r.backends
+            removed, kept = r.backends
             await watched(r)
-            client, asked = await r.client(), None
-            while not left.seen:  # until one is out there
-                asked = asyncio.create_task(client.ask(remaining="3900m"))
-                await r.until(lambda: bool(left.seen) or asked.done())  # noqa: B023
-            r.directory.members, r.directory.whole = [stays.row()], True
+            client, reply_task = await r.client(), None
+            while not removed.seen:  # until one is out there
+                reply_task = asyncio.create_task(client.ask(remaining="3900m"))
+                await r.until(lambda: bool(removed.seen) or reply_task.done())  # noqa: B023
+            r.directory.members, r.directory.whole = [kept.row()], True
             r.directory.tell()
             await r.until(lambda: r.proxy._decider.listed_count() == 1)
             go.set()
-            assert asked is not None and (await asked).status == 200  # what is out ends as it does
-            await r.until(lambda: left.ended == left.opened)  # and no connection is kept
-            seen = len(left.seen)
+            assert (
+                reply_task is not None and (await reply_task).status == 200
+            )  # what is out ends as it does
+            await r.until(lambda: removed.ended == removed.opened)  # and no connection is kept
+            seen = len(removed.seen)
             assert [(await client.ask()).status for _ in range(20)] == [200] * 20
-            assert len(left.seen) == seen
+            assert len(removed.seen) == seen
             client.close()
 
     asyncio.run(run())
 
 
-def forms() -> list[tuple[str, bytes, bytes]]:
+def request_forms() -> list[tuple[str, bytes, bytes]]:
     """Name, a request as it is written, and the body that its backend has to get."""
     body = b"x" * 300
     chunked = request_bytes("order", drop=("Content-Length",), Transfer_Encoding="chunked")
-    plain = request_bytes("order", body=body)
+    with_length = request_bytes("order", body=body)
     return [
-        ("a length", plain, body),
+        ("a length", with_length, body),
         (
             "chunks",
             chunked + b"64\r\n" + b"x" * 100 + b"\r\nC8\r\n" + b"x" * 200 + b"\r\n0\r\n\r\n",
@@ -59,14 +61,18 @@
         ("no body", request_bytes("order"), b""),
         (
             "names in capitals",
-            plain.replace(b"X-Lane:", b"X-LANE:").replace(b"X-Txn:", b"x-TXN:"),
+            with_length.replace(b"X-Lane:", b"X-LANE:").replace(b"X-Txn:", b"x-TXN:"),
+            body,
+        ),
+        ("space round values", with_length.replace(b"X-Lane: ", b"X-Lane: \t "), body),
+        ("no space", with_length.replace(b"X-Lane: ", b"X-Lane:"), body),
+        ("in microseconds", with_length.replace(b": 800m", b": 800000u"), body),
+        ("a fraction", with_length.replace(b": 800m", b": 800.5m"), body),
+        (
+            "the word to keep alive",
+            with_length.replace(b"Host", b"Connection: keep-alive\r\nHost"),
             body,
         ),
-        ("space round values", plain.replace(b"X-Lane: ", b"X-Lane: \t "), body),
-        ("no space", plain.replace(b"X-Lane: ", b"X-Lane:"), body),
-        ("in microseconds", plain.replace(b": 800m", b": 800000u"), body),
-        ("a fraction", plain.replace(b": 800m", b": 800.5m"), body),
-        ("the word to keep alive", plain.replace(b"Host", b"Connection: keep-alive\r\nHost"), body),
     ]
 
 
@@ -75,13 +81,13 @@
     async def run() -> None:
         async with rig(reads) as r:
             client = await r.client()
-            for name, raw, _ in forms():
+            for name, raw, _ in request_forms():
                 for at in range(0, len(raw), piece):
                     client.writer.write(raw[at : at + piece])
                     await asyncio.sleep(0)
                 reply = await client.read()
                 assert reply.status == 200, (name, reply)
-            assert [s.body for s in r.backends[0].seen] == [body for _, _, body in forms()]
+            assert [s.body for s in r.backends[0].seen] == [body for _, _, body in request_forms()]
             client.close()
 
     async def reads(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -99,11 +105,11 @@
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
             await watched(r)
-            plain = r.directory._list
+            unframed_list = r.directory._list
 
-            def framed(full: bool, rows: list[dict[str, Any]]) -> bytes:
+            def framed_list(full: bool, rows: list[dict[str, Any]]) -> bytes:
                 if form == "a length":
-                    return plain(full, rows)
+                    return unframed_list(full, rows)
                 tree = {"revision": r.directory.revision, "complete": full, "members": rows}
                 raw = json.dumps(tree).encode()
                 parts = b"".join(
@@ -114,7 +120,7 @@
                     b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n" + parts + b"0\r\n\r\n"
                 )
 
-            r.directory._list = framed  # type: ignore[method-assign]
+            r.directory._list = framed_list  # type: ignore[method-assign]
             r.directory.piece = piece
             r.directory.tell(r.backends[0].row("DRAINING"))
             await r.until(lambda: r.proxy._decider.out_of_rotation_count() == 1, 8.0)
@@ -126,15 +132,17 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("said", [b"H", b"HTTP/1.1 200 O", b"\r\n", b"HTTP/1.1 408 Late\r\n\r\n"])
-def test_partial_line_on_an_idle_backend_connection_reaches_no_client(said: bytes) -> None:
+@pytest.mark.parametrize(
+    "partial_input", [b"H", b"HTTP/1.1 200 O", b"\r\n", b"HTTP/1.1 408 Late\r\n\r\n"]
+)
+def test_partial_line_on_an_idle_backend_connection_reaches_no_client(partial_input: bytes) -> None:
     async def run() -> None:
         async with rig(serves) as r:
             backend = r.backends[0]
             client: Client = await r.client()
             assert (await client.ask()).status == 200
             (writer,) = backend.writers
-            writer.write(said)
+            writer.write(partial_input)
             await r.until(lambda: backend.ended == 1)
             assert (await client.ask()).status == 200
             assert [s.connection for s in backend.seen] == [1, 2]
--- a/tests/net/client_side/test_net_requests.py
+++ b/tests/net/client_side/test_net_requests.py
@@ -69,8 +69,8 @@
 def test_invalid_requests_get_400_and_reach_no_backend() -> None:
     async def run() -> None:
         async with rig(serves) as r:
-            bad = 0
-            for more in (
+            rejected_count = 0
+            for changes in (
                 {"drop": ("X-Txn",), "lane": "pay"},
                 {"X_Txn": ""},
                 {"X_Lane": "unheard"},
@@ -100,12 +100,12 @@
                 {"lane": "pay", "drop": ("Idempotency-Key",)},
                 {"lane": "pay", "idempotency_key": "another"},
             ):
-                bad += 1
+                rejected_count += 1
                 client = await r.client()
-                reply = await client.ask(**{"lane": "search", **more})  # type: ignore[arg-type]
-                assert reply.status == 400, more
+                reply = await client.ask(**{"lane": "search", **changes})  # type: ignore[arg-type]
+                assert reply.status == 400, changes
             assert not r.backends[0].seen
-            assert r.count("requests_bad") + r.count("requests_malformed") == bad
+            assert r.count("requests_bad") + r.count("requests_malformed") == rejected_count
 
     asyncio.run(run())
 
@@ -133,13 +133,13 @@
 def test_hop_by_hop_headers_are_not_forwarded() -> None:
     async def run() -> None:
         async with rig(serves) as r:
-            more = {
+            headers = {
                 "Connection": "X-Mine, X-Txn",
                 "X_Mine": "1",
                 "Keep_Alive": "5",
                 "TE": "trailers",
             }
-            assert (await r.ask("search", X_Yours="2", **more)).status == 200
+            assert (await r.ask("search", X_Yours="2", **headers)).status == 200
             seen = r.backends[0].seen[0]
             for name in (b"X-Mine", b"Keep-Alive", b"TE", b"Connection"):
                 assert seen.header(name) is None, name
@@ -161,11 +161,11 @@
 def test_malformed_http_ends_only_its_own_connection(caplog: pytest.LogCaptureFixture) -> None:
     async def run() -> None:
         async with rig(serves) as r:
-            other, bad = await r.client(), await r.client()
+            other, malformed = await r.client(), await r.client()
             assert (await other.ask()).status == 200
-            bad.writer.write(b"\x00\x01 nonsense\r\n\r\n")
-            assert (await bad.read()).status == 400
-            assert await bad.closed()
+            malformed.writer.write(b"\x00\x01 nonsense\r\n\r\n")
+            assert (await malformed.read()).status == 400
+            assert await malformed.closed()
             assert (await other.ask()).status == 200
             assert r.count("requests_malformed") == 1
 
@@ -191,8 +191,8 @@
     async def run() -> None:
         async with rig(serves) as r:
             client = await r.client()
-            whole = request_bytes("pay", body=b"abc", Expect="100-continue")
-            client.writer.write(whole[:-3])
+            request = request_bytes("pay", body=b"abc", Expect="100-continue")
+            client.writer.write(request[:-3])
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
             client.writer.write(b"abc")
             assert (await client.read()).status == 200
@@ -216,10 +216,10 @@
 
 def test_client_that_leaves_cancels_its_attempt() -> None:
     async def run() -> None:
-        async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def never_answers(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.3)
 
-        async with rig(slow) as r:
+        async with rig(never_answers) as r:
             client = await r.client()
             client.writer.write(request_bytes("order"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
--- a/tests/net/client_side/test_net_shutdown.py
+++ b/tests/net/client_side/test_net_shutdown.py
@@ -39,23 +39,23 @@
 )
 from tests.ports import free_port
 
-LONG = "3900m"
+LONG_REMAINING = "3900m"
 
 
-async def takes(
+async def receive(
     r: Rig, sock: socket.socket, until_end: bool = False, seconds: float = 5.0
 ) -> bytes:
     """What comes on a plain socket: a whole answer, or all up to the end; a reset raises."""
-    came = b""
+    received = b""
     async with asyncio.timeout(seconds):
         while True:
             data = await r.proxy.loop.sock_recv(sock, 65536)
-            came += data
-            if not data or (not until_end and b"\r\n\r\nserved" in came):
-                return came
+            received += data
+            if not data or (not until_end and b"\r\n\r\nserved" in received):
+                return received
 
 
-def hold_back(r: Rig, *, idle: int) -> None:
+def stop_reading(r: Rig, *, idle: int) -> None:
     """From now on the proxy reads nothing from its clients: what they send stays in the kernel."""
     connections = [c for c in r.proxy._frontend._accepted if isinstance(c, Connection)]
     assert len(connections) == idle
@@ -64,8 +64,8 @@
         connection.transport.pause_reading()
 
 
-def answers(came: bytes) -> int:
-    return came.count(b"HTTP/1.1 ")
+def response_count(received: bytes) -> int:
+    return received.count(b"HTTP/1.1 ")
 
 
 @pytest.mark.parametrize("ahead", ["half a request", "a request"])
@@ -74,16 +74,16 @@
         async with rig(serves) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes())
-            assert answers(await takes(r, client)) == 1
-            hold_back(r, idle=1)
+            assert response_count(await receive(r, client)) == 1
+            stop_reading(r, idle=1)
             client.send(request_bytes()[: 20 if ahead == "half a request" else None])
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             # An end, and no reset: what was not answered crosses the close and is sent once more elsewhere.
-            assert await takes(r, client, until_end=True) == b""
+            assert await receive(r, client, until_end=True) == b""
             client.send(request_bytes())  # a client that has not looked yet
             client.shutdown(socket.SHUT_WR)
             await stopping
-            assert await takes(r, client, until_end=True) == b""
+            assert await receive(r, client, until_end=True) == b""
             assert len(r.backends[0].seen) == 1
             client.close()
 
@@ -93,17 +93,17 @@
 def test_last_response_is_not_reset_by_input_behind_its_request() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        waits = serves_after(go)
+        serves_after_go = serves_after(go)
 
-        async with rig(waits) as r:
+        async with rig(serves_after_go) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(Connection="close"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
-            hold_back(r, idle=1)
+            stop_reading(r, idle=1)
             client.send(request_bytes())
             go.set()
-            came = await takes(r, client, until_end=True)
-            assert answers(came) == 1 and b"served" in came
+            received = await receive(r, client, until_end=True)
+            assert response_count(received) == 1 and b"served" in received
             assert len(r.backends[0].seen) == 1
             client.close()
 
@@ -116,22 +116,22 @@
 
     async def run() -> None:
         async with rig(serves) as r:
-            rests, pours = raw_client(r.proxy.port), raw_client(r.proxy.port)
-            for client in (rests, pours):
+            idle_client, flooding = raw_client(r.proxy.port), raw_client(r.proxy.port)
+            for client in (idle_client, flooding):
                 client.send(request_bytes(Connection="close"))
-                assert answers(await takes(r, client)) == 1
-            poured = 0
-            while poured < 50_000_000:
+                assert response_count(await receive(r, client)) == 1
+            sent_bytes = 0
+            while sent_bytes < 50_000_000:
                 try:
-                    poured += pours.send(b"x" * 65536)
+                    sent_bytes += flooding.send(b"x" * 65536)
                 except BlockingIOError:
                     await asyncio.sleep(0.005)
                 except ConnectionError:
                     break
-            assert poured < 50_000_000
+            assert sent_bytes < 50_000_000
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
-            rests.close()
-            pours.close()
+            idle_client.close()
+            flooding.close()
 
     asyncio.run(run())
 
@@ -146,8 +146,11 @@
                 client.send(request_bytes())
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             for client in clients:
-                came = await takes(r, client, until_end=True)
-                assert came.startswith(b"HTTP/1.1 200") and b"connection: close" in came.lower()
+                received = await receive(r, client, until_end=True)
+                assert (
+                    received.startswith(b"HTTP/1.1 200")
+                    and b"connection: close" in received.lower()
+                )
                 client.close()
             await stopping
 
@@ -173,7 +176,7 @@
                 2 * SHED_URGENT_S
             )  # longer than a connection between requests is left
             client.send(request_bytes())
-            assert (await takes(r, client, until_end=True)).startswith(b"HTTP/1.1 200")
+            assert (await receive(r, client, until_end=True)).startswith(b"HTTP/1.1 200")
             client.close()
             await stopping
 
@@ -183,9 +186,9 @@
 def test_pipelined_request_is_not_forwarded_during_shutdown() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        waits = serves_after(go)
+        serves_after_go = serves_after(go)
 
-        async with rig(waits) as r:
+        async with rig(serves_after_go) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes() + request_bytes())
             await r.until(lambda: len(r.backends[0].seen) == 1)
@@ -193,8 +196,8 @@
             await r.until(lambda: not r.proxy._frontend.acceptor._listener)
             client.send(request_bytes())
             go.set()
-            came = await takes(r, client, until_end=True)
-            assert answers(came) == 1 and b"connection: close" in came.lower()
+            received = await receive(r, client, until_end=True)
+            assert response_count(received) == 1 and b"connection: close" in received.lower()
             client.close()
             await stopping
             assert len(r.backends[0].seen) == 1
@@ -205,18 +208,18 @@
 def test_request_completed_as_the_shutdown_begins_is_served() -> None:
     async def run() -> None:
         async with rig(serves) as r:
-            rests, half = await r.client(), await r.client()
-            assert (await rests.ask()).status == 200
+            idle_client, incomplete = await r.client(), await r.client()
+            assert (await idle_client.ask()).status == 200
             raw = request_bytes("order", body=b"whole")
-            half.writer.write(raw[:-1])
+            incomplete.writer.write(raw[:-1])
             await r.until(
                 lambda: bool(r.proxy._frontend.table.by_state[ConnectionState.READING_BODY])
             )
             stopping = asyncio.create_task(r.proxy.stop(0.2))
             await asyncio.sleep(0)
-            half.writer.write(raw[-1:])
+            incomplete.writer.write(raw[-1:])
             # So is one that comes on a resting connection while new ones are still let in.
-            for reply in (await half.read(), await rests.ask()):
+            for reply in (await incomplete.read(), await idle_client.ask()):
                 assert (reply.status, reply.headers["connection"]) == (200, "close")
             await stopping
 
@@ -226,12 +229,12 @@
 def test_drain_undone_at_once_closes_nothing_and_leaves_nothing_open() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        waits = serves_after(go)
+        serves_after_go = serves_after(go)
 
         async with rig(serves, operators="127.0.0.1:0") as r:
-            rests, busy = await r.client(), await r.client()
-            assert (await rests.ask()).status == 200
-            r.backends[0].behave = waits
+            idle_client, busy = await r.client(), await r.client()
+            assert (await idle_client.ask()).status == 200
+            r.backends[0].behave = serves_after_go
             busy.writer.write(request_bytes())
             await r.until(lambda: len(r.backends[0].seen) == 2)
             for path in (
@@ -243,14 +246,14 @@
             ):
                 assert (await r.call(path)).status == 200
             go.set()
-            for reply in (await busy.read(), await rests.ask(), await busy.ask()):
+            for reply in (await busy.read(), await idle_client.ask(), await busy.ask()):
                 assert reply.status == 200 and "connection" not in reply.headers
             assert r.proxy._frontend.accepts_new_clients()
             # Once it ends there is no way back.
             stopping = asyncio.create_task(r.proxy.stop(0.1))
             await asyncio.sleep(0)
             assert (await r.call("/api/rejoin")).status == 409
-            rests.close()
+            idle_client.close()
             busy.close()
             await stopping
 
@@ -265,22 +268,22 @@
             listener = r.proxy._frontend.acceptor._listener
             assert listener is not None
             accept = listener.accept
-            left = [OSError(errno.EMFILE, "too many open files")] * 3
+            pending_errors = [OSError(errno.EMFILE, "too many open files")] * 3
 
-            class Poor:
+            class FailingListener:
                 """The listener of a process without descriptors."""
 
                 def accept(self) -> Any:
-                    if left:
-                        raise left.pop()
+                    if pending_errors:
+                        raise pending_errors.pop()
                     return accept()
 
                 def __getattr__(self, name: str) -> Any:
                     return getattr(listener, name)
 
-            monkeypatch.setattr(r.proxy._frontend.acceptor, "_listener", Poor())
+            monkeypatch.setattr(r.proxy._frontend.acceptor, "_listener", FailingListener())
             assert (await r.ask()).status == 200
-            assert not left
+            assert not pending_errors
             monkeypatch.setattr(r.proxy._frontend.acceptor, "_listener", listener)
 
     asyncio.run(run())
@@ -290,7 +293,7 @@
     async def run() -> None:
         async with rig(silent, serves, silent, serves) as r:
 
-            async def comes_again() -> int:
+            async def ask_until_served() -> int:
                 for _ in range(40):
                     reply = await r.ask(remaining="800m")
                     if reply.status == 200:
@@ -298,7 +301,7 @@
                     assert reply.status in (502, 503, 504)
                 return 0
 
-            assert sum(await asyncio.gather(*(comes_again() for _ in range(30)))) == 30
+            assert sum(await asyncio.gather(*(ask_until_served() for _ in range(30)))) == 30
             assert r.count("faults") == r.count("checks_broken") == 0
             await r.until(lambda: not r.proxy._decider._pending)
 
@@ -309,10 +312,10 @@
     async def run() -> None:
         body = b"z" * 60_000
 
-        async def big(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def long_response(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + body)
 
-        async with rig(big) as r:
+        async with rig(long_response) as r:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", r.proxy.port))
@@ -321,7 +324,7 @@
             await r.until(lambda: r.count("answers_ok") == 1)
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             await r.until(lambda: not r.proxy._frontend.acceptor._listener)
-            assert (await takes(r, client, until_end=True)).endswith(body)
+            assert (await receive(r, client, until_end=True)).endswith(body)
             client.close()
             await stopping
 
@@ -332,21 +335,21 @@
     async def run() -> None:
         async with rig(silent) as r:
             client = await r.client()
-            client.writer.write(request_bytes("order", remaining=LONG))
+            client.writer.write(request_bytes("order", remaining=LONG_REMAINING))
             await r.until(lambda: len(r.backends[0].seen) == 1)
-            began = r.proxy.loop.time()
+            started_s = r.proxy.loop.time()
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             assert (await client.read()).status in (502, 504)  # it may have run: no refusal
             assert await client.closed()
             await stopping
             # The longest deadline is 1 s, a kill may come 0.7 s after that; its client would wait 3.9 s.
-            assert r.proxy.loop.time() - began < 3.0
+            assert r.proxy.loop.time() - started_s < 3.0
             client.close()
 
     asyncio.run(run())
 
 
-async def ended(process: asyncio.subprocess.Process, seconds: float = 8.0) -> int:
+async def exit_code(process: asyncio.subprocess.Process, seconds: float = 8.0) -> int:
     return await asyncio.wait_for(process.wait(), seconds)
 
 
@@ -359,7 +362,7 @@
     return path, port
 
 
-async def begun(path: Path) -> asyncio.subprocess.Process:
+async def start_proxy(path: Path) -> asyncio.subprocess.Process:
     """A proxy that listens; it may not be ready yet."""
     process = await asyncio.create_subprocess_exec(
         *MAIN, env={**os.environ, "LB_CONFIG": str(path)}, cwd=ROOT, stderr=asyncio.subprocess.PIPE
@@ -371,7 +374,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "signals",
     [
         (signal.SIGTERM,),
         (signal.SIGTERM, signal.SIGTERM),
@@ -379,24 +382,24 @@
         (signal.SIGTERM, signal.SIGHUP),
         (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1),
     ],
-    ids=lambda words: "-".join(w.name for w in words),
+    ids=lambda signals: "-".join(w.name for w in signals),
 )
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_signal_before_the_first_endpoint_list_ends_the_process_with_0(
-    tmp_path: Path, mode: str, words: tuple[signal.Signals, ...]
+    tmp_path: Path, mode: str, signals: tuple[signal.Signals, ...]
 ) -> None:
     async def run() -> None:
         directory = Directory([])
         directory.hangs = True
         await directory.start()
         path, port = configuration(tmp_path, directory, discovery=mode)
-        process = await begun(path)
+        process = await start_proxy(path)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b" 503 " in await reader.readline()
-        for word in words:
-            process.send_signal(word)
-        assert await ended(process) == 0
+        for signal_number in signals:
+            process.send_signal(signal_number)
+        assert await exit_code(process) == 0
         writer.close()
         directory.cut()
         await directory.stop()
@@ -412,17 +415,20 @@
             for path, method in CALLS.items():
                 caller = raw_client(r.proxy.admin_port)
                 caller.send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode() + b"x" * 20_000)
-                came = await takes(r, caller, until_end=True)
-                assert came.startswith(b"HTTP/1.1 200")
+                received = await receive(r, caller, until_end=True)
+                assert received.startswith(b"HTTP/1.1 200")
                 caller.close()
             # Callers that hold on do not hold the door's places.
-            door, held = r.proxy._admin_server, []
+            admin_server, callers = r.proxy._admin_server, []
             for _ in range(40):
-                held.append(caller := raw_client(r.proxy.admin_port))
+                callers.append(caller := raw_client(r.proxy.admin_port))
                 caller.send(b"GET /api/ready HTTP/1.1\r\n\r\n")
-                assert (await takes(r, caller, until_end=True)).startswith(b"HTTP/1.1 200")
-            assert door is not None and len(door._callers) + len(door._lingering) <= 16
-            for caller in held:
+                assert (await receive(r, caller, until_end=True)).startswith(b"HTTP/1.1 200")
+            assert (
+                admin_server is not None
+                and len(admin_server._callers) + len(admin_server._lingering) <= 16
+            )
+            for caller in callers:
                 reset(caller)
 
     asyncio.run(run())
@@ -433,20 +439,20 @@
         async with rig(serves, operators="127.0.0.1:0") as r:
             client = await r.client()
             assert (await client.ask()).status == 200
-            links = [link.transport for link in r.proxy._pool.connections]
+            backend_transports = [link.transport for link in r.proxy._pool.connections]
             clients = [
                 c.transport for c in r.proxy._frontend._accepted if isinstance(c, Connection)
             ]
-            assert links and clients
-            for transport in (*links, *clients):
+            assert backend_transports and clients
+            for transport in (*backend_transports, *clients):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-            door = r.proxy._admin_server
-            assert door is not None and door._listener is not None
+            admin_server = r.proxy._admin_server
+            assert admin_server is not None and admin_server._listener is not None
             caller = raw_client(r.proxy.admin_port)
-            await r.until(lambda: len(door._callers) == 1)
-            (seen,) = door._callers
+            await r.until(lambda: len(admin_server._callers) == 1)
+            (seen,) = admin_server._callers
             assert seen.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             caller.close()
             client.close()
@@ -458,7 +464,7 @@
     tmp_path: Path,
 ) -> None:
     """Started as operators start it: the shell ignores the word, up to the handler."""
-    run_by = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+    run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 
     async def run() -> None:
         directory = Directory([])
@@ -467,7 +473,7 @@
         process = await asyncio.create_subprocess_exec(
             "sh",
             "-c",
-            run_by.replace(".venv/bin/python", sys.executable),
+            run_command.replace(".venv/bin/python", sys.executable),
             env={**os.environ, "LB_CONFIG": str(path)},
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
@@ -475,16 +481,16 @@
         try:
             assert process.stderr
             listening = asyncio.create_task(process.stderr.readuntil(b"event=listening"))
-            program = Path(f"/proc/{process.pid}/cmdline")
+            command_line = Path(f"/proc/{process.pid}/cmdline")
             async with asyncio.timeout(15):
-                while b"mothstall" not in program.read_bytes().split(b"\0"):
+                while b"mothstall" not in command_line.read_bytes().split(b"\0"):
                     await asyncio.sleep(0.001)
                 while not listening.done():
                     process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.002)
             await listening
             process.send_signal(signal.SIGTERM)
-            assert await ended(process) == 0
+            assert await exit_code(process) == 0
         finally:
             if process.returncode is None:
                 process.kill()
@@ -521,22 +527,22 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             client = raw_client(listener.getsockname()[1])
-            taken, _ = listener.accept()
-        over: list[StreamTakeover] = []
+            accepted, _ = listener.accept()
+        finished: list[StreamTakeover] = []
         loop = asyncio.get_running_loop()
-        passage = StreamTakeover(
+        takeover = StreamTakeover(
             StreamHandover(0, None, False, b"the end of it", ()), BufferGrants(1), loop
         )
         client.send(request_bytes())  # its next request: read by nobody
-        running = asyncio.create_task(passage.run(taken, None, over.append))
-        came = b""
+        running = asyncio.create_task(takeover.run(accepted, None, finished.append))
+        received = b""
         async with asyncio.timeout(5):
             while data := await loop.sock_recv(client, 65536):
-                came += data
-        assert came == b"the end of it"
+                received += data
+        assert received == b"the end of it"
         client.close()
         async with asyncio.timeout(5):
-            while not over:
+            while not finished:
                 await asyncio.sleep(0.005)
         await running
 
--- a/tests/net/client_side/test_net_states.py
+++ b/tests/net/client_side/test_net_states.py
@@ -41,26 +41,32 @@
     return None
 
 
-def test_the_table_leads_to_just_the_states_that_the_code_enters() -> None:
+def test_transitions_lead_to_exactly_the_states_that_the_code_enters() -> None:
     assert states_that_the_code_enters() == {row.target.name for row in TRANSITIONS}
 
 
-def test_every_state_can_be_entered_and_all_but_the_last_ones_left() -> None:
+def test_every_state_can_be_entered_and_all_but_the_closing_ones_left() -> None:
     assert {row.target for row in TRANSITIONS} == set(S)
     assert {row.source for row in TRANSITIONS} - {None} == set(S) - {S.LINGERING, S.REJECTED}
 
 
-def test_each_edge_has_one_row() -> None:
+def test_each_transition_is_listed_once() -> None:
     edges = [(row.source, row.target) for row in TRANSITIONS]
     assert len(edges) == len(set(edges))
 
 
-def test_states_without_a_limit_in_time_are_watched_in_another_way() -> None:
-    watched = {S.AWAITING_RESPONSE, S.PENALIZED, S.UPLOADING, S.RELAYING, S.DISCARDING_BODY}
-    assert set(S) - set(STATE_TIMEOUT_S) == watched
+def test_states_without_a_timeout_are_checked_in_another_way() -> None:
+    checked_elsewhere = {
+        S.AWAITING_RESPONSE,
+        S.PENALIZED,
+        S.UPLOADING,
+        S.RELAYING,
+        S.DISCARDING_BODY,
+    }
+    assert set(S) - set(STATE_TIMEOUT_S) == checked_elsewhere
 
 
-def test_a_request_leads_through_the_states_in_order(state_changes: list[Edge]) -> None:
+def test_request_passes_through_the_states_in_order(state_changes: list[Edge]) -> None:
     async def run() -> None:
         async with rig(serves) as r:
             client = await r.client()
@@ -81,7 +87,7 @@
     ]
 
 
-def test_a_change_that_the_table_lacks_is_found(state_changes: list[Edge]) -> None:
+def test_transition_missing_from_the_table_is_detected(state_changes: list[Edge]) -> None:
     edges = {(row.source, row.target) for row in TRANSITIONS if row.target is not S.PENALIZED}
 
     async def run() -> None:
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -109,7 +109,7 @@
 
 
 @dataclass
-class Stage:
+class Setup:
     """What one seed plays on."""
 
     directory: Directory
@@ -204,45 +204,45 @@
         return [head, body[:cut], body[cut:]]
 
 
-async def undisturbed(stage: Stage, proxy: Proxy) -> Proxy:
+async def run_undisturbed(setup: Setup, proxy: Proxy) -> Proxy:
     return proxy
 
 
-async def drained_and_back(stage: Stage, proxy: Proxy) -> Proxy:
+async def drain_and_rejoin(setup: Setup, proxy: Proxy) -> Proxy:
     proxy.handle_admin_call("/api/evacuate")
     await asyncio.sleep(0.4)
     proxy.handle_admin_call("/api/rejoin")
     return proxy
 
 
-async def handed_over(stage: Stage, proxy: Proxy) -> Proxy:
+async def hand_over(setup: Setup, proxy: Proxy) -> Proxy:
     """Begin a second proxy, and end the first one as an upgrade does."""
-    successor = stage.proxy()
+    successor = setup.proxy()
     await successor.start()
     await proxy.stop(0.0)
     assert_nothing_open(proxy)
     return successor
 
 
-async def stopped(stage: Stage, proxy: Proxy) -> Proxy:
+async def stop_and_restart(setup: Setup, proxy: Proxy) -> Proxy:
     """End the proxy in the middle: what is incomplete is rejected, the rest answered."""
     await proxy.stop(0.0)
     assert_nothing_open(proxy)
-    successor = stage.proxy()
+    successor = setup.proxy()
     await successor.start()
     return successor
 
 
-Disturbance = Callable[[Stage, Proxy], Awaitable[Proxy]]
-DISTURBANCES: list[Disturbance] = [undisturbed, drained_and_back, handed_over, stopped]
+Disturbance = Callable[[Setup, Proxy], Awaitable[Proxy]]
+DISTURBANCES: list[Disturbance] = [run_undisturbed, drain_and_rejoin, hand_over, stop_and_restart]
 
 
-def what_is_open(proxy: Proxy) -> dict[str, int]:
+def open_resources(proxy: Proxy) -> dict[str, int]:
     """Count all that a request or its client may hold, by name, without what is at 0."""
     balancer = proxy._decider._balancer
     frontend = proxy._frontend
     pool = proxy._pool
-    held = {
+    counts = {
         "ids": len(frontend._open_ids),
         "accepted": frontend.connection_count,
         "requests": len(proxy._decider._pending),
@@ -259,15 +259,15 @@
         "faults": proxy.counters.values["faults"],
     }
     states = {f"clients {state}": count for state, count in frontend.open_by_state().items()}
-    return {name: count for name, count in (held | states).items() if count}
+    return {name: count for name, count in (counts | states).items() if count}
 
 
 def assert_nothing_open(proxy: Proxy) -> None:
-    assert what_is_open(proxy) == {}
+    assert open_resources(proxy) == {}
 
 
 @pytest.fixture
-def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let every time-out end within the seconds of a test."""
     monkeypatch.setattr(backend_connection, "STALL_S", 0.6)
     monkeypatch.setattr(response_relay, "STALL_S", 0.6)
@@ -287,19 +287,19 @@
     directory = Directory([backend.row() for backend in backends])
     await directory.start()
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-    stage = Stage(directory, backends, listener, folder)
+    setup = Setup(directory, backends, listener, folder)
     descriptors = Path("/proc/self/fd")
     before = len(os.listdir(descriptors))
-    proxy = stage.proxy()
+    proxy = setup.proxy()
     await proxy.start()
-    clients = [RandomClient(random.Random(f"{seed}-{i}"), stage.connect()) for i in range(CLIENTS)]
+    clients = [RandomClient(random.Random(f"{seed}-{i}"), setup.connect()) for i in range(CLIENTS)]
     playing = asyncio.gather(*(client.play() for client in clients))
     await asyncio.sleep(rng.uniform(0.05, 0.8))
-    proxy = await rng.choice(DISTURBANCES)(stage, proxy)
+    proxy = await rng.choice(DISTURBANCES)(setup, proxy)
     await playing
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(SETTLE_S):
-            while what_is_open(proxy):
+            while open_resources(proxy):
                 await asyncio.sleep(0.02)
     assert_nothing_open(proxy)
     await proxy.stop(0.0)
@@ -312,5 +312,5 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_stays_open(seed: int, tmp_path: Path, short_times: None) -> None:
+def test_nothing_stays_open(seed: int, tmp_path: Path, short_timeouts: None) -> None:
     asyncio.run(play(seed, tmp_path))
