--- a/mothstall/net/backend_side/response_reader.py
+++ b/mothstall/net/backend_side/response_reader.py
@@ -204,9 +204,8 @@
         """Track the position in the body, which aiohttp's parser does not expose."""
         if self._chunked_decoder is None:
             self._chunked_decoder = ChunkedDecoder()
-        with contextlib.suppress(
-            ChunkedCodingError
-        ):  # the parser decides whether the body is valid
+        # aiohttp's parser alone decides whether the body is valid.
+        with contextlib.suppress(ChunkedCodingError):
             self._chunked_decoder.feed(data)
 
     def _deliver(self, data: bytes) -> None:
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts, from the choice of a backend to the first byte: what ends meanwhile is not sent."""
+"""Attempts from the choice of a backend to the first byte: one that ends by then is not sent."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class RecordingBackend:
-    """In place of a backend's actor: what the decider tells it."""
+    """Replaces a backend's actor, and records the commands of the decider."""
 
     def __init__(self, ident: str) -> None:
         self.ident = ident
@@ -67,7 +67,7 @@
 
 
 class DeciderDriver:
-    """The decider by itself, given whole batches of messages."""
+    """Runs a decider alone on batches of messages."""
 
     def __init__(self, **changes: Any) -> None:
         tree = tree_of(Directory([]), [], **changes)
@@ -131,7 +131,7 @@
 
     @property
     def in_flight(self) -> tuple[int, int]:
-        """In flight as the module counts it, and requests that it still knows."""
+        """The balancer's counts of attempts in flight and of open requests."""
         balancer = self.decider._balancer
         return balancer.limits.in_flight, len(balancer.requests.open)
 
@@ -171,7 +171,7 @@
 
 
 def test_rejected_request_of_a_client_that_leaves_is_not_retried() -> None:
-    """The same over sockets: the backend's answer and the client's end come in one turn of the loop."""
+    """The same over sockets: response and client hang-up arrive in one loop iteration."""
 
     async def run() -> None:
         async with rig(silent, silent) as r:
@@ -211,13 +211,13 @@
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = await r.client()
-            await r.until(lambda: r.count("list_updates") >= 2)  # the watch is on
+            await r.until(lambda: r.count("list_updates") >= 2)  # the watch is established
             reply_task = asyncio.create_task(client.ask(lane))
             await r.until(lambda: gate.waiting == 1)
             r.directory.tell(changed_row(r, 0, how))
             await r.until(lambda: r.count("list_updates") >= 3)
             await settle()
-            reconnects = gate.waiting  # a successor at the same address may be asked anew
+            reconnects = gate.waiting  # a successor at the same address may get a new attempt
             gate.open.set()
             reply = await reply_task
             assert len(r.backends[0].seen) == reconnects <= (how == "replaced")
@@ -235,9 +235,7 @@
         gate.hold(stand_in)
         single.actor.tell(backend_messages.SendProbe())
         single.send(within_ms=5000)
-        single.send(
-            "POST", within_ms=5000, body=b"x"
-        )  # retries and second copies are attempts like any
+        single.send("POST", within_ms=5000, body=b"x")  # retries and hedges are attempts as well
         while gate.waiting < 3:
             await asyncio.sleep(0.002)
         single.actor.tell(backend_messages.DrainBackend())
@@ -337,7 +335,7 @@
             gate.open.set()
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
             assert (await r.ask()).status == 200
-            assert len(r.backends[0].seen) == 1  # the later one
+            assert len(r.backends[0].seen) == 1  # only the later request
 
     asyncio.run(run())
 
@@ -345,7 +343,7 @@
 def test_retry_connected_after_its_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its backends have forgotten the first by then: the effect would happen twice."""
+    """Backends have forgotten the first attempt by then: the effect would happen twice."""
 
     async def run() -> None:
         go = asyncio.Event()
@@ -369,9 +367,8 @@
             go.set()
             await r.until(lambda: gate.waiting == 1)
             reply = await reply_task
-            assert (
-                r.proxy.loop.time() - started_s < window_s + 1.5
-            )  # given up when the window ended, of 3 s
+            # It is given up when the window ends, not after 3 s.
+            assert r.proxy.loop.time() - started_s < window_s + 1.5
             gate.open.set()
             await settle()
             assert sum(len(b.seen) for b in r.backends) == 1
@@ -406,7 +403,7 @@
     drive.balancer.retry_budget.tokens = 5.0
     (retry,) = helpers.sends(drive.end(rid, backend, AttemptResult.ERROR))
     assert retry.write_by_ns == sent_at + NS
-    # What surely never ran binds nothing.
+    # An attempt that certainly did not run sets no limit.
     rid, backend = drive.send(1)
     (retry,) = helpers.sends(drive.end(rid, backend, AttemptResult.REJECTED))
     assert retry.write_by_ns == 0
@@ -423,12 +420,12 @@
         if not (sent := helpers.sends(actions)):
             break
         open_attempts.append((rid, sent[0].backend))
-    wait_ends_ns = drive.now + 125 * helpers.MS  # a quarter of the aim
+    wait_ends_ns = drive.now + 125 * helpers.MS  # a quarter of the objective
     drive.now += 100 * helpers.MS
     first, second = open_attempts[0], open_attempts[1]
     (sent_now,) = helpers.sends(drive.end(*first))
     assert sent_now.request == rid
-    # Its turn comes; the backend turns it away, as does everybody else: it waits again.
+    # It is sent from the queue; both backends reject it, and it is queued again.
     drive.now += 10 * helpers.MS
     for _ in range(2):
         actions = drive.end(
@@ -445,7 +442,7 @@
 
 
 def test_request_rejected_by_one_backend_reaches_the_other_once() -> None:
-    """A stand-in sees each attempt of a request once, with what is left of its time."""
+    """Requests that the first backend rejects are retried on the second one."""
 
     async def run() -> None:
         async def rejects(seen: Seen, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -1,4 +1,4 @@
-"""What backends end while something is owed: resets, ends and noise at every point of an answer."""
+"""Backends that reset, close or send noise at every point of a response."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Closes with a reset, behind what was written."""
+    """Close with a reset after the data written so far."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -41,7 +41,7 @@
 def writes_then_resets(
     raw: bytes, condition: Callable[[], Awaitable[Any]] | None = None
 ) -> Behaviour:
-    """Says something and, once that was taken, resets: a reset at once would take it along."""
+    """Write, then reset once the data was read: an immediate reset would discard it."""
 
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(raw)
@@ -73,7 +73,7 @@
         single.send(within_ms=2000)
         assert await single.ended() == [result]
         async with asyncio.timeout(3):
-            while single.pool.open_count:  # a connection that was reset is none any more
+            while single.pool.open_count:  # a reset connection leaves the pool
                 await asyncio.sleep(0.002)
         await stand_in.stop()
 
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("lane", ["search", "order"])
 def test_idle_connection_reset_while_a_request_is_written(lane: str) -> None:
-    """Nobody can tell whether it ran: what may not run twice has failed, the rest is sent again."""
+    """Whether it ran is unknown: it fails if it may not run twice, else it is retried."""
 
     async def run() -> None:
         async with rig(serves, serves) as r:
@@ -124,7 +124,7 @@
             if lane == "search":
                 assert all(reply.status == 200 for reply in replies)
             else:
-                assert sum(sent) == 4  # each once
+                assert sum(sent) == 4  # each was sent once
                 assert {reply.status for reply in replies} <= {200, 502}
 
     asyncio.run(run())
@@ -166,8 +166,9 @@
 def test_late_second_response_reaches_no_request_once_one_was_seen(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next request must not go out on a connection on which a second answer is still on its way."""
-    monkeypatch.setattr(pool, "REUSE_DELAY_S", 30.0)  # none has rested, however slow the machine
+    """The next request must not use a connection on which a second response may still arrive."""
+    # Longer than the test, however slow the machine.
+    monkeypatch.setattr(pool, "REUSE_DELAY_S", 30.0)
 
     async def run() -> None:
         written: list[asyncio.StreamWriter] = []
@@ -179,7 +180,8 @@
         stand_in, single = await alone(answers, connect_ms=5000)
         single.send(within_ms=2000)
         assert await single.ended() == [AttemptResult.OK]
-        written[0].write(answer(b"a second answer"))  # nothing waits: it shows that backends do so
+        # No request is open, so that this shows that backends send second responses.
+        written[0].write(answer(b"a second answer"))
         async with asyncio.timeout(3):
             while not stand_in.ended:
                 await asyncio.sleep(0.002)
@@ -187,7 +189,7 @@
             count = len(single.reports)
             request = single.send(within_ms=2000)
             await single.ended(count + 1)
-            # A second answer is on its way as the next request goes out.
+            # A second response is on its way when the next request is sent.
             written[-1].write(answer(b"a second answer"))
             following = single.send(within_ms=2000)
             await single.ended(count + 2)
@@ -213,7 +215,7 @@
 
 
 def unread_listener() -> socket.socket:
-    """A listener that takes nothing: what is sent stays in the kernel, as much as goes in there."""
+    """A listener that never reads: sent data stays in the kernel as far as its buffers allow."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -223,7 +225,7 @@
 
 @pytest.mark.parametrize("size", [10, 60_000])
 def test_attempt_in_the_socket_buffer_may_have_run(size: int) -> None:
-    """Handed to the kernel whole it can still run when it is given up: what may not run twice has failed."""
+    """Once the kernel has all of it, it may still run: it fails if it may not run twice."""
 
     async def run() -> None:
         async with rig(silent) as r:
@@ -278,7 +280,7 @@
             client.writer.write(b"u" * 200_000)
             reply = await client.read()
             assert reply.status in (200, 503)
-            await r.until(lambda: r.proxy._pool.open_count == 0)  # it is not used again
+            await r.until(lambda: r.proxy._pool.open_count == 0)  # it is not reused
             client.close()
             server.close()
 
@@ -288,7 +290,7 @@
 def test_hedged_request_that_still_connects_is_not_sent_once_the_first_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer ends the request; where cancelling is barred too nothing more goes out for it."""
+    """The response ends the request: no further attempt is sent, even if cancelling is disabled."""
 
     async def run() -> None:
         from tests.peers import Gate
@@ -316,7 +318,7 @@
             gate = Gate(r.proxy.loop, monkeypatch)
             before = [len(b.seen) for b in r.backends]
             gate.hold(*r.backends)
-            await r.until(lambda: gate.waiting == 1)  # the second copy
+            await r.until(lambda: gate.waiting == 1)  # the hedge
             go.set()
             assert (await reply_task).status == 200
             await r.until(lambda: gate.waiting == 0)
@@ -365,11 +367,11 @@
 def test_descriptor_of_a_dropped_connection_is_free_before_its_pool_slot_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connection gives its place in the pool back at once, its descriptor in the next iteration.
+    """A dropped connection frees its pool slot at once, its descriptor in the next loop iteration.
 
-    asyncio closes an aborted transport's socket by a callback that is scheduled with the abort. The
-    task that opens the successor is scheduled behind it, so that it never adds a descriptor: at each
-    dial there are at most as many sockets to backends as the pool allows.
+    asyncio closes an aborted transport's socket in a callback that is scheduled by the abort. The
+    task that opens the next connection is scheduled after it, so that at each connect there are at
+    most as many sockets to backends as the pool allows.
     """
 
     async def run() -> None:
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -1,15 +1,14 @@
-"""Long uploads that break: nothing of them stays open, and what came complete is answered.
-
-A request whose body is over 64 KiB is forwarded while its body still comes. When its client sent
-something malformed in the middle, the client got its 400, but nobody told the decisions or the
-backend: the id, the buffer grant, the attempt and the backend's connection stayed open for good
-(25 such clients held 19 to 25 descriptors 30 s after they had gone; 240 uploads held 211). When the
-upload was complete and something malformed came behind it in the same read, the client got only
-the 400; the response of the request that had run never came.
-
-Told by: `open_requests` of the figures stays above 0, `attempts` exceeds the sum of the
-`attempts_*` that tell how one ended, and `/proc/PID/fd` holds one socket a broken upload, its other
-end a backend.
+"""Malformed long uploads: they leave nothing open, and a complete request before them is answered.
+
+A request with a body over 64 KiB is forwarded while its body is still being received. If malformed
+input arrives in the middle of the body, the client gets a 400, and the decider and the backend have
+to be informed. Otherwise the id, the buffer grant, the attempt and the backend connection stay open
+for good (25 such clients held 19 to 25 descriptors 30 s after they had left; 240 uploads held 211).
+If malformed input follows a complete upload in the same read, the client has to get the response
+of the request, which has run, before the 400.
+
+Symptoms of the fault: `open_requests` of the metrics stays above 0, `attempts` exceeds the sum of
+the `attempts_*` results, and `/proc/PID/fd` holds one socket to a backend per malformed upload.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 from tests.net.test_process import started
 from tests.peers import Client, Rig, StandIn, request_bytes, rig
 
-LONG_BODY = b"u" * 200_000  # over what is buffered completely
+LONG_BODY = b"u" * 200_000  # longer than a body that is buffered completely
 
 
 def chunk(data: bytes) -> bytes:
@@ -53,7 +52,7 @@
 
 
 def no_resources_open(r: Rig) -> bool:
-    """Whether all is given back that requests and their clients held."""
+    """Whether all that requests and their clients held is released."""
     proxy = r.proxy
     streams = [*proxy._frontend.grants._holders, *proxy._frontend.grants._waiting]
     in_flight = [actor.in_flight for actor in proxy._decider._backends.values()]
@@ -76,7 +75,7 @@
 
 
 async def send_upload(r: Rig, raw: bytes, chunked: bool = True) -> Client:
-    """Send a request and the first part of its long body, wait until that is forwarded."""
+    """Send a request and the first part of its long body; wait until it is forwarded."""
     client = await r.client()
     client.writer.write(upload_head(chunked) + raw)
     await r.until(lambda: r.count("attempts") == 1)
@@ -111,7 +110,7 @@
 def test_complete_upload_is_answered_before_the_error_for_trailing_input(
     name: str, chunked: bool
 ) -> None:
-    """All in one read: the end of the body, and what is malformed."""
+    """The end of the body and the malformed input arrive in one read."""
 
     async def run() -> None:
         async with swallowing() as (r, upload_backend):
@@ -133,7 +132,7 @@
 def test_malformed_upload_after_an_early_response_gets_no_second_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A backend may answer before it has the whole body; the client goes on sending."""
+    """A backend may answer before it has the whole body, while the client still sends."""
 
     async def run() -> None:
         async with swallowing() as (r, upload_backend):
@@ -154,10 +153,10 @@
 
 
 def test_connection_with_a_cut_request_body_is_not_used_again() -> None:
-    """A long response begins before its request is complete, and ends while it is not.
+    """A long response begins and ends before its request is complete.
 
-    The rest of that request's body is never sent: the next request on the backend's connection
-    would be read as part of it.
+    The rest of that request's body is never sent, so the backend would read the next request on the
+    connection as part of it.
     """
 
     async def run() -> None:
@@ -183,17 +182,17 @@
 def test_complete_upload_that_its_backend_does_not_read_is_answered_before_the_process_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time of a request with a long body counts from when all of it is written.
+    """The timeout of a request with a long body starts when the body is written completely.
 
-    A process that ends cannot wait for that: a backend that hangs through the shutdown takes
-    nothing more. A request whose client had sent everything got no answer at all, as only one that
-    was still being uploaded was rejected (503), and only one that was written had a deadline.
+    A backend that hangs during the shutdown reads no more, so that the timeout never starts. Guards
+    against no response at all: a request whose client had sent everything was not rejected (503)
+    like an incomplete upload, and had no deadline like one that is written.
     """
     small_buffers(monkeypatch)
 
     async def run() -> None:
         async with rig(listed=False) as r:
-            with socket.socket() as listener:  # accepts, and never reads
+            with socket.socket() as listener:  # accepts connections, never reads
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
@@ -215,7 +214,7 @@
 
 
 def small_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the kernel hold little of what is on its way to a backend."""
+    """Limit how much data to a backend the kernel buffers."""
     connection_made = BackendConnection.connection_made
 
     def connection_made_with_small_buffer(
@@ -231,7 +230,7 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("name", [*MALFORMED_CHUNKS, *TRAILING_INPUT])
 def test_malformed_uploads_leak_no_descriptors(tmp_path: Path, name: str) -> None:
-    """Each of 25 clients breaks its upload, takes what it gets, and goes."""
+    """25 clients each send a malformed upload, read one response and leave."""
     raw = MALFORMED_CHUNKS.get(name) or chunk(LONG_BODY) + b"0\r\n\r\n" + TRAILING_INPUT.get(
         name, b""
     )
@@ -248,7 +247,7 @@
                 await client.read()
                 client.close()
             async with asyncio.timeout(5):
-                # Its connection to the backend may stay for the next request.
+                # One connection to the backend may stay open for the next request.
                 while len(list(descriptors.iterdir())) > before + 1:
                     await asyncio.sleep(0.05)
         await upload_backend.stop()
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors at the edge: idle clients fill them while discovery is down; what is in reserve stays so."""
+"""Descriptors run short: idle clients use them up in a discovery outage; the reserve stays free."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 )
 from tests.ports import free_port
 
-DESCRIPTOR_LIMIT = 96  # descriptors of a process
-IDLE_CLIENTS = 300  # idle clients, far more than that
+DESCRIPTOR_LIMIT = 96  # of the proxy's process
+IDLE_CLIENTS = 300  # far more than there are descriptors
 
 
 async def start_limited_proxy(path: Path) -> asyncio.subprocess.Process:
-    """A proxy with few descriptors, by its limit alone."""
+    """Start a proxy with few descriptors, set by the process limit alone."""
     process = await asyncio.create_subprocess_exec(
         *MAIN,
         env={**os.environ, "LB_CONFIG": str(path)},
@@ -82,14 +82,14 @@
         connecting = asyncio.create_task(connect_idle_clients(port, idle_sockets, stop))
         while len(idle_sockets) < IDLE_CLIENTS:
             await asyncio.sleep(0.01)
-        assert (await call(admin, "/api/telemetry")).status == 200  # the operators' door
+        assert (await call(admin, "/api/telemetry")).status == 200  # the admin server still answers
         directory.tell(old.row("DELETED"), new.row())
         directory.members = [new.row()]
         await directory.start()
         restarted_at = asyncio.get_running_loop().time()
         while not new.seen and asyncio.get_running_loop().time() - restarted_at < 6.0:
             await ask_once(port)
-        assert new.seen  # told within 6 s of discovery's return, and served by that
+        assert new.seen  # within 6 s of its return, discovery reported the new backend
         stop.set()
         await connecting
         for sock in idle_sockets:
@@ -112,7 +112,7 @@
 
 
 async def ask_once(port: int) -> int:
-    """One request on a connection of its own; 0 if that is closed with no answer."""
+    """Send one request on a new connection; return its status, 0 if it is closed unanswered."""
     try:
         client = Client(*await asyncio.open_connection("127.0.0.1", port))
         try:
@@ -126,7 +126,7 @@
 async def connect_idle_clients(
     port: int, idle_sockets: list[socket.socket], stop: asyncio.Event
 ) -> None:
-    """Idle clients, some that never ask, some with part of a request, some that read no answer."""
+    """Open idle connections: silent, with an incomplete request, or with an unread response."""
     loop = asyncio.get_running_loop()
     while not stop.is_set():
         sock = socket.socket()
@@ -146,7 +146,7 @@
 def test_new_connections_never_exceed_the_connection_budget(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is closed for them still holds its own until the loop has come round."""
+    """Connections closed for new ones hold their descriptors until the next loop iteration."""
 
     async def run() -> None:
         async with rig(serves, sockets=96) as r:
@@ -182,7 +182,7 @@
 
 
 def test_idle_connection_that_is_shed_gets_a_lingering_close() -> None:
-    """What crosses it is read, so that the client sees an end and no reset."""
+    """A request that crosses the close is read, so that the client sees an end and no reset."""
 
     async def run() -> None:
         async with rig(serves, sockets=64) as r:
@@ -198,7 +198,7 @@
                 for _ in range(frontend.budget.max_connections - frontend.budget.spare)
             ]
             await r.until(lambda: connection.state == ConnectionState.LINGERING)
-            idle_client.send(request_bytes())  # it crosses the close
+            idle_client.send(request_bytes())  # crosses the close
             seen = len(r.backends[0].seen)
             await r.until(lambda: connection.discarded_bytes > 0)
             assert await asyncio.wait_for(loop.sock_recv(idle_client, 65536), 3) == b""
@@ -210,7 +210,7 @@
 
 
 def test_clients_that_read_no_response_do_not_exceed_the_connection_budget() -> None:
-    """It is closed with what it has still to take, and not counted as gone while it is not."""
+    """They are closed with unread data, and count until their descriptors are free."""
 
     async def run() -> None:
         async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
@@ -237,7 +237,7 @@
 
 
 def test_reserved_descriptors_cover_their_uses() -> None:
-    """Listeners, the event loop's own, standard streams, the operators' callers, and calls to discovery."""
+    """The listeners, the event loop, standard streams, admin callers and calls to discovery."""
     listeners, loop, streams, calls = 2, 3, 3, 4
     assert listeners + loop + streams + MAX_CALLERS + calls <= RESERVE
 
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -1,4 +1,4 @@
-"""What backends and clients do wrong, and what becomes of it."""
+"""Faults of backends and clients, and how the proxy handles them."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
         single.send(method)
         assert await single.ended(2) == [AttemptResult.OK, AttemptResult.RESET]
         await asyncio.sleep(0.05)
-        assert [s.connection for s in stand_in.seen] == [1, 1]  # on the kept one, and nowhere else
+        assert [s.connection for s in stand_in.seen] == [1, 1]  # on the kept connection only
         single.pool.close()
         await stand_in.stop()
 
@@ -239,7 +239,7 @@
             single.send(within_ms=2000)
             assert await single.ended() == [AttemptResult.CONNECT_FAILED]
             assert 0.1 < single.loop.time() - started_s < 0.6
-            single.send(within_ms=40)  # out of time while it still connects
+            single.send(within_ms=40)  # times out while connecting
             assert await single.ended(2) == [AttemptResult.CONNECT_FAILED] * 2
             single.pool.close()
             for filler in fillers:
@@ -334,7 +334,7 @@
 
         async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            if seen.connection == 1:  # ends last, so it is the latest to fall idle
+            if seen.connection == 1:  # ends last, so it is the last to become idle
                 await asyncio.sleep(0.03)
             writer.write(answer())
 
@@ -385,7 +385,7 @@
         for _ in range(3):
             other.send(within_ms=200)
             await asyncio.sleep(0.02)
-        assert first.ended == 1  # made way
+        assert first.ended == 1  # closed to free its slot
         assert await other.ended(3) == [
             AttemptResult.NOT_SENT,
             AttemptResult.TIMEOUT,
@@ -428,7 +428,7 @@
                 status in (502, 503, 504) and duration_s < 0.45 for status, duration_s in replies
             )
             unsafe = [status for status, _ in replies[2::3]]
-            assert 504 in unsafe  # sent, and nothing came
+            assert 504 in unsafe  # sent, without a response
             assert r.count("answers_overdue") == 0
 
     asyncio.run(run())
@@ -475,7 +475,7 @@
             single.send(within_ms=60)
             while not received.is_set():
                 await asyncio.sleep(0.001)
-            time.sleep(0.1)  # meanwhile the answer comes, and then the time is over
+            time.sleep(0.1)  # meanwhile the response arrives, and then the timeout passes
             assert await single.ended() == [AttemptResult.OK]
             single.pool.close()
             thread.join()
@@ -483,7 +483,7 @@
     asyncio.run(run())
 
 
-# Descriptors at the edge
+# Connection budget
 
 
 def test_idle_connections_are_shed_for_new_ones_at_the_connection_budget() -> None:
@@ -521,7 +521,7 @@
 
             async def ask_timed() -> tuple[int, float]:
                 started_s = loop.time()
-                client = await r.client()  # which keeps its connection
+                client = await r.client()  # keeps its connection open
                 clients.append(client)
                 reply = await client.ask("search", remaining="500m")
                 return reply.status, loop.time() - started_s
@@ -533,11 +533,11 @@
             assert (await r.ask()).status == 200
             return max(duration_s for _, duration_s in replies)
 
-    # The best of some bursts: a machine that is busy with something else makes any one of them late.
+    # The best of several bursts, as other load on the machine can delay any single one.
     assert any(asyncio.run(longest_response_time()) < 0.5 for _ in range(4))
 
 
-# Faults of our own
+# Faults of the proxy itself
 
 
 def test_exception_in_the_balancer_fails_its_open_requests_and_the_proxy_continues() -> None:
@@ -549,7 +549,7 @@
             handle = balancer.handle
 
             def raise_on_request(now: int, events: list[Event]) -> list[Any]:
-                # At the next request and not at a tick before it, which the module that follows would take.
+                # Not at a tick before the next request, which would then reach a new balancer.
                 if any(isinstance(event, RequestArrived) for event in events):
                     raise RuntimeError("broken")
                 return handle(now, events)
@@ -593,7 +593,7 @@
     asyncio.run(run())
 
 
-# Clients that owe something
+# Clients that send incomplete or malformed requests
 
 
 async def serves_slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -646,7 +646,7 @@
         async with rig(serves) as r:
             client = await r.client()
             assert (await client.ask()).status == 200
-            await asyncio.sleep(0.35)  # longer than a newcomer may be silent
+            await asyncio.sleep(0.35)  # longer than a new connection may be silent
             assert (await client.ask()).status == 200
             assert await client.closed(1.5)
 
@@ -700,7 +700,8 @@
             assert (await first.read()).status == 504
             r.backends[0].behave = serves
             third = await r.client()
-            assert (await third.ask("order", X_Txn="5")).status == 200  # it is open no more
+            # The id is not open any more.
+            assert (await third.ask("order", X_Txn="5")).status == 200
             assert len(r.backends[0].seen) == 2
 
     asyncio.run(run())
@@ -736,7 +737,7 @@
     async def run() -> None:
         async with rig(serves) as r:
             client = await r.client()
-            ids = [f"id-{i}" for i in range(60)]  # more than the parser lets wait
+            ids = [f"id-{i}" for i in range(60)]  # more than the parser queues
             client.writer.write(b"".join(request_bytes("search", X_Txn=i) for i in ids))
             for i in ids:
                 assert (await client.read()).body == b"served " + i.encode()
@@ -757,8 +758,8 @@
         async with rig(serves, sockets=64) as r:
             clients = [await r.client() for _ in range(18)]
             endings = [(await client.ask()).headers.get("connection") for client in clients]
-            assert endings[0] == "close"  # 18 of 23: a crowd
-            assert endings[-1] is None  # most have been let go by then
+            assert endings[0] == "close"  # 18 of a budget of 23 connections are open
+            assert endings[-1] is None  # most are closed by then
             assert r.count("connections_shed") == 0
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -1,7 +1,7 @@
-"""Gone is gone: no attempt begins for a client whose end is known to the kernel, whatever held it up.
+"""No attempt begins for a client whose hang-up has reached the kernel, whatever caused the delay.
 
-In most of these tests nothing is read from the client any more, as in a process that stood still or whose
-turn has not come: its end is there, and has not been read.
+In most of these tests the proxy has stopped reading from the client, like a process that was
+suspended or is busy: the hang-up has arrived, but was not read.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 )
 
 LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
-# A request may wait for room for a quarter of its aim.
+# A request may be queued for a quarter of its objective.
 LONG_OBJECTIVE = [
     {
         "name": "search",
@@ -59,7 +59,7 @@
 
 
 def leave_unread(r: Rig, client: socket.socket, end: Callable[[socket.socket], None]) -> None:
-    """The client ends, and nobody reads it."""
+    """End the client's connection after the proxy has stopped reading from it."""
     for connection in connections(r):
         if connection.transport is not None:
             connection.transport.pause_reading()
@@ -67,12 +67,12 @@
 
 
 async def hang_ups_pending(r: Rig) -> None:
-    """What came of the ends is with the kernel by now."""
+    """Wait until the kernel has received the hang-ups."""
     await r.until(lambda: all(has_peer_hung_up(c.transport) for c in connections(r)))
 
 
 async def wait_past_socket_check(r: Rig) -> None:
-    """Longer than an end may be there unread without being asked for."""
+    """Wait until requests are old enough that the client's socket is checked."""
     await asyncio.sleep(2 * CHECK_CLIENT_AFTER_NS / 1e9)
 
 
@@ -94,7 +94,7 @@
             gate.open.set()
             await r.until(lambda: no_open_requests_or_clients(r))
             assert resources_released(r) and not r.backends[0].seen
-            assert r.proxy._pool.open_count == 1  # up, and good for the next request
+            assert r.proxy._pool.open_count == 1  # open, and reusable for the next request
 
     asyncio.run(run())
 
@@ -153,7 +153,7 @@
 
 
 class DepartedClient:
-    """In place of a client's connection: it has gone."""
+    """Replaces a client connection whose client has left."""
 
     def __init__(self) -> None:
         self.socket_checks: list[bool] = []
@@ -167,7 +167,7 @@
 def test_no_kind_of_attempt_begins_for_a_client_that_left(
     monkeypatch: pytest.MonkeyPatch, is_reused: bool
 ) -> None:
-    """First ones, repeats, second copies and those from a queue: all come by the backend's actor."""
+    """First attempts, retries, hedges and queued attempts all pass through the backend's actor."""
 
     async def run() -> None:
         stand_in, single = await alone(serves)
@@ -185,7 +185,8 @@
         monkeypatch.setattr(single.actor, "tell", tell_with_departed_client)
         single.send()
         assert (await single.ended(before + 1))[-1] == AttemptResult.NOT_SENT
-        assert len(stand_in.seen) == before and departed.socket_checks == [True]  # it came long ago
+        # The socket is checked, as the request arrived long ago.
+        assert len(stand_in.seen) == before and departed.socket_checks == [True]
         assert single.pool.open_count == int(is_reused)
         single.pool.close()
         await stand_in.stop()
@@ -197,13 +198,11 @@
 def test_attempt_queued_for_an_actor_when_the_clients_end_is_read_does_not_begin(
     monkeypatch: pytest.MonkeyPatch, cancelling: bool
 ) -> None:
-    """The order is in the backend's mailbox in the very turn in which the end is read."""
+    """The command is in the backend's mailbox when the hang-up is read."""
 
     async def run() -> None:
         async with rig(serves, limits__cancelling=cancelling) as r:
-            assert (
-                await r.ask()
-            ).status == 200  # a connection to the backend waits for the next request
+            assert (await r.ask()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             tell = Backend.tell
 
@@ -226,7 +225,7 @@
 def test_partly_written_attempt_is_never_completed_after_its_client_left_without_cancelling() -> (
     None
 ):
-    """Its first bytes are out, the rest waits for a backend that does not read."""
+    """Its first bytes are sent; the rest waits for a backend that does not read."""
 
     async def run() -> None:
         with socket.socket() as listener:
@@ -253,10 +252,8 @@
 def test_input_beyond_the_kernels_buffers_is_read_up_to_the_clients_end(
     monkeypatch: pytest.MonkeyPatch, body_size: int, end: Callable[[socket.socket], None]
 ) -> None:
-    """Sent ahead of an answer: what cannot be held is read and dropped with no pause, as far as its end."""
-    monkeypatch.setattr(
-        frontend, "SWEEP_S", 1_000.0
-    )  # nothing that looks at connections by the clock
+    """Input over the buffer limit is discarded without a pause, up to the client's hang-up."""
+    monkeypatch.setattr(frontend, "SWEEP_S", 1_000.0)  # no periodic checks
 
     async def run() -> None:
         async with rig(silent) as r:
@@ -277,7 +274,7 @@
 def test_endless_input_behind_an_open_request_is_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """His leaving could not be told, so that nothing more is sent on for him."""
+    """Its departure could not be noticed behind endless input, so its open request is withdrawn."""
     monkeypatch.setattr(lingering_close, "MAX_DISCARDED_BYTES", 2_000_000)
 
     async def run() -> None:
@@ -308,7 +305,7 @@
 def test_blocked_body_whose_client_left_is_never_sent_completely(
     monkeypatch: pytest.MonkeyPatch, is_end_hidden: bool
 ) -> None:
-    """All of it was sent, and then the client closed: the end comes with the last byte, if no sooner."""
+    """The client closes after the whole body: its end is read with the last byte at the latest."""
 
     async def run() -> None:
         async with swallowing(**LONG_CONNECT_TIMEOUT) as (r, upload_backend):
@@ -338,22 +335,21 @@
                 )
             )
             monkeypatch.setattr(frontend, "SWEEP_S", 1_000.0)
-            await asyncio.sleep(0.2)  # the last sweep is over
+            await asyncio.sleep(0.2)  # the last scheduled sweep has run
             client.close()
             await asyncio.sleep(0.05)
             assert has_peer_hung_up(connections(r)[0].transport) is not is_end_hidden
             gate.open.set()
             await r.until(lambda: no_open_requests_or_clients(r))
             assert resources_released(r) and not upload_backend.digests
-            assert len(upload_backend.framings) <= int(
-                is_end_hidden
-            )  # its head may go out; a part never runs
+            # Its head may be sent; an incomplete request never runs.
+            assert len(upload_backend.framings) <= int(is_end_hidden)
 
     asyncio.run(run())
 
 
 def test_first_attempt_for_a_client_that_left_while_nothing_was_read_is_not_sent() -> None:
-    """A process that stood still for less than a tenth of a second counts too: the rest is added to it."""
+    """A delay under 0.1 s counts, too: the first request's age starts with its connection."""
 
     async def run() -> None:
         async with rig(serves) as r:
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -1,4 +1,4 @@
-"""Clients that leave while something is owed to them: it is seen at once, and nothing is sent on for them."""
+"""Clients that leave before their response are noticed at once; nothing is forwarded for them."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
 from tests.policy import harness as helpers
 
 DEPARTURES: list[Callable[[socket.socket], None]] = [socket.socket.close, reset]
-LONG_REMAINING = "3900m"  # far longer than any wait of these tests: an end by time would show as a test out of time
+# Far longer than any wait of these tests, so that a deadline would show as a test timeout.
+LONG_REMAINING = "3900m"
 
 
 def connections(r: Rig) -> list[Connection]:
@@ -47,7 +48,7 @@
 
 
 def resources_released(r: Rig) -> bool:
-    """All that requests held: what is in flight, places in queues, ids."""
+    """Whether all that requests held is released: in flight, queued and open counts, and ids."""
     balancer = r.proxy._decider._balancer
     held = (
         balancer.limits.in_flight,
@@ -130,7 +131,7 @@
 
 
 def test_client_that_half_closes_counts_as_gone() -> None:
-    """A half-close is no way to ask: who has ended his side takes no answer."""
+    """A half-close counts as a departure: the client gets no response after it."""
 
     async def run() -> None:
         async with rig(silent) as r:
@@ -146,9 +147,9 @@
 
 
 def test_client_that_leaves_while_its_long_body_is_blocked_is_noticed() -> None:
-    """Its backend reads nothing, so that the proxy does not read from the client either.
+    """The backend reads nothing, so that the proxy does not read from the client either.
 
-    By a reset: a usual end comes behind bytes that the kernel has no room for.
+    The client leaves by a reset: a FIN would wait behind bytes for which the kernel has no buffer.
     """
 
     async def run() -> None:
@@ -190,7 +191,7 @@
 def test_request_delayed_by_a_penalty_is_not_forwarded_after_its_client_left(
     monkeypatch: pytest.MonkeyPatch, end: Callable[[socket.socket], None]
 ) -> None:
-    """After a request that was turned away the next one waits a while."""
+    """After a rejected request the next one of the connection is delayed."""
     monkeypatch.setattr(deadlines, "PENALTY_S", 0.3)
 
     async def run() -> None:
@@ -208,7 +209,7 @@
 
 @pytest.mark.parametrize("is_reused", [True, False], ids=["on an open connection", "on a new one"])
 def test_unread_request_is_not_forwarded_after_its_client_left(is_reused: bool) -> None:
-    """The process stood still meanwhile: bytes and end of a client are there at once."""
+    """The process was suspended meanwhile: the request and the hang-up are read together."""
 
     async def run(poll: TimedSelector) -> None:
         backend = StandIn(serves)
@@ -219,10 +220,8 @@
         await proxy.start()
         r = Rig(proxy, [backend], directory)
         leaving, staying = raw_client(proxy.port), raw_client(proxy.port)
-        for client in (
-            leaving,
-            staying,
-        ):  # both at once, so that a connection to the backend waits for each
+        # Both at once, so that two connections to the backend stay idle.
+        for client in (leaving, staying):
             client.send(request_bytes())
         await r.until(lambda: len(backend.seen) == 2 and r.count("answers_ok") == 2)
         if not is_reused:
@@ -248,14 +247,12 @@
 def test_request_in_the_backlog_is_not_forwarded_after_its_client_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """For want of descriptors: it is let in once others have made way."""
+    """Accepting is delayed for lack of descriptors until the client has left."""
 
     async def run() -> None:
         async with rig(serves) as r:
             frontend = r.proxy._frontend
-            assert (
-                await r.ask()
-            ).status == 200  # a connection to the backend waits for the next request
+            assert (await r.ask()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: frontend.connection_count == 0)
             with monkeypatch.context() as patch:
                 patch.setattr(frontend.budget, "has_capacity", lambda: False)
@@ -299,7 +296,7 @@
             clients = [raw_client(r.proxy.port) for _ in range(60)]
             for client in clients:
                 client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: r.proxy._decider._balancer.queue.count > 0)  # some wait for room
+            await r.until(lambda: r.proxy._decider._balancer.queue.count > 0)  # some are queued
             for i, client in enumerate(clients):
                 DEPARTURES[i % 2](client)
             await r.until(lambda: no_open_requests_or_clients(r))
@@ -350,7 +347,7 @@
 def test_pipelined_input_of_a_closing_connection_is_not_served(
     monkeypatch: pytest.MonkeyPatch, who: str
 ) -> None:
-    """The answer to the first went out, the second waits for the next turn of the loop, and it closes."""
+    """The connection closes after the first response, before the second request is started."""
 
     async def run() -> None:
         async with rig(serves) as r:
@@ -360,7 +357,7 @@
                 unpatched_after_response(self, transport)
                 if who == "the client":
                     self.eof_received()
-                    transport.close()  # as asyncio does on its end
+                    transport.close()  # as asyncio does after eof_received
                 else:
                     self.force_close()
 
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -1,4 +1,4 @@
-"""Sentences of the standing test that no other file forces: whole lists, forms and pieces, half a line."""
+"""Complete endpoint lists, forms of requests, fragmented input, partial lines of idle backends."""
 
 from __future__ import annotations
 
@@ -22,17 +22,16 @@
             removed, kept = r.backends
             await watched(r)
             client, reply_task = await r.client(), None
-            while not removed.seen:  # until one is out there
+            while not removed.seen:  # until an attempt is in flight there
                 reply_task = asyncio.create_task(client.ask(remaining="3900m"))
                 await r.until(lambda: bool(removed.seen) or reply_task.done())  # noqa: B023
             r.directory.members, r.directory.whole = [kept.row()], True
             r.directory.tell()
             await r.until(lambda: r.proxy._decider.listed_count() == 1)
             go.set()
-            assert (
-                reply_task is not None and (await reply_task).status == 200
-            )  # what is out ends as it does
-            await r.until(lambda: removed.ended == removed.opened)  # and no connection is kept
+            # The attempt in flight continues.
+            assert reply_task is not None and (await reply_task).status == 200
+            await r.until(lambda: removed.ended == removed.opened)  # no connection stays open
             seen = len(removed.seen)
             assert [(await client.ask()).status for _ in range(20)] == [200] * 20
             assert len(removed.seen) == seen
@@ -42,7 +41,7 @@
 
 
 def request_forms() -> list[tuple[str, bytes, bytes]]:
-    """Name, a request as it is written, and the body that its backend has to get."""
+    """Return name, raw request, and the body that the backend has to receive."""
     body = b"x" * 300
     chunked = request_bytes("order", drop=("Content-Length",), Transfer_Encoding="chunked")
     with_length = request_bytes("order", body=body)
--- a/tests/net/client_side/test_net_requests.py
+++ b/tests/net/client_side/test_net_requests.py
@@ -1,4 +1,4 @@
-"""Requests through the proxy: what goes on, what comes back, what is turned down."""
+"""Requests through the proxy: forwarding, responses, and rejected requests."""
 
 from __future__ import annotations
 
@@ -240,7 +240,7 @@
             r.directory.hangs = True
             client = await r.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert (await client.read()).status == 503  # nothing is known yet
+            assert (await client.read()).status == 503  # there is no endpoint list yet
             r.directory.hangs = False
             await r.until(lambda: r.count("list_updates") > 1, 6.0)
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/net/client_side/test_net_shutdown.py
+++ b/tests/net/client_side/test_net_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process and of connections: what was taken is answered, what comes later goes nowhere."""
+"""Shutdown and connection close: accepted requests are answered, later input is not forwarded."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 async def receive(
     r: Rig, sock: socket.socket, until_end: bool = False, seconds: float = 5.0
 ) -> bytes:
-    """What comes on a plain socket: a whole answer, or all up to the end; a reset raises."""
+    """Receive a complete response, or all input up to the end; a reset raises an error."""
     received = b""
     async with asyncio.timeout(seconds):
         while True:
@@ -56,7 +56,7 @@
 
 
 def stop_reading(r: Rig, *, idle: int) -> None:
-    """From now on the proxy reads nothing from its clients: what they send stays in the kernel."""
+    """Make the proxy stop reading from its clients, so that their input stays in the kernel."""
     connections = [c for c in r.proxy._frontend._accepted if isinstance(c, Connection)]
     assert len(connections) == idle
     for connection in connections:
@@ -78,9 +78,9 @@
             stop_reading(r, idle=1)
             client.send(request_bytes()[: 20 if ahead == "half a request" else None])
             stopping = asyncio.create_task(r.proxy.stop(0.0))
-            # An end, and no reset: what was not answered crosses the close and is sent once more elsewhere.
+            # An end and no reset: the client can send the unanswered request again elsewhere.
             assert await receive(r, client, until_end=True) == b""
-            client.send(request_bytes())  # a client that has not looked yet
+            client.send(request_bytes())  # a client that has not noticed the close yet
             client.shutdown(socket.SHUT_WR)
             await stopping
             assert await receive(r, client, until_end=True) == b""
@@ -139,9 +139,8 @@
 def test_connections_in_the_backlog_at_shutdown_are_served() -> None:
     async def run() -> None:
         async with rig(serves) as r:
-            clients = [
-                raw_client(r.proxy.port) for _ in range(3)
-            ]  # no turn of the loop: none is accepted
+            # None is accepted before the loop runs.
+            clients = [raw_client(r.proxy.port) for _ in range(3)]
             for client in clients:
                 client.send(request_bytes())
             stopping = asyncio.create_task(r.proxy.stop(0.0))
@@ -172,9 +171,7 @@
                     and r.proxy._frontend.connection_count == 1
                 )
             )
-            await asyncio.sleep(
-                2 * SHED_URGENT_S
-            )  # longer than a connection between requests is left
+            await asyncio.sleep(2 * SHED_URGENT_S)  # longer than a served connection may be idle
             client.send(request_bytes())
             assert (await receive(r, client, until_end=True)).startswith(b"HTTP/1.1 200")
             client.close()
@@ -218,7 +215,7 @@
             stopping = asyncio.create_task(r.proxy.stop(0.2))
             await asyncio.sleep(0)
             incomplete.writer.write(raw[-1:])
-            # So is one that comes on a resting connection while new ones are still let in.
+            # So is a request on an idle connection while new connections are still accepted.
             for reply in (await incomplete.read(), await idle_client.ask()):
                 assert (reply.status, reply.headers["connection"]) == (200, "close")
             await stopping
@@ -249,7 +246,7 @@
             for reply in (await busy.read(), await idle_client.ask(), await busy.ask()):
                 assert reply.status == 200 and "connection" not in reply.headers
             assert r.proxy._frontend.accepts_new_clients()
-            # Once it ends there is no way back.
+            # A shutdown cannot be undone.
             stopping = asyncio.create_task(r.proxy.stop(0.1))
             await asyncio.sleep(0)
             assert (await r.call("/api/rejoin")).status == 409
@@ -271,7 +268,7 @@
             pending_errors = [OSError(errno.EMFILE, "too many open files")] * 3
 
             class FailingListener:
-                """The listener of a process without descriptors."""
+                """A listener whose accept fails for lack of descriptors."""
 
                 def accept(self) -> Any:
                     if pending_errors:
@@ -339,10 +336,10 @@
             await r.until(lambda: len(r.backends[0].seen) == 1)
             started_s = r.proxy.loop.time()
             stopping = asyncio.create_task(r.proxy.stop(0.0))
-            assert (await client.read()).status in (502, 504)  # it may have run: no refusal
+            assert (await client.read()).status in (502, 504)  # it may have run, so no 503
             assert await client.closed()
             await stopping
-            # The longest deadline is 1 s, a kill may come 0.7 s after that; its client would wait 3.9 s.
+            # The longest deadline is 1 s, a kill may follow 0.7 s later; the client waits 3.9 s.
             assert r.proxy.loop.time() - started_s < 3.0
             client.close()
 
@@ -363,7 +360,7 @@
 
 
 async def start_proxy(path: Path) -> asyncio.subprocess.Process:
-    """A proxy that listens; it may not be ready yet."""
+    """Start a proxy and wait until it listens; it may not be ready yet."""
     process = await asyncio.create_subprocess_exec(
         *MAIN, env={**os.environ, "LB_CONFIG": str(path)}, cwd=ROOT, stderr=asyncio.subprocess.PIPE
     )
@@ -408,7 +405,7 @@
 
 
 def test_admin_call_is_not_reset_by_input_behind_it() -> None:
-    """Their door closes in the same way; answers are written at once, held back by nothing."""
+    """The admin server closes connections in the same way, and writes responses at once."""
 
     async def run() -> None:
         async with rig(serves, operators="127.0.0.1:0") as r:
@@ -418,7 +415,7 @@
                 received = await receive(r, caller, until_end=True)
                 assert received.startswith(b"HTTP/1.1 200")
                 caller.close()
-            # Callers that hold on do not hold the door's places.
+            # Callers that keep their connections open do not use up the admin server's slots.
             admin_server, callers = r.proxy._admin_server, []
             for _ in range(40):
                 callers.append(caller := raw_client(r.proxy.admin_port))
@@ -463,7 +460,7 @@
 def test_reload_signal_before_its_handler_is_installed_does_not_end_the_process(
     tmp_path: Path,
 ) -> None:
-    """Started as operators start it: the shell ignores the word, up to the handler."""
+    """The deployed run command makes the shell ignore SIGHUP until the handler is installed."""
     run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 
     async def run() -> None:
@@ -500,7 +497,7 @@
 
 
 def test_rejection_at_shutdown_carries_retry_after(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Half a request when there is no time left to serve it: refused, as nothing of it ran."""
+    """An incomplete request is rejected when no time is left to serve it, as it has not run."""
 
     async def run() -> None:
         for allowed in (True, False):
@@ -533,7 +530,7 @@
         takeover = StreamTakeover(
             StreamHandover(0, None, False, b"the end of it", ()), BufferGrants(1), loop
         )
-        client.send(request_bytes())  # its next request: read by nobody
+        client.send(request_bytes())  # its next request, which nobody reads
         running = asyncio.create_task(takeover.run(accepted, None, finished.append))
         received = b""
         async with asyncio.timeout(5):
--- a/tests/net/client_side/test_net_states.py
+++ b/tests/net/client_side/test_net_states.py
@@ -1,4 +1,4 @@
-"""The table of a client connection's transitions is that of the code."""
+"""The table of client connection transitions matches the code."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def states_that_the_code_enters() -> set[str]:
-    """Return the states that any call names which leads to a change of state."""
+    """Return the states named in calls that change a connection's state."""
     entering = {"enter", "begin", "submit_request", "open_as"}
     names = set()
     for path in SOURCES:
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -1,9 +1,9 @@
-"""Random sequences of input, breaks, resets, time-outs, signals and handovers leave nothing open.
+"""Random sequences of input, resets, timeouts, drains and handovers leave nothing open.
 
-Each seed plays some clients against one proxy whose backends answer early, late, at length, in part
-or not at all. Some seeds drain the proxy, stop it, or hand it over to a second one in the middle.
-Afterwards nothing may be open: no id and no request in the decisions, no attempt, no buffer grant,
-no client, no connection to a backend that is not idle, and no descriptor more than at the start.
+Each seed runs several clients against one proxy whose backends send early, late, long, partial or
+no responses. Some seeds drain the proxy, stop it, or hand it over to a second one in the middle.
+Afterwards nothing may be open: no id and no request in the decider, no attempt, no buffer grant, no
+client, no busy connection to a backend, and no more descriptors than at the start.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 CLIENTS = 12
 REQUESTS = 4  # of one client at most
 BACKENDS = 2
-SETTLE_S = 6.0  # by then all that a client left open is over, with the time-outs below
+SETTLE_S = 6.0  # by then all that a client left open has timed out, with the timeouts below
 LONG_BYTES = 300_000
 MALFORMED = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
 class RandomBackend(StandIn):
-    """Reads requests by their framing, and does something at random with each."""
+    """Reads requests by their framing, and answers each in a random way."""
 
     def __init__(self, rng: random.Random, ident: str) -> None:
         super().__init__(ident=ident)
@@ -48,7 +48,7 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 if self._rng.random() < 0.25:
-                    await self._answer(writer)  # before the body is there
+                    await self._answer(writer)  # before the body is complete
                 await self._read_body(reader, head)
                 await self._answer(writer)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -110,7 +110,7 @@
 
 @dataclass
 class Setup:
-    """What one seed plays on."""
+    """The directory, backends, listener and folder of one seed."""
 
     directory: Directory
     backends: list[RandomBackend]
@@ -131,7 +131,7 @@
 
 
 class RandomClient:
-    """Sends requests, breaks some, and ends in one of several ways."""
+    """Sends requests, some malformed, and ends in one of several ways."""
 
     def __init__(self, rng: random.Random, sock: socket.socket) -> None:
         self._rng = rng
@@ -159,7 +159,7 @@
                 await asyncio.sleep(self._rng.choice((0.0, 0.0, 0.01)))
 
     async def _end(self, reading: asyncio.Task[None]) -> None:
-        """Leave by a close, a reset or a half-close, or stay until the proxy ends it."""
+        """Leave by a close, a reset or a half-close, or stay until the proxy closes."""
         kind = self._rng.choice(["close", "reset", "half", "stay", "stay unread"])
         if kind == "stay unread":
             reading.cancel()
@@ -177,7 +177,7 @@
             self._sock.close()
 
     def _request(self) -> list[bytes]:
-        """Return the pieces of one request, which may be broken."""
+        """Return the pieces of one request, which may be malformed or incomplete."""
         rng = self._rng
         size = rng.choice((0, 10, 5_000, 70_000, 150_000, 400_000))
         lane = rng.choice(("search", "pay", "order"))
@@ -216,7 +216,7 @@
 
 
 async def hand_over(setup: Setup, proxy: Proxy) -> Proxy:
-    """Begin a second proxy, and end the first one as an upgrade does."""
+    """Start a second proxy, and stop the first one as an upgrade does."""
     successor = setup.proxy()
     await successor.start()
     await proxy.stop(0.0)
@@ -225,7 +225,7 @@
 
 
 async def stop_and_restart(setup: Setup, proxy: Proxy) -> Proxy:
-    """End the proxy in the middle: what is incomplete is rejected, the rest answered."""
+    """Stop the proxy in the middle: incomplete requests are rejected, others answered."""
     await proxy.stop(0.0)
     assert_nothing_open(proxy)
     successor = setup.proxy()
@@ -238,7 +238,7 @@
 
 
 def open_resources(proxy: Proxy) -> dict[str, int]:
-    """Count all that a request or its client may hold, by name, without what is at 0."""
+    """Count the resources that requests and clients may hold, by name, without zeros."""
     balancer = proxy._decider._balancer
     frontend = proxy._frontend
     pool = proxy._pool
@@ -268,7 +268,7 @@
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let every time-out end within the seconds of a test."""
+    """Shorten every timeout to fit into a test."""
     monkeypatch.setattr(backend_connection, "STALL_S", 0.6)
     monkeypatch.setattr(response_relay, "STALL_S", 0.6)
     monkeypatch.setattr(request_body, "UPLOAD_PROGRESS_TIMEOUT_S", 0.4)
