--- a/mothstall/net/client_side/connection_handover.py
+++ b/mothstall/net/client_side/connection_handover.py
@@ -1,4 +1,4 @@
-"""Handing over to the process that takes over: idle connections, long responses midway."""
+"""Hands over idle connections and partly sent responses to the successor process."""
 
 from __future__ import annotations
 
@@ -15,23 +15,25 @@
 from mothstall.net.lifecycle import Lifecycle, Phase
 from mothstall.net.listener import unsent_bytes
 
-# The backend's place within its chunked coding: see ChunkedDecoder.
-ChunkedPlace = tuple[int, int, bytes] | None
-# Arguments: descriptors of a client and its backend (none: it owes nothing), how many bytes the
-# backend owes, its place in its chunks, whether the client gets chunks, what is encoded for it
-# already, and what is buffered.
-GiveResponse = Callable[[int, int | None, int | None, ChunkedPlace, bool, bytes, list[bytes]], bool]
-# Arguments: descriptor of a client, whether nothing came on it yet, its age in seconds.
+# The position in the chunked coding of the backend's response: see ChunkedDecoder.
+ChunkedPosition = tuple[int, int, bytes] | None
+# Arguments: descriptors of a client and its backend (None: it has sent everything), how many bytes
+# the backend still has to send, its position in the chunked coding, whether the client gets chunks,
+# encoded bytes that are not sent yet, and buffered parts of the body.
+GiveResponse = Callable[
+    [int, int | None, int | None, ChunkedPosition, bool, bytes, list[bytes]], bool
+]
+# Arguments: descriptor of a client, whether nothing was received on it yet, its age in seconds.
 GiveConnection = Callable[[int, bool, float], bool]
 
 
 @dataclass(frozen=True)
 class HandoverTarget:
-    """How connections are given to the process that takes over; both return whether it took them.
+    """Sends connections to the successor; both functions return whether it accepted them.
 
     Attributes:
-        give_connection: Gives a connection on which nothing is open.
-        give_response: Gives a long response.
+        give_connection: Sends a connection without an open request.
+        give_response: Sends a long response that is being relayed.
     """
 
     give_connection: GiveConnection
@@ -39,7 +41,7 @@
 
 
 class ConnectionHandover:
-    """Gives the connections of a table to the process that takes over."""
+    """Hands over the connections of a table to the successor."""
 
     def __init__(
         self,
@@ -49,7 +51,7 @@
         counters: Counters,
         phases: Lifecycle,
     ) -> None:
-        """Give connections of `table` to `target`."""
+        """Hand over connections of `table` to `target`."""
         self._table = table
         self._target = target
         self._loop = loop
@@ -57,14 +59,18 @@
         self._phases = phases
 
     def hand_over(self, connection: Connection) -> bool:
-        """Give a connection on which nothing is open to the process that took over."""
+        """Hand over a connection without an open request; False if it stays with this process."""
         transport = connection.transport
-        if transport is None or transport.get_write_buffer_size() or connection.has_more():
+        if (
+            transport is None
+            or transport.get_write_buffer_size()
+            or connection.has_pipelined_input()
+        ):
             return False
         sock = transport.get_extra_info("socket")
-        transport.pause_reading()  # what comes from now on waits in the kernel
+        transport.pause_reading()  # further input waits in the kernel
         is_new = connection.state == ConnectionState.NEW
-        age_s = self._loop.time() - connection.since
+        age_s = self._loop.time() - connection.state_since_s
         if not self._target.give_connection(sock.fileno(), is_new, age_s):
             transport.resume_reading()
             return False
@@ -73,13 +79,13 @@
         return True
 
     def hand_over_idle(self) -> None:
-        """Give all connections on which nothing is open."""
+        """Hand over all connections without an open request."""
         for state in (ConnectionState.IDLE, ConnectionState.NEW):
             for connection in list(self._table.by_state[state]):
                 self.hand_over(connection)
 
     def hand_over_responses(self) -> None:
-        """Give the long responses that are midway, their buffers empty."""
+        """Hand over the long responses that are partly sent, with their unsent bytes."""
         states = [ConnectionState.RELAYING]
         if self._phases.phase is Phase.STOPPING:
             states += [ConnectionState.LINGERING, ConnectionState.IDLE]
@@ -87,8 +93,8 @@
             for connection in list(self._table.by_state[state]):
                 self._hand_over_response(connection)
 
-    def thaw_responses(self) -> None:
-        """Go on with what waited for the process that took over, which is gone."""
+    def resume_responses(self) -> None:
+        """Resume the responses that were paused for a successor that is gone."""
         for connection in list(self._table.by_state[ConnectionState.RELAYING]):
             if connection.relay is not None:
                 connection.relay.stream.thaw()
@@ -98,31 +104,31 @@
         if transport is None:
             return
         if connection.relay is None:
-            self._hand_over_tail(connection, transport)
+            self._hand_over_unsent_bytes(connection, transport)
             return
         stream = connection.relay.stream
         if stream.is_truncated:
-            return  # it ends here, as cut
+            return  # this process ends it, as cut off
         stream.freeze()
         encoded = unsent_bytes(transport)
         if encoded is None:
             return  # the next sweep tries again
         source = stream.source
-        place: tuple[int | None, int | None, ChunkedPlace] | None = None
+        position: tuple[int | None, int | None, ChunkedPosition] | None = None
         if stream.has_ended:
-            # Of a response that came complete nothing is owed, however much its client has still to
-            # take.
-            place = (None, 0, None)
+            # The backend has sent the complete response, however much of it the client has still to
+            # read.
+            position = (None, 0, None)
         elif isinstance(source, BackendConnection):
-            place = source.handover_position()
-        if place is None:
+            position = source.handover_position()
+        if position is None:
             stream.thaw()
             return
-        backend, remaining, coding = place
+        backend, remaining, chunk_position = position
         client = transport.get_extra_info("socket").fileno()
         is_chunked = connection.relay.is_chunked
         if not self._target.give_response(
-            client, backend, remaining, coding, is_chunked, encoded, stream.buffered
+            client, backend, remaining, chunk_position, is_chunked, encoded, stream.buffered
         ):
             stream.thaw()
             return
@@ -133,8 +139,8 @@
             source.sink_closed()
         connection.release()
 
-    def _hand_over_tail(self, connection: Connection, transport: asyncio.Transport) -> None:
-        """Guards against a slow reader whose last bytes would go down with this process."""
+    def _hand_over_unsent_bytes(self, connection: Connection, transport: asyncio.Transport) -> None:
+        """Guards against the loss of a response's last bytes when this process ends."""
         encoded = unsent_bytes(transport)
         if not encoded:
             return
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -1,4 +1,4 @@
-"""What backends and clients do wrong, and what becomes of it."""
+"""Faults of backends and clients, and how the proxy handles them."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
         single.send(method)
         assert await single.ended(2) == [AttemptResult.OK, AttemptResult.RESET]
         await asyncio.sleep(0.05)
-        assert [s.connection for s in stand_in.seen] == [1, 1]  # on the kept one, and nowhere else
+        assert [s.connection for s in stand_in.seen] == [1, 1]  # on the kept connection only
         single.pool.close()
         await stand_in.stop()
 
@@ -161,11 +161,11 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.write(answer())
 
-        stand_in, single = await alone(waits)
+        stand_in, single = await alone(serves_after_gate)
         for _ in range(3):
             single.send()
         while len(stand_in.seen) < 3:
@@ -188,20 +188,20 @@
 
 def test_unsolicited_response_reaches_no_client() -> None:
     async def run() -> None:
-        async def strays(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def sends_second_response(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"for " + (seen.header(b"X-Txn") or b"")))
             await asyncio.sleep(0.01)
             writer.write(answer(b"stray"))
 
-        stand_in, single = await alone(strays)
+        stand_in, single = await alone(sends_second_response)
         for i in (1, 2, 3):
             single.send()
             await single.ended(i)
             await asyncio.sleep(0.05)
         bodies = [
-            r.answer.body
+            r.response.body
             for r in single.reports
-            if isinstance(r, backend_messages.AttemptEnded) and r.answer
+            if isinstance(r, backend_messages.AttemptEnded) and r.response
         ]
         assert bodies == [b"for 1", b"for 2", b"for 3"]
         assert [s.connection for s in stand_in.seen] == [1, 2, 3]
@@ -235,11 +235,11 @@
                 filler.setblocking(False)
                 filler.connect_ex(address)
             single = Single(config.Address("127.0.0.1", address[1]))
-            before = single.loop.time()
+            started_s = single.loop.time()
             single.send(within_ms=2000)
             assert await single.ended() == [AttemptResult.CONNECT_FAILED]
-            assert 0.1 < single.loop.time() - before < 0.6
-            single.send(within_ms=40)  # out of time while it still connects
+            assert 0.1 < single.loop.time() - started_s < 0.6
+            single.send(within_ms=40)  # times out while connecting
             assert await single.ended(2) == [AttemptResult.CONNECT_FAILED] * 2
             single.pool.close()
             for filler in fillers:
@@ -298,10 +298,10 @@
             "",
             "util=nan,queue=1",
         ]
-        texts = iter(reports)
+        load_texts = iter(reports)
 
         async def reporting(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(X_Pressure=next(texts)))
+            writer.write(answer(X_Pressure=next(load_texts)))
 
         stand_in, single = await alone(reporting)
         for i in range(len(reports)):
@@ -332,13 +332,13 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            if seen.connection == 1:  # ends last, so it is the latest to fall idle
+            if seen.connection == 1:  # ends last, so it is the last to become idle
                 await asyncio.sleep(0.03)
             writer.write(answer())
 
-        stand_in, single = await alone(waits)
+        stand_in, single = await alone(serves_after_gate)
         for _ in range(3):
             single.send()
             await asyncio.sleep(0.01)
@@ -385,7 +385,7 @@
         for _ in range(3):
             other.send(within_ms=200)
             await asyncio.sleep(0.02)
-        assert first.ended == 1  # made way
+        assert first.ended == 1  # closed to free its slot
         assert await other.ended(3) == [
             AttemptResult.NOT_SENT,
             AttemptResult.TIMEOUT,
@@ -416,17 +416,19 @@
         async with rig(silent, silent) as r:
             loop = asyncio.get_running_loop()
 
-            async def timed(lane: str) -> tuple[int, float]:
-                before = loop.time()
+            async def ask_timed(lane: str) -> tuple[int, float]:
+                started_s = loop.time()
                 reply = await r.ask(lane, remaining="400m")
-                return reply.status, loop.time() - before
+                return reply.status, loop.time() - started_s
 
             replies = await asyncio.gather(
-                *(timed(lane) for lane in ("search", "pay", "order") * 5)
+                *(ask_timed(lane) for lane in ("search", "pay", "order") * 5)
+            )
+            assert all(
+                status in (502, 503, 504) and duration_s < 0.45 for status, duration_s in replies
             )
-            assert all(status in (502, 503, 504) and spent < 0.45 for status, spent in replies)
             unsafe = [status for status, _ in replies[2::3]]
-            assert 504 in unsafe  # sent, and nothing came
+            assert 504 in unsafe  # sent, without a response
             assert r.count("answers_overdue") == 0
 
     asyncio.run(run())
@@ -444,8 +446,8 @@
 
 def test_request_rejected_by_a_backend_is_retried_on_another() -> None:
     async def run() -> None:
-        away = says(answer(b"", 503, X_Turned_Away="1"))
-        async with rig(away, away, serves) as r:
+        rejects = says(answer(b"", 503, X_Turned_Away="1"))
+        async with rig(rejects, rejects, serves) as r:
             for _ in range(6):
                 assert (await r.ask("order")).status == 200
             assert r.count("attempts_rejected") >= 1
@@ -454,12 +456,12 @@
 
 
 def test_response_that_arrived_while_the_proxy_was_suspended_is_read_before_its_timeout() -> None:
-    asked = threading.Event()
+    received = threading.Event()
 
-    def answers(listener: socket.socket) -> None:
+    def answers_late(listener: socket.socket) -> None:
         peer_socket, _ = listener.accept()
         peer_socket.recv(65536)
-        asked.set()
+        received.set()
         time.sleep(0.03)
         peer_socket.sendall(answer())
 
@@ -467,13 +469,13 @@
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            thread = threading.Thread(target=answers, args=(listener,))
+            thread = threading.Thread(target=answers_late, args=(listener,))
             thread.start()
             single = Single(config.Address("127.0.0.1", listener.getsockname()[1]))
             single.send(within_ms=60)
-            while not asked.is_set():
+            while not received.is_set():
                 await asyncio.sleep(0.001)
-            time.sleep(0.1)  # meanwhile the answer comes, and then the time is over
+            time.sleep(0.1)  # meanwhile the response arrives, and then the timeout passes
             assert await single.ended() == [AttemptResult.OK]
             single.pool.close()
             thread.join()
@@ -481,7 +483,7 @@
     asyncio.run(run())
 
 
-# Descriptors at the edge
+# Connection budget
 
 
 def test_idle_connections_are_shed_for_new_ones_at_the_connection_budget() -> None:
@@ -509,7 +511,7 @@
 
 
 def test_burst_of_connections_beyond_the_budget_is_answered_in_time() -> None:
-    async def burst() -> float:
+    async def longest_response_time() -> float:
         async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.05)
             writer.write(answer())
@@ -517,44 +519,44 @@
         async with rig(slow, slow, sockets=96) as r:
             loop = asyncio.get_running_loop()
 
-            async def timed() -> tuple[int, float]:
-                before = loop.time()
-                client = await r.client()  # which keeps its connection
+            async def ask_timed() -> tuple[int, float]:
+                started_s = loop.time()
+                client = await r.client()  # keeps its connection open
                 clients.append(client)
                 reply = await client.ask("search", remaining="500m")
-                return reply.status, loop.time() - before
+                return reply.status, loop.time() - started_s
 
             clients: list[Client] = []
-            replies = await asyncio.gather(*(timed() for _ in range(200)))
+            replies = await asyncio.gather(*(ask_timed() for _ in range(200)))
             assert {status for status, _ in replies} <= {200, 503}
             assert sum(status == 200 for status, _ in replies) >= 5
             assert (await r.ask()).status == 200
-            return max(spent for _, spent in replies)
+            return max(duration_s for _, duration_s in replies)
 
-    # The best of some bursts: a machine that is busy with something else makes any one of them late.
-    assert any(asyncio.run(burst()) < 0.5 for _ in range(4))
+    # The best of several bursts, as other load on the machine can delay any single one.
+    assert any(asyncio.run(longest_response_time()) < 0.5 for _ in range(4))
 
 
-# Faults of our own
+# Faults of the proxy itself
 
 
 def test_exception_in_the_balancer_fails_its_open_requests_and_the_proxy_continues() -> None:
     async def run() -> None:
         async with rig(silent) as r:
-            held = asyncio.create_task(r.ask("order", remaining="3000m"))
+            pending = asyncio.create_task(r.ask("order", remaining="3000m"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             balancer = r.proxy._decider._balancer
             handle = balancer.handle
 
-            def broken(now: int, events: list[Event]) -> list[Any]:
-                # At the next request and not at a tick before it, which the module that follows would take.
+            def raise_on_request(now: int, events: list[Event]) -> list[Any]:
+                # Not at a tick before the next request, which would then reach a new balancer.
                 if any(isinstance(event, RequestArrived) for event in events):
                     raise RuntimeError("broken")
                 return handle(now, events)
 
-            balancer.handle = broken  # type: ignore[method-assign]
+            balancer.handle = raise_on_request  # type: ignore[method-assign]
             assert (await r.ask("search")).status == 502
-            assert (await asyncio.wait_for(held, 1)).status in (502, 504)
+            assert (await asyncio.wait_for(pending, 1)).status in (502, 504)
             assert r.count("faults") == 1
             r.backends[0].behave = serves
             assert (await r.ask("search")).status == 200
@@ -567,10 +569,10 @@
         async with rig(serves) as r:
             await r.until(lambda: r.proxy._decider.endpoints_known.is_set())
             r.proxy._decider._balancer.handle = lambda now, events: []  # type: ignore[method-assign]
-            before = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             reply = await r.ask("search", remaining="200m")
             assert reply.status == 502
-            assert 0.19 < asyncio.get_running_loop().time() - before < 0.3
+            assert 0.19 < asyncio.get_running_loop().time() - started_s < 0.3
             assert r.count("answers_overdue") == 1
 
     asyncio.run(run())
@@ -591,23 +593,23 @@
     asyncio.run(run())
 
 
-# Clients that owe something
+# Clients that send incomplete or malformed requests
 
 
-async def slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serves_slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.1)
     await serves(seen, writer)
 
 
-def shorter(monkeypatch: pytest.MonkeyPatch) -> None:
-    owed = dict.fromkeys(STATE_TIMEOUT_S, 0.3)
-    owed |= {ConnectionState.IDLE: 0.5, ConnectionState.REJECTED: 0.2}
-    monkeypatch.setattr(deadlines, "STATE_TIMEOUT_S", owed)
+def shorten_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    timeouts = dict.fromkeys(STATE_TIMEOUT_S, 0.3)
+    timeouts |= {ConnectionState.IDLE: 0.5, ConnectionState.REJECTED: 0.2}
+    monkeypatch.setattr(deadlines, "STATE_TIMEOUT_S", timeouts)
     monkeypatch.setattr(frontend, "SWEEP_S", 0.02)
 
 
 @pytest.mark.parametrize(
-    "said",
+    "raw_input",
     [
         b"",
         b"GET /sea",
@@ -617,16 +619,16 @@
     ],
 )
 def test_incomplete_request_gets_an_error_or_a_close_in_time(
-    said: bytes, monkeypatch: pytest.MonkeyPatch
+    raw_input: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    shorter(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     async def run() -> None:
         async with rig(serves) as r:
             client, loop = await r.client(), asyncio.get_running_loop()
             start = loop.time()
-            client.writer.write(said)
-            if said:
+            client.writer.write(raw_input)
+            if raw_input:
                 assert (await client.read(1.0)).status == 408
             assert await client.closed(1.0)
             assert 0.25 < loop.time() - start < 1.0
@@ -638,13 +640,13 @@
 def test_idle_connection_is_closed_after_its_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    shorter(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     async def run() -> None:
         async with rig(serves) as r:
             client = await r.client()
             assert (await client.ask()).status == 200
-            await asyncio.sleep(0.35)  # longer than a newcomer may be silent
+            await asyncio.sleep(0.35)  # longer than a new connection may be silent
             assert (await client.ask()).status == 200
             assert await client.closed(1.5)
 
@@ -678,8 +680,8 @@
     async def run() -> None:
         async with rig(serves) as r:
             client, other = await r.client(), await r.client()
-            hidden = b"GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
-            client.writer.write(raw + hidden)
+            smuggled = b"GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
+            client.writer.write(raw + smuggled)
             assert (await client.read()).status in (400, 413)
             assert await client.closed()
             assert (await other.ask()).status == 200
@@ -698,7 +700,8 @@
             assert (await first.read()).status == 504
             r.backends[0].behave = serves
             third = await r.client()
-            assert (await third.ask("order", X_Txn="5")).status == 200  # it is open no more
+            # The id is not open any more.
+            assert (await third.ask("order", X_Txn="5")).status == 200
             assert len(r.backends[0].seen) == 2
 
     asyncio.run(run())
@@ -712,14 +715,14 @@
             client.writer.write(head)
             sent = 0
 
-            async def sends() -> None:
+            async def send_body() -> None:
                 nonlocal sent
                 while sent < 60_000_000:
                     client.writer.write(b"x" * 100_000)
                     sent += 100_000
                     await client.writer.drain()
 
-            sending = asyncio.create_task(sends())
+            sending = asyncio.create_task(send_body())
             assert (await client.read(2.0)).status == 413
             assert await client.closed(3.0)
             with contextlib.suppress(ConnectionError):
@@ -734,11 +737,11 @@
     async def run() -> None:
         async with rig(serves) as r:
             client = await r.client()
-            ids = [f"id-{i}" for i in range(60)]  # more than the parser lets wait
+            ids = [f"id-{i}" for i in range(60)]  # more than the parser queues
             client.writer.write(b"".join(request_bytes("search", X_Txn=i) for i in ids))
             for i in ids:
                 assert (await client.read()).body == b"served " + i.encode()
-            r.backends[0].behave = slowly
+            r.backends[0].behave = serves_slowly
             client.writer.write(request_bytes("search", X_Txn="last"))
             await r.until(lambda: len(r.backends[0].seen) == 61)
             client.writer.write(b"\x00nonsense\r\n")
@@ -753,10 +756,10 @@
 def test_response_ends_its_connection_when_half_of_the_connection_budget_is_used() -> None:
     async def run() -> None:
         async with rig(serves, sockets=64) as r:
-            held = [await r.client() for _ in range(18)]
-            endings = [(await client.ask()).headers.get("connection") for client in held]
-            assert endings[0] == "close"  # 18 of 23: a crowd
-            assert endings[-1] is None  # most have been let go by then
+            clients = [await r.client() for _ in range(18)]
+            endings = [(await client.ask()).headers.get("connection") for client in clients]
+            assert endings[0] == "close"  # 18 of a budget of 23 connections are open
+            assert endings[-1] is None  # most are closed by then
             assert r.count("connections_shed") == 0
 
     asyncio.run(run())
@@ -765,11 +768,11 @@
 def test_new_silent_connections_are_shed_before_one_that_was_served() -> None:
     async def run() -> None:
         async with rig(serves, sockets=64) as r:
-            usual = await r.client()
-            assert (await usual.ask()).status == 200
+            served_client = await r.client()
+            assert (await served_client.ask()).status == 200
             silent_ones = [await r.client() for _ in range(40)]
             await asyncio.sleep(0.5)
-            assert (await usual.ask()).status == 200
+            assert (await served_client.ask()).status == 200
             assert r.count("connections_shed") >= 10
             for client in silent_ones:
                 client.close()
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -1,9 +1,9 @@
-"""Random sequences of input, breaks, resets, time-outs, signals and handovers leave nothing open.
+"""Random sequences of input, resets, timeouts, drains and handovers leave nothing open.
 
-Each seed plays some clients against one proxy whose backends answer early, late, at length, in part
-or not at all. Some seeds drain the proxy, stop it, or hand it over to a second one in the middle.
-Afterwards nothing may be open: no id and no request in the decisions, no attempt, no buffer grant,
-no client, no connection to a backend that is not idle, and no descriptor more than at the start.
+Each seed runs several clients against one proxy whose backends send early, late, long, partial or
+no responses. Some seeds drain the proxy, stop it, or hand it over to a second one in the middle.
+Afterwards nothing may be open: no id and no request in the decider, no attempt, no buffer grant, no
+client, no busy connection to a backend, and no more descriptors than at the start.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 CLIENTS = 12
 REQUESTS = 4  # of one client at most
 BACKENDS = 2
-SETTLE_S = 6.0  # by then all that a client left open is over, with the time-outs below
+SETTLE_S = 6.0  # by then all that a client left open has timed out, with the timeouts below
 LONG_BYTES = 300_000
 MALFORMED = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
 class RandomBackend(StandIn):
-    """Reads requests by their framing, and does something at random with each."""
+    """Reads requests by their framing, and answers each in a random way."""
 
     def __init__(self, rng: random.Random, ident: str) -> None:
         super().__init__(ident=ident)
@@ -48,7 +48,7 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 if self._rng.random() < 0.25:
-                    await self._answer(writer)  # before the body is there
+                    await self._answer(writer)  # before the body is complete
                 await self._read_body(reader, head)
                 await self._answer(writer)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -109,8 +109,8 @@
 
 
 @dataclass
-class Stage:
-    """What one seed plays on."""
+class Setup:
+    """The directory, backends, listener and folder of one seed."""
 
     directory: Directory
     backends: list[RandomBackend]
@@ -131,7 +131,7 @@
 
 
 class RandomClient:
-    """Sends requests, breaks some, and ends in one of several ways."""
+    """Sends requests, some malformed, and ends in one of several ways."""
 
     def __init__(self, rng: random.Random, sock: socket.socket) -> None:
         self._rng = rng
@@ -159,7 +159,7 @@
                 await asyncio.sleep(self._rng.choice((0.0, 0.0, 0.01)))
 
     async def _end(self, reading: asyncio.Task[None]) -> None:
-        """Leave by a close, a reset or a half-close, or stay until the proxy ends it."""
+        """Leave by a close, a reset or a half-close, or stay until the proxy closes."""
         kind = self._rng.choice(["close", "reset", "half", "stay", "stay unread"])
         if kind == "stay unread":
             reading.cancel()
@@ -177,7 +177,7 @@
             self._sock.close()
 
     def _request(self) -> list[bytes]:
-        """Return the pieces of one request, which may be broken."""
+        """Return the pieces of one request, which may be malformed or incomplete."""
         rng = self._rng
         size = rng.choice((0, 10, 5_000, 70_000, 150_000, 400_000))
         lane = rng.choice(("search", "pay", "order"))
@@ -204,47 +204,47 @@
         return [head, body[:cut], body[cut:]]
 
 
-async def undisturbed(stage: Stage, proxy: Proxy) -> Proxy:
+async def run_undisturbed(setup: Setup, proxy: Proxy) -> Proxy:
     return proxy
 
 
-async def drained_and_back(stage: Stage, proxy: Proxy) -> Proxy:
+async def drain_and_rejoin(setup: Setup, proxy: Proxy) -> Proxy:
     proxy.handle_admin_call("/api/evacuate")
     await asyncio.sleep(0.4)
     proxy.handle_admin_call("/api/rejoin")
     return proxy
 
 
-async def handed_over(stage: Stage, proxy: Proxy) -> Proxy:
-    """Begin a second proxy, and end the first one as an upgrade does."""
-    successor = stage.proxy()
+async def hand_over(setup: Setup, proxy: Proxy) -> Proxy:
+    """Start a second proxy, and stop the first one as an upgrade does."""
+    successor = setup.proxy()
     await successor.start()
     await proxy.stop(0.0)
     assert_nothing_open(proxy)
     return successor
 
 
-async def stopped(stage: Stage, proxy: Proxy) -> Proxy:
-    """End the proxy in the middle: what is incomplete is rejected, the rest answered."""
+async def stop_and_restart(setup: Setup, proxy: Proxy) -> Proxy:
+    """Stop the proxy in the middle: incomplete requests are rejected, others answered."""
     await proxy.stop(0.0)
     assert_nothing_open(proxy)
-    successor = stage.proxy()
+    successor = setup.proxy()
     await successor.start()
     return successor
 
 
-Disturbance = Callable[[Stage, Proxy], Awaitable[Proxy]]
-DISTURBANCES: list[Disturbance] = [undisturbed, drained_and_back, handed_over, stopped]
+Disturbance = Callable[[Setup, Proxy], Awaitable[Proxy]]
+DISTURBANCES: list[Disturbance] = [run_undisturbed, drain_and_rejoin, hand_over, stop_and_restart]
 
 
-def what_is_open(proxy: Proxy) -> dict[str, int]:
-    """Count all that a request or its client may hold, by name, without what is at 0."""
+def open_resources(proxy: Proxy) -> dict[str, int]:
+    """Count the resources that requests and clients may hold, by name, without zeros."""
     balancer = proxy._decider._balancer
     frontend = proxy._frontend
     pool = proxy._pool
-    held = {
+    counts = {
         "ids": len(frontend._open_ids),
-        "accepted": frontend.count,
+        "accepted": frontend.connection_count,
         "requests": len(proxy._decider._pending),
         "requests of the balancer": len(balancer.requests.open),
         "queued": balancer.queue.count,
@@ -259,20 +259,20 @@
         "faults": proxy.counters.values["faults"],
     }
     states = {f"clients {state}": count for state, count in frontend.open_by_state().items()}
-    return {name: count for name, count in (held | states).items() if count}
+    return {name: count for name, count in (counts | states).items() if count}
 
 
 def assert_nothing_open(proxy: Proxy) -> None:
-    assert what_is_open(proxy) == {}
+    assert open_resources(proxy) == {}
 
 
 @pytest.fixture
-def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let every time-out end within the seconds of a test."""
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten every timeout to fit into a test."""
     monkeypatch.setattr(backend_connection, "STALL_S", 0.6)
     monkeypatch.setattr(response_relay, "STALL_S", 0.6)
-    monkeypatch.setattr(request_body, "UPLOAD_S", 0.4)
-    monkeypatch.setattr(deadlines, "UNREAD_S", 0.8)
+    monkeypatch.setattr(request_body, "UPLOAD_PROGRESS_TIMEOUT_S", 0.4)
+    monkeypatch.setattr(deadlines, "UNREAD_RESPONSE_TIMEOUT_S", 0.8)
     monkeypatch.setattr(deadlines, "PENALTY_S", 0.1)
     for state, timeout_s in connection_states.STATE_TIMEOUT_S.items():
         short_s = 0.3 if state is not ConnectionState.IDLE else 1.0
@@ -287,19 +287,19 @@
     directory = Directory([backend.row() for backend in backends])
     await directory.start()
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-    stage = Stage(directory, backends, listener, folder)
+    setup = Setup(directory, backends, listener, folder)
     descriptors = Path("/proc/self/fd")
     before = len(os.listdir(descriptors))
-    proxy = stage.proxy()
+    proxy = setup.proxy()
     await proxy.start()
-    clients = [RandomClient(random.Random(f"{seed}-{i}"), stage.connect()) for i in range(CLIENTS)]
+    clients = [RandomClient(random.Random(f"{seed}-{i}"), setup.connect()) for i in range(CLIENTS)]
     playing = asyncio.gather(*(client.play() for client in clients))
     await asyncio.sleep(rng.uniform(0.05, 0.8))
-    proxy = await rng.choice(DISTURBANCES)(stage, proxy)
+    proxy = await rng.choice(DISTURBANCES)(setup, proxy)
     await playing
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(SETTLE_S):
-            while what_is_open(proxy):
+            while open_resources(proxy):
                 await asyncio.sleep(0.02)
     assert_nothing_open(proxy)
     await proxy.stop(0.0)
@@ -312,5 +312,5 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_stays_open(seed: int, tmp_path: Path, short_times: None) -> None:
+def test_nothing_stays_open(seed: int, tmp_path: Path, short_timeouts: None) -> None:
     asyncio.run(play(seed, tmp_path))
