--- a/mothstall/__main__.py
+++ b/mothstall/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m mothstall`."""
+"""Entry point of `python -m mothstall`."""
 
 import gc
 import sys
 
-# Guards against a start that is spent on garbage collection, on a small share of a core: what is
-# imported stays, so there is next to nothing to find. `run` enables it again once the proxy has
-# started, `main` for everything else.
+# Guards against a start that spends its time on garbage collection when it has a small share of a
+# core: imported objects stay alive, so a collection frees almost nothing. `run` enables collection
+# once the proxy has started, `main` enables it for all other commands.
 gc.disable()
 
 from mothstall.cli import main  # noqa: E402
--- a/mothstall/cli.py
+++ b/mothstall/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check-config, version; other groups stand in modules of their own."""
+"""The command line: serve, check-config and version; other commands have separate modules."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     from mothstall.fleet.operator_config import OperatorConfig
 
-# Groups of commands by the module that holds them, and the list of libraries that it needs.
+# Groups of commands: the module of each, and the requirements file with the libraries it needs.
 _GROUPS = {
     "lab": ("mothstall.lab.command", "requirements-lab.txt"),
     "keeper": ("mothstall.commands.command_line", "requirements-fleet.txt"),
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class _Serve:
-    """What an empty command line means: run the proxy, all else by the environment."""
+    """The arguments of an empty command line: run the proxy as the environment configures it."""
 
     command: str = "serve"
     config: str | None = None
@@ -54,47 +54,47 @@
     )
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     serve = commands.add_parser("serve", help="run the proxy (the default)")
-    check = commands.add_parser("check-config", help="read and check the configuration, then end")
+    check = commands.add_parser("check-config", help="read and check the configuration, then exit")
     for command in (serve, check):
         command.add_argument("--config", metavar="FILE", help="the JSON file (default: $LB_CONFIG)")
         command.add_argument(
-            "--operator", metavar="FILE", help="the operator file: take part in a fleet"
+            "--operator", metavar="FILE", help="operator file; makes the proxy part of a fleet"
         )
     serve.add_argument("--log-level", choices=LOG_LEVELS, help="overrides log_level of the file")
     commands.add_parser("version", help="print the version")
     commands.add_parser(
-        "lab", help="play fleets, faults and loads; `mothstall lab --help`", add_help=False
+        "lab", help="simulate fleets, faults and loads; see `mothstall lab --help`", add_help=False
     )
     commands.add_parser("keeper", help="run one replica of the fleet's store", add_help=False)
     for name, what in (
-        ("observer", "run one observer, between the keepers and the proxies of a zone"),
-        ("observers", "the observers: who is attached, how old their data is"),
-        ("keepers", "the store's replicas: status, members, backup"),
-        ("lease", "who holds which lease: list, take, drop"),
-        ("drain", "send no new work to a backend or a zone"),
-        ("undrain", "take a drain back"),
-        ("drains", "what is drained, by whom, since when, why"),
-        ("members", "the proxies that are alive"),
-        ("zones", "where traffic may go between zones, why, and operators' overrides"),
+        ("observer", "run one observer, which relays between keepers and the proxies of a zone"),
+        ("observers", "show the observers: attached proxies, age of their data"),
+        ("keepers", "manage the store's replicas: status, members, backup"),
+        ("lease", "manage leases: list, take, drop"),
+        ("drain", "stop sending new requests to a backend or a zone"),
+        ("undrain", "remove a drain"),
+        ("drains", "list drains: what is drained, by whom, since when and why"),
+        ("members", "list the live proxies"),
+        ("zones", "show traffic between zones and its reasons, and set overrides"),
     ):
         commands.add_parser(name, help=what, add_help=False)
     return parser
 
 
 def main(argv: Sequence[str] | None = None, env: Mapping[str, str] = os.environ) -> int:
-    """Run a command and return its exit code: 0 done, 1 cannot listen, 2 bad input."""
+    """Run a command and return its exit code: 0 success, 1 cannot listen, 2 invalid input."""
     words = list(sys.argv[1:] if argv is None else argv)
     if words and words[0] != "serve":
-        gc.enable()  # `python -m mothstall` starts without
+        gc.enable()  # `python -m mothstall` disables it
     if words and words[0] in _GROUPS:
         return _group(words)
-    # Restarted proxies have to be ready soon: with no arguments there is nothing to parse.
+    # Without arguments argparse is not imported, so that restarted proxies are ready sooner.
     args = _parser().parse_args(words) if words else _Serve()
     if args.command == "version":
         print(f"mothstall {__version__}")
         return 0
     if args.command == "serve":
-        # Guards against a SIGHUP that comes before the loop can handle it: it stays pending.
+        # Guards against a SIGHUP before its handler is installed: it stays pending until then.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         operator = _operator(args.operator)
@@ -115,7 +115,7 @@
 
 def _check_config(path: str | None, env: Mapping[str, str], operator: OperatorConfig | None) -> int:
     if operator and not (path or env.get("LB_CONFIG")):
-        # A keeper's machine has an operator file and no proxy's configuration.
+        # A keeper's machine has an operator file and no proxy configuration.
         print(_part_of(operator))
         return 0
     config = load(path, env)
@@ -132,7 +132,7 @@
 
 
 def _group(words: Sequence[str]) -> int:
-    """Run a command of a group, whose libraries are imported only now."""
+    """Run a command of a group; its module and libraries are imported on demand."""
     import importlib
 
     name, libraries = _GROUPS[words[0]]
@@ -149,7 +149,7 @@
 
 
 def _operator(path: str | None) -> OperatorConfig | None:
-    """The operator file, where one is named; without one nothing of the fleet is loaded."""
+    """Read the operator file, if there is one; without it no module of the fleet is imported."""
     if path is None:
         return None
     try:
@@ -170,7 +170,11 @@
 
 
 def _attaches(operator: OperatorConfig | None) -> None:
-    """Check that observers, where there are any, serve this proxy's zone; else ConfigError."""
+    """Check that, if there are observers, one serves this proxy's zone or region.
+
+    Raises:
+        ConfigError: No observer serves them.
+    """
     if operator is None or not operator.observers:
         return
     from mothstall.fleet.agent.observer_client import reachable_observers
@@ -184,11 +188,11 @@
 
 @contextlib.contextmanager
 def _without_certificates() -> Iterator[None]:
-    """Keep OpenSSL from loading the system's certificates while it lasts.
+    """Keep OpenSSL from loading the system's certificates within this context.
 
-    Guards against a start that reads them all: aiohttp makes two TLS contexts as it is imported,
-    which cost a fifth of the processor time from exec to ready, and the proxy speaks no TLS. A call
-    over TLS on such a context would trust nobody, and fail.
+    Guards against a slow start: aiohttp creates two TLS contexts when it is imported, which took a
+    fifth of the CPU time from exec to ready, and the proxy doesn't use TLS. A TLS connection with
+    such a context would trust no certificate, and fail.
     """
     before = {key: os.environ.get(key) for key in ("SSL_CERT_FILE", "SSL_CERT_DIR")}
     os.environ.update(dict.fromkeys(before, os.devnull))
@@ -210,7 +214,7 @@
         from mothstall.net.clock import TimedSelector
         from mothstall.net.proxy import run
 
-    # All that is loaded stays: no garbage collection goes through it again.
+    # Loaded modules stay alive: garbage collections need not traverse them.
     gc.freeze()
     logs.configure_logging(config.log_level)
     try:
--- a/mothstall/config.py
+++ b/mothstall/config.py
@@ -1,9 +1,9 @@
-"""Where the proxy's configuration is read, checked and given defaults.
+"""Reads and checks the proxy's configuration, and fills in defaults.
 
-Everything comes from one JSON file, named by `--config` or `LB_CONFIG`; `LB_NAME`, `LB_LISTEN` and
-`LB_DISCOVERY` override it. When the file is read again, its `discovery` goes before `LB_DISCOVERY`,
-which is as old as the process. `LB_ADMIN_ADDR` goes before `admin_addr`; `LB_LISTEN_FD` names a
-listener that the process inherits.
+The configuration is one JSON file, named by `--config` or `LB_CONFIG`. `LB_NAME`, `LB_LISTEN`,
+`LB_DISCOVERY` and `LB_ADMIN_ADDR` override its keys. On a reload the `discovery` of the file takes
+precedence over `LB_DISCOVERY`, which dates from the start of the process. `LB_LISTEN_FD` names a
+listening socket that the process inherits.
 """
 
 from __future__ import annotations
@@ -23,30 +23,35 @@
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
 DEFAULT_LOG_LEVEL = "info"
-MIN_DESCRIPTORS = 64  # fewer would leave no budget to clients or to backends
+MIN_DESCRIPTORS = 64  # fewer would leave no budget for clients or backends
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
 DEFAULT_BODY_MB = 40
-DEFAULT_IDLE_NS = 60 * NS  # after which a backend closes an idle connection
-DEFAULT_ANSWER_SLACK_NS = NS // 50  # by which an answer to a client may be late
+DEFAULT_IDLE_NS = 60 * NS  # time after which backends close idle connections
+DEFAULT_ANSWER_SLACK_NS = NS // 50  # time by which a response to a client may be late
 MAX_PORT = 65_535
 _LABEL = re.compile(r"[0-9A-Za-z_.-]{0,64}")
 
 
 class ConfigError(MothstallError, ValueError):
-    """The configuration cannot be used; the message names the key at fault."""
+    """The configuration is invalid; the error's text names the faulty key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """What the settings call things, in the order of the interface's indexes.
-
-    Attributes: classes: Names of classes; requests name theirs. tenants: Names of tenants. zones:
-    Names of zones. kinds: Names of hardware generations. effects: By class; a request has to agree
-    with its class. deadlines_ns: By class, how long clients wait. cost_label: The name in
-    `X-Labels` of a request's expected work in nanoseconds; empty: none is read. It is no part of
-    the settings. class_index: Indexes by class name. Guards against a search of all names for each
-    request. tenant_index: The same by tenant name.
+    """The names in the settings, in the order of the indexes that the interface uses.
+
+    Attributes:
+        classes: Names of request classes.
+        tenants: Names of tenants.
+        zones: Names of zones.
+        kinds: Names of hardware generations.
+        effects: The effect of each class, which its requests have to match.
+        deadlines_ns: The deadline of each class.
+        cost_label: Label in `X-Labels` with a request's expected work in nanoseconds; empty if none
+            is read. Not part of the settings.
+        class_index: Index by class name. Guards against a search of all names for each request.
+        tenant_index: Index by tenant name, for the same reason.
     """
 
     classes: tuple[str, ...]
@@ -66,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A host, by name or by number, and a port."""
+    """A host, by name or by IP address, and a port."""
 
     host: str
     port: int
@@ -80,21 +85,22 @@
     """The configuration of one proxy, checked and complete.
 
     Attributes:
-        name: For logs.
-        listen: Where clients connect.
-        discovery: The service that lists backends.
-        admin: Where operators call; None: there is no admin server.
-        listen_fd: The clients' listening socket, where the process inherits it.
-        handover_dir: Where two processes of this proxy meet: `TMPDIR`, with an inherited socket.
-        seed: The only source of randomness.
-        descriptors: `limits.sockets`: file descriptors that the process may hold.
-        memory_bytes: `limits.memory_mb`: what the process may hold.
-        max_body_bytes: `limits.body_mb`: what a body may hold, either way.
-        known: A cached endpoint list in discovery's form; it may be old.
-        settings: The settings of the decisions.
-        names: What the settings call things.
-        idle_ns: After which time a backend closes an idle connection.
-        answer_slack_ns: By how much an answer to a client may be late.
+        name: Name of the proxy in logs and for handovers.
+        listen: Address that clients connect to.
+        discovery: Address of the service that lists backends.
+        admin: Address of the admin server; None without one.
+        listen_fd: Descriptor of the clients' listening socket; None if it is not inherited.
+        handover_dir: Directory for handovers between processes of this proxy: `TMPDIR`, if the
+            listening socket is inherited.
+        seed: Seed of all randomness.
+        descriptors: `limits.sockets`: maximum number of file descriptors of the process.
+        memory_bytes: `limits.memory_mb`: memory limit of the process.
+        max_body_bytes: `limits.body_mb`: maximum size of the body of a request or response.
+        known: A cached endpoint list in discovery's format, which may be old.
+        settings: The settings of the balancer.
+        names: The names in the settings.
+        idle_ns: Time after which a backend closes an idle connection.
+        answer_slack_ns: Time by which a response to a client may be late.
         log_level: One of `LOG_LEVELS`.
     """
 
@@ -117,15 +123,15 @@
 
     @property
     def cost_label(self) -> str:
-        """The name in `X-Labels` of a request's expected work; empty: none is read."""
+        """Label in `X-Labels` with a request's expected work; empty if none is read."""
         return self.names.cost_label
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that `host:port` means; an IPv6 host stands in brackets.
+    """Return the address in `host:port`; an IPv6 host is written in brackets.
 
     Raises:
-        ValueError: The text is no address.
+        ValueError: The text is not an address.
     """
     host, separator, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
@@ -136,16 +142,16 @@
 
 
 def load(path: str | None, env: Mapping[str, str], *, again: bool = False) -> Config:
-    """Return the configuration of a file, with what the environment overrides.
+    """Return the configuration in a file, with the overrides of the environment.
 
     Args:
-        path: The file; None: the one that `LB_CONFIG` names.
+        path: The file; None for the one that `LB_CONFIG` names.
         env: The environment.
-        again: The file is read again by a proxy that runs: its `discovery` goes before the
-            environment's, and no listener is inherited.
+        again: A running proxy reloads the file: its `discovery` takes precedence over that of the
+            environment, and no listener is inherited.
 
     Raises:
-        ConfigError: The configuration cannot be used.
+        ConfigError: The configuration is invalid.
     """
     path = path or env.get("LB_CONFIG")
     if not path:
@@ -166,7 +172,7 @@
 
 
 def _read_object(path: str) -> dict[str, Any]:
-    """The JSON object that a file holds."""
+    """Return the JSON object in a file."""
     try:
         tree = json.loads(Path(path).read_bytes())
     except OSError as why:
@@ -174,20 +180,20 @@
     except (ValueError, RecursionError) as why:
         raise ConfigError(f"LB_CONFIG: {path} is not JSON: {why}") from why
     if not isinstance(tree, dict):
-        raise ConfigError(f"LB_CONFIG: {path} holds no JSON object")
+        raise ConfigError(f"LB_CONFIG: {path} does not contain a JSON object")
     return tree
 
 
 def inherited(text: str | None) -> int | None:
-    """Return the descriptor that `LB_LISTEN_FD` names, if it names one.
+    """Return the descriptor in the text of `LB_LISTEN_FD`; None if that is unset or empty.
 
     Raises:
-        ConfigError: It is no stream socket that listens.
+        ConfigError: The descriptor is not a listening stream socket.
     """
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise ConfigError(f"LB_LISTEN_FD must be a descriptor's number, not {text[:60]!r}")
+        raise ConfigError(f"LB_LISTEN_FD must be the number of a descriptor, not {text[:60]!r}")
     number = int(text[:9])
     try:
         copy = os.dup(number)
@@ -198,22 +204,22 @@
     except OSError as why:
         raise ConfigError(f"LB_LISTEN_FD: descriptor {number}: {why.strerror}") from why
     if not listens:
-        raise ConfigError(f"LB_LISTEN_FD: descriptor {number} is no stream socket that listens")
+        raise ConfigError(f"LB_LISTEN_FD: descriptor {number} is not a listening stream socket")
     return number
 
 
 def from_tree(
     tree: Mapping[str, Any], listen_fd: int | None = None, handover_dir: str | None = None
 ) -> Config:
-    """Return the configuration that a JSON object means.
+    """Return the configuration in a JSON object.
 
     Args:
         tree: The object.
-        listen_fd: The clients' listening socket, where the process inherits it.
-        handover_dir: Where two processes of this proxy meet.
+        listen_fd: Descriptor of the clients' listening socket, if it is inherited.
+        handover_dir: Directory for handovers between processes of this proxy.
 
     Raises:
-        ConfigError: A key is missing or holds something that cannot be used.
+        ConfigError: A key is missing or has an invalid value.
     """
     raw = _value(tree, "settings", dict)
     try:
@@ -286,7 +292,7 @@
         return None
     admin = _address(tree, "admin_addr")
     if admin == listen and admin.port:
-        raise ConfigError(f"admin_addr is that of listen, {listen}")
+        raise ConfigError(f"admin_addr is the same address as listen, {listen}")
     return admin
 
 
@@ -302,7 +308,7 @@
     )
 
 
-# Keys that need a restart, by the field that holds them; `seed` and `known` count at a start alone.
+# Keys that need a restart, by field of `Config`; `seed` and `known` are only used at a start.
 _RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -319,7 +325,7 @@
 
 
 def keys_that_need_restart(old: Config, new: Config) -> list[str]:
-    """Return the keys that differ and cannot be applied to a proxy that runs."""
+    """Return the changed keys that cannot be applied to a running proxy."""
     differing = [
         key
         for attribute, key in _RESTART_KEYS.items()
@@ -331,7 +337,7 @@
 def _value(
     tree: Mapping[str, Any], key: str, kind: type, default: Any = None, prefix: str = ""
 ) -> Any:
-    """The value of a key, of this JSON type; without a default it has to be there."""
+    """Return the value of a key, checked for its JSON type; required if there is no default."""
     value = tree.get(key)
     if value is None:
         if default is None:
@@ -353,7 +359,7 @@
 
 
 def _names_of_objects(raw: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    """The `name` of each object in a list of the settings."""
+    """Return the `name` of each object in a list of the settings."""
     found = []
     for index, row in enumerate(raw.get(key) or []):
         name = row.get("name") if isinstance(row, dict) else None
@@ -361,7 +367,7 @@
             raise ConfigError(f"setting {key}.{index}.name is missing")
         found.append(name)
     if len(set(found)) < len(found):
-        raise ConfigError(f"setting {key} names one twice")
+        raise ConfigError(f"setting {key} has a duplicate name")
     return tuple(found)
 
 
--- a/mothstall/durations.py
+++ b/mothstall/durations.py
@@ -1,4 +1,4 @@
-"""Durations as operators write them: `250us`, `40ms`, `1.5s`, `2m`; whole nanoseconds here."""
+"""Parses operators' durations (`250us`, `40ms`, `1.5s`, `2m`) to whole nanoseconds."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def parse_duration(text: object) -> Duration:
-    """Return the duration that a text such as `250ms` means.
+    """Return the duration in a text such as `250ms`.
 
     Raises:
-        ValueError: The text is no duration; the message completes that of a key.
+        ValueError: The text is not a duration; the caller puts the key before the error's text.
     """
     match = _DURATION.fullmatch(text) if isinstance(text, str) else None
     if not match:
--- a/mothstall/errors.py
+++ b/mothstall/errors.py
@@ -1,9 +1,9 @@
-"""The base class of all exceptions that this project raises on its own account."""
+"""The base class of all exceptions that this project defines."""
 
 
 class MothstallError(Exception):
-    """Base of every package's hierarchy of exceptions.
+    """Base of all exceptions of the project.
 
-    Each package derives one base of its own (`StoreError`, `FleetError`, ...), and specific errors
-    below that, so that a caller can catch exactly what it can handle.
+    Each package derives its own base class (`StoreError`, `FleetError`, ...) and specific errors
+    from that, so that a caller can catch exactly the errors that it can handle.
     """
--- a/mothstall/net/__init__.py
+++ b/mothstall/net/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on sockets: one package that turns HTTP into the interface's events and back."""
+"""The proxy's network side: translates HTTP into events of `mothstall.interface` and back."""
--- a/mothstall/net/actor.py
+++ b/mothstall/net/actor.py
@@ -1,4 +1,4 @@
-"""An actor: state that nobody else touches, and a mailbox that the event loop drains."""
+"""An actor: private state, and a mailbox whose messages the event loop delivers in batches."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 log = logging.getLogger("mothstall.actor")
 
 M = TypeVar("M")
-MAX_MAILBOX = 65_536  # what can wait is bounded by the descriptor budget; more than this is a fault
+MAX_MAILBOX = 65_536  # the descriptor budget bounds waiting messages; more than this is a bug
 
 
 class Actor(Generic[M]):
-    """Base of all actors: `tell` adds a message, `receive` handles all that have come.
+    """Base of all actors: `tell` queues a message, `receive` handles all queued messages.
 
     Attributes:
-        name: For the log.
-        loop: The event loop that drains the mailbox.
-        counters: Where faults are counted.
+        name: Name of the actor in the log.
+        loop: The event loop that delivers the mailbox.
+        counters: Counts exceptions raised by `receive`.
     """
 
     def __init__(self, name: str, loop: asyncio.AbstractEventLoop, counters: Counters) -> None:
@@ -32,7 +32,7 @@
         self._due = False
 
     def tell(self, message: M) -> None:
-        """Put a message into the mailbox; it is received in a later turn of the event loop."""
+        """Queue a message, which is received in a later iteration of the event loop."""
         check_invariant(len(self._mail) < MAX_MAILBOX, "mailboxes stay short", self.counters)
         self._mail.append(message)
         if not self._due:
@@ -45,14 +45,14 @@
         self._due = False
         try:
             self.receive(batch)
-        except Exception as why:  # a fault of one batch must not end the actor
+        except Exception as why:  # an exception in one batch must not stop the actor
             self.counters.add("faults")
             log.exception("actor fault", extra={"kv": {"actor": self.name, "messages": len(batch)}})
             self.recover(batch, why)
 
     def receive(self, batch: list[M]) -> None:
-        """Handle all messages that have come, in their order."""
+        """Handle the queued messages in order of arrival."""
         raise NotImplementedError
 
     def recover(self, batch: list[M], why: Exception) -> None:
-        """Answer what the actor had open, after `receive` raised `why`."""
+        """Finish the work that was open when `receive` raised `why`."""
--- a/mothstall/net/admin/__init__.py
+++ b/mothstall/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server: the operators' calls to one proxy."""
+"""The admin server, which serves operators' calls to one proxy."""
--- a/mothstall/net/admin/server.py
+++ b/mothstall/net/admin/server.py
@@ -1,7 +1,7 @@
-"""The admin server: a listener of its own, one call to a connection, few callers at a time.
+"""The admin server: a separate listener, one call per connection, a limited number of callers.
 
-It uses plain sockets with descriptors out of the reserve, so that clients can't exhaust them. What
-a call does and what its response says is up to `answer`; this module knows calls and callers only.
+It uses plain sockets whose descriptors come from the reserve, so that clients can't exhaust them.
+The `answer` callback executes the calls; this module only parses them and manages connections.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 log = logging.getLogger("mothstall.admin")
 
-MAX_CALLERS = 16  # connections, whether they owe a call or linger
-MAX_ACCEPT = 64  # in one turn of the event loop
-OWED_S = 5.0  # for a complete call
-LINGER_S = 1.0  # how long a lingering close reads what still arrives
+MAX_CALLERS = 16  # open connections, including those in a lingering close
+MAX_ACCEPT = 64  # connections accepted in one iteration of the event loop
+OWED_S = 5.0  # timeout of a complete call
+LINGER_S = 1.0  # a lingering close reads and discards input for this time
 MAX_CALL = 8 * 1024  # bytes of a head, and of a body
-BACKLOG = 128  # connections that wait in the kernel
+BACKLOG = 128  # connections queued by the kernel
 HTTP_VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 CALLS = {
     "/api/ready": "GET",
@@ -46,7 +46,7 @@
 
 
 class AdminCallError(ValueError):
-    """A call that is rejected; `status` is that of the response."""
+    """A call is rejected with a response of `status`."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -54,10 +54,10 @@
 
 
 def read_call(received: bytes) -> str | None:
-    """The path of the call in `received`; None while it is incomplete. Pure.
+    """Return the path of the call in `received`; None while it is incomplete. Pure.
 
     Raises:
-        AdminCallError: no such call, or one that is malformed or too long.
+        AdminCallError: The call is unknown, malformed or too long.
     """
     head, end, rest = received.partition(b"\r\n\r\n")
     if not end:
@@ -80,7 +80,7 @@
 
 
 def _content_length(rows: list[bytes]) -> int:
-    """The length that the header rows give; 0 where they give none."""
+    """Return the value of Content-Length in the header rows; 0 without one."""
     length: int | None = None
     for row in rows:
         name, colon, value = row.partition(b":")
@@ -100,13 +100,13 @@
 @dataclass(slots=True, eq=False)
 class _Caller:
     sock: socket.socket
-    since: float  # the loop's clock, s: when it connected, or when its response was sent
+    since: float  # on the loop's clock, s: when it connected, or when its response was sent
     received: bytes = b""
     answered: bool = False
 
 
 class AdminServer:
-    """Listens for operators' calls and answers each with what `answer` returns for its path."""
+    """Accepts operators' calls and answers each with the result of `answer` for its path."""
 
     def __init__(
         self,
@@ -121,16 +121,16 @@
         self.counters = counters
         self._answer = answer
         self._listener: socket.socket | None = None
-        self._callers: dict[_Caller, None] = {}  # that owe a call, in order of arrival
-        self._lingering: dict[_Caller, None] = {}  # that have their response, in its order
+        self._callers: dict[_Caller, None] = {}  # without a complete call, oldest first
+        self._lingering: dict[_Caller, None] = {}  # answered and not closed, oldest first
         self._sweeper: asyncio.TimerHandle | None = None
         self.port = 0
 
     async def start(self) -> None:
-        """Listens.
+        """Start to listen.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: The address can't be bound.
         """
         sock = await open_listener("admin_addr", self._address, BACKLOG)
         self._listener = sock
@@ -139,7 +139,7 @@
         self._sweep()
 
     def stop(self) -> None:
-        """Closes the listener and every connection."""
+        """Close the listener and all connections."""
         if self._sweeper:
             self._sweeper.cancel()
         for caller in (*self._callers, *self._lingering):
@@ -158,16 +158,16 @@
             except OSError:
                 return
             if len(self._callers) + len(self._lingering) >= MAX_CALLERS:
-                # Guards against callers that hold on, answered or with no complete call: the oldest
-                # is closed.
+                # Guards against callers that keep their connections open, answered or without a
+                # complete call: the oldest one is closed.
                 self._end(next(iter(self._lingering or self._callers)))
             sock.setblocking(False)
-            # Guards against a response that the kernel delays, and that is lost with a reset.
+            # Guards against a response that the kernel delays and a reset then discards.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             caller = _Caller(sock, self.loop.time())
             self._callers[caller] = None
-            # A call that arrived with its connection is answered before any other may take its
-            # place.
+            # A call that has already arrived is answered before later connections can displace its
+            # caller.
             self._read(caller)
             if caller in self._callers or caller in self._lingering:
                 self.loop.add_reader(sock, self._read, caller)
@@ -202,7 +202,7 @@
         self._respond(caller, status, text)
 
     def _respond(self, caller: _Caller, status: int, text: str) -> None:
-        """The complete response at once: the kernel buffers far more, for a slow caller."""
+        """Send the complete response in one write: it fits into the kernel's send buffer."""
         body = text.encode()
         head = (
             f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain\r\n"
@@ -217,7 +217,10 @@
         self._linger(caller)
 
     def _linger(self, caller: _Caller) -> None:
-        """Guards against a close over bytes behind the call, which would reset the response."""
+        """Begin a lingering close.
+
+        Guards against closing with unread bytes after the call, which would reset the response.
+        """
         self._callers.pop(caller, None)
         caller.answered = True
         caller.received = b""
--- a/mothstall/net/body_relay.py
+++ b/mothstall/net/body_relay.py
@@ -1,8 +1,8 @@
-"""Long bodies on their way from one peer to the other, a window at a time.
+"""Relays long bodies from one peer to the other with bounded buffers.
 
-A stream stands between a source, which can be paused, and a sink, which says when it is blocked.
-What it buffers is bounded by its window and one read of the source. Grants bound how many streams
-are on their way at once. Pure: no sockets, no clock.
+A stream connects a source, which can be paused, to a sink, which reports when it is blocked. A
+stream buffers at most its window plus one read of the source. Grants limit the number of concurrent
+streams. Pure: no sockets, no clock.
 """
 
 from __future__ import annotations
@@ -10,47 +10,47 @@
 from collections import deque
 from typing import Protocol
 
-WINDOW_BYTES = 64 * 1024  # buffered for one stream while its sink takes nothing
-MAX_READ_BYTES = 64 * 1024  # taken from a peer's connection at once
-MAX_SINK_WRITE_BYTES = 16 * 1024  # given to a sink at once, so that little is left in its transport
-# What one stream may cost, buffers of its sink's transport included.
+WINDOW_BYTES = 64 * 1024  # buffered per stream while its sink is blocked
+MAX_READ_BYTES = 64 * 1024  # per read of a peer's connection
+MAX_SINK_WRITE_BYTES = 16 * 1024  # per write to a sink, so that its transport buffers little
+# Maximum memory of one stream, including the buffers of its sink's transport.
 STREAM_COST_BYTES = 2 * (WINDOW_BYTES + MAX_READ_BYTES)
-STREAMS_MEMORY_FRACTION = 0.25  # of the memory limit, for all streams together
+STREAMS_MEMORY_FRACTION = 0.25  # of the memory limit, for all streams
 DIRECTIONS = 2  # requests and responses
-MIN_STREAMS = 4  # in each direction, however little memory there is
+MIN_STREAMS = 4  # per direction, even with a smaller memory limit
 
 
 class Source(Protocol):
-    """Where a body comes from."""
+    """The side of a stream that provides the body."""
 
     def pause(self) -> None:
-        """Stop giving."""
+        """Stop reading the body."""
 
     def resume(self) -> None:
-        """Go on giving."""
+        """Resume reading the body."""
 
     def sink_closed(self) -> None:
-        """The sink takes nothing more."""
+        """The sink no longer accepts data."""
 
 
 class Sink(Protocol):
-    """Where a body goes."""
+    """The side of a stream that receives the body."""
 
     def write_body(self, data: bytes) -> None:
-        """Take the next part."""
+        """Write the next part of the body."""
 
     def end_body(self) -> None:
-        """All of it was given to `write_body`."""
+        """Finish the body: all of it was passed to `write_body`."""
 
     def abort_body(self) -> None:
-        """No more comes than was given to `write_body`: the reader has to see that it was cut."""
+        """End an incomplete body in a way that shows its reader that it was truncated."""
 
 
 class BufferGrants:
-    """Permits for streams, given in the order in which they were requested.
+    """Permits for streams, granted in the order of the requests.
 
     Attributes:
-        max_streams: How many streams may have a permit at once.
+        max_streams: Maximum number of streams that hold a permit at once.
     """
 
     def __init__(self, most: int) -> None:
@@ -59,7 +59,7 @@
         self._waiting: dict[Stream, None] = {}
 
     def request(self, stream: Stream) -> bool:
-        """Return whether the stream has its permit at once; else `on_granted` says when."""
+        """Return whether a permit is free; if not, `on_granted` is called once one is."""
         if len(self._holders) < self.max_streams:
             self._holders.add(stream)
             return True
@@ -67,7 +67,7 @@
         return False
 
     def release(self, stream: Stream) -> None:
-        """Give a permit, or a place in the queue, back."""
+        """Return a permit, or leave the queue for one."""
         self._waiting.pop(stream, None)
         if stream not in self._holders:
             return
@@ -80,25 +80,25 @@
 
 
 def max_streams_for(memory_bytes: int) -> int:
-    """Return how many streams each direction may have in a process with so much memory."""
+    """Return the maximum number of streams per direction under a memory limit."""
     share_bytes = memory_bytes * STREAMS_MEMORY_FRACTION / DIRECTIONS
     return max(MIN_STREAMS, int(share_bytes / STREAM_COST_BYTES))
 
 
 class Stream:
-    """One body.
+    """One body that is relayed from its source to its sink.
 
-    The source calls `feed`, `end`, `truncate` and `abort`; the sink `open`, `sink_blocked`,
+    The source calls `feed`, `end`, `truncate` and `abort`; the sink calls `open`, `sink_blocked`,
     `sink_ready` and `drop`.
 
     Attributes:
-        buffered_bytes: Bytes that are buffered now.
-        max_buffered_bytes: The most that ever were.
-        received_bytes: Bytes that the source gave.
-        delivered_bytes: Bytes given to the sink.
-        is_opened: A sink took it, so that its first bytes may be gone.
-        is_over: It has ended, one way or the other.
-        is_complete: All of it was given to the sink.
+        buffered_bytes: Bytes that are currently buffered.
+        max_buffered_bytes: Maximum of `buffered_bytes` so far.
+        received_bytes: Bytes received from the source.
+        delivered_bytes: Bytes written to the sink.
+        is_opened: A sink was attached, so the first bytes may no longer be buffered.
+        is_over: The stream has ended, complete or not.
+        is_complete: The complete body was written to the sink.
     """
 
     def __init__(self, source: Source, grants: BufferGrants) -> None:
@@ -121,10 +121,10 @@
         self._granted = grants.request(self)
         self._apply_backpressure()
 
-    # The source
+    # Called by the source
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Buffer the next bytes of the body and deliver what the sink accepts."""
         if self.is_over or self._ended or not data:
             return
         self._buffer.append(data)
@@ -135,7 +135,7 @@
         self._apply_backpressure()
 
     def end(self) -> None:
-        """All of it came; the source is free for other uses."""
+        """Mark the body as completely received; the source is released for other uses."""
         if self.is_over or self._ended:
             return
         self._ended = True
@@ -147,20 +147,20 @@
         self._deliver()
 
     def abort(self) -> None:
-        """What the source gave is of no use to anyone: the sink is told at once."""
+        """Discard the body, and abort it at the sink at once."""
         if self.is_over:
             return
         self._finish()
         sink = self._sink
-        # By identity: a backend's connection has a length (aiohttp's DataQueue), and is false.
+        # No truth test: a backend's connection has a length (aiohttp's DataQueue) and may be falsy.
         if sink is not None:
             self._sink = None
             sink.abort_body()
 
     def truncate(self) -> None:
-        """The source gives nothing more, and what it gave is not complete.
+        """Mark the body as ended before it was complete.
 
-        Guards against taking from the reader what did come: the sink is told of the cut behind it.
+        Guards against losing the received part: it is delivered before the sink is aborted.
         """
         if self.is_over or self._ended:
             return
@@ -169,28 +169,28 @@
         self._source = None
         self._deliver()
 
-    # The sink
+    # Called by the sink
 
     def open(self, sink: Sink) -> None:
-        """Deliver to `sink` from now on."""
+        """Attach the sink and start to deliver."""
         self._sink = sink
         self.is_opened = True
         self._deliver()
         self._apply_backpressure()
 
     def sink_blocked(self) -> None:
-        """The sink takes nothing more for now."""
+        """Stop delivering until `sink_ready`."""
         self._sink_is_blocked = True
         self._apply_backpressure()
 
     def sink_ready(self) -> None:
-        """The sink goes on taking."""
+        """Resume delivering after `sink_blocked`."""
         self._sink_is_blocked = False
         self._deliver()
         self._apply_backpressure()
 
     def drop(self) -> None:
-        """The sink takes nothing more, ever."""
+        """End the stream because its sink is closed, and notify the source."""
         if self.is_over:
             return
         source = self._source
@@ -199,48 +199,48 @@
         if source is not None:
             source.sink_closed()
 
-    # Handing over to another process
+    # Handover to another process
 
     def freeze(self) -> None:
-        """Stop both directions; what is buffered stays."""
+        """Pause the source and delivery; buffered data is kept."""
         self._frozen = True
         self._apply_backpressure()
 
     def thaw(self) -> None:
-        """Go on after `freeze`."""
+        """Resume after `freeze`."""
         self._frozen = False
         self._deliver()
         self._apply_backpressure()
 
     @property
     def source(self) -> Source | None:
-        """Where it comes from; None once that gives nothing more."""
+        """The source; None once it has ended."""
         return self._source
 
     @property
     def buffered(self) -> list[bytes]:
-        """What is buffered."""
+        """Copy of the buffered data, in order."""
         return list(self._buffer)
 
     @property
     def has_ended(self) -> bool:
-        """Whether the source gives nothing more."""
+        """Whether the source has ended, completely or not."""
         return self._ended
 
     @property
     def is_truncated(self) -> bool:
-        """Whether what the source gave is not complete."""
+        """Whether the source ended before the body was complete."""
         return self._truncated
 
     def abandon(self) -> None:
-        """End it here, as another process goes on; neither side is told of an end."""
+        """End the stream without notifying either side: another process continues it."""
         self._sink = None
         self._finish()
 
     # Between source and sink
 
     def on_granted(self) -> None:
-        """The permit that it waited for is there."""
+        """Start to relay: `BufferGrants` granted the permit that the stream waited for."""
         self._granted = True
         self._deliver()
         self._apply_backpressure()
@@ -273,7 +273,7 @@
         return self._granted and not self._sink_is_blocked and not self._frozen
 
     def _apply_backpressure(self) -> None:
-        """Read the source only while there is capacity for what it gives."""
+        """Pause or resume the source so that the buffer stays bounded."""
         if self.is_over or self._source is None:
             return
         must_pause = (
@@ -291,7 +291,7 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether the source is not read because the sink, or the lack of a permit, blocks it."""
+        """Whether the source is paused."""
         return self._paused
 
     def _finish(self) -> None:
--- a/mothstall/net/chunked_coding.py
+++ b/mothstall/net/chunked_coding.py
@@ -1,4 +1,4 @@
-"""The chunked coding, decoded as it comes, with a state to hand over to another process. Pure."""
+"""Incremental decoder of the chunked transfer coding; its state can be handed over. Pure."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from mothstall.net.errors import NetError
 
-MAX_LINE_BYTES = 8 * 1024  # of a size with its extensions, or of a trailer
-MAX_SIZE_DIGITS = 15  # of a chunk: below what a signed 64-bit number holds
+MAX_LINE_BYTES = 8 * 1024  # of a chunk size with its extensions, or of a trailer
+MAX_SIZE_DIGITS = 15  # of a chunk size, which then fits into a signed 64-bit number
 HEX_DIGITS = b"0123456789abcdefABCDEF"
-# What comes next: a chunk's size, its data, the line end after it, a trailer, nothing.
+# Expected next: a chunk size, chunk data, the line end after it, a trailer, nothing.
 SIZE, DATA, AFTER, TRAILER, END = range(5)
 
 
 class ChunkedCodingError(NetError, ValueError):
-    """The bytes are no chunks."""
+    """The bytes are not a valid chunked body."""
 
 
 @dataclass(slots=True)
 class ChunkedDecoder:
-    """The state of one body in the chunked coding.
+    """The decoder state of one chunked body.
 
     Attributes:
-        phase: What comes next: SIZE, DATA, AFTER, TRAILER or END.
-        remaining_bytes: Bytes of the open chunk that have not come.
-        partial_line: What has come of a line.
+        phase: The expected element: SIZE, DATA, AFTER, TRAILER or END.
+        remaining_bytes: Bytes of the current chunk that were not received yet.
+        partial_line: The received part of an incomplete line.
     """
 
     phase: int = SIZE
@@ -33,14 +33,14 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the last chunk and the trailers came."""
+        """Whether the last chunk and the trailers were received."""
         return self.phase == END
 
     def feed(self, raw: bytes) -> list[bytes]:
-        """Return the data in what came; what stands behind the end is left out.
+        """Return the body data in `raw`; bytes after the end of the body are ignored.
 
         Raises:
-            ChunkedCodingError: It cannot be read.
+            ChunkedCodingError: The bytes are not a valid chunked body.
         """
         found: list[bytes] = []
         at = 0
@@ -56,7 +56,7 @@
             end = raw.find(b"\n", at)
             self.partial_line += raw[at:] if end < 0 else raw[at : end + 1]
             if len(self.partial_line) > MAX_LINE_BYTES:
-                raise ChunkedCodingError("a line without end")
+                raise ChunkedCodingError("a line is too long")
             if end < 0:
                 break
             at = end + 1
@@ -69,12 +69,12 @@
         if self.phase == SIZE:
             digits = line.partition(b";")[0].strip()
             if not digits or len(digits) > MAX_SIZE_DIGITS or digits.strip(HEX_DIGITS):
-                raise ChunkedCodingError("no size of a chunk")
+                raise ChunkedCodingError("invalid chunk size")
             self.remaining_bytes = int(digits, 16)
             self.phase = DATA if self.remaining_bytes else TRAILER
         elif self.phase == AFTER:
             if line:
-                raise ChunkedCodingError("more than a chunk's size said")
+                raise ChunkedCodingError("chunk data is longer than its size")
             self.phase = SIZE
         elif not line:
             self.phase = END
--- a/mothstall/net/clock.py
+++ b/mothstall/net/clock.py
@@ -1,22 +1,22 @@
-"""Unix time in whole nanoseconds that only moves forward, and when the event loop last polled."""
+"""Unix time in whole nanoseconds that never goes backward, and a selector that times polls."""
 
 from __future__ import annotations
 
 import selectors
 import time
 
-MIN_WAIT_S = 0.0002  # a poll that lasted longer had to wait for what it reports
+MIN_WAIT_S = 0.0002  # a poll that lasted longer had to wait for the events that it reports
 
 
 class TimedSelector(selectors.DefaultSelector):
-    """A selector for the event loop that notes since when what it reports may have been waiting.
+    """A selector for the event loop that records the earliest time when its events may be from.
 
-    While the loop works nothing is read: what is there at the next poll may have come at any time
-    since the last one. Where the loop had to wait for it, it has just come.
+    The loop reads nothing while it runs callbacks: an event that the next poll reports at once may
+    be as old as the end of the previous poll. An event that the poll had to wait for is new.
 
     Attributes:
-        last_poll_s: When the last poll ended, on the monotonic clock.
-        earliest_ready_s: Since when what the last poll reported may have been ready.
+        last_poll_s: End of the last poll, on the monotonic clock.
+        earliest_ready_s: Earliest time at which the events of the last poll may have occurred.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self.earliest_ready_s = self.last_poll_s
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Poll, and note since when what is ready may have been."""
+        """Poll, and record the earliest time at which the reported events may have occurred."""
         began = time.monotonic()
         ready = super().select(timeout)
         ended = time.monotonic()
@@ -35,7 +35,7 @@
 
 
 class Clock:
-    """Unix time at the start plus the monotonic time since; the event loop has the same clock."""
+    """Unix time at the start plus the monotonic time since then, which the event loop uses too."""
 
     def __init__(self, poll: TimedSelector | None = None) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
@@ -46,7 +46,7 @@
         return time.monotonic_ns() + self._offset
 
     def arrived_after_ns(self) -> int:
-        """Return since when what the event loop is reading now may have been waiting."""
+        """Return the earliest time at which data that is read now may have arrived."""
         return (
             self.now()
             if self._poll is None
@@ -54,9 +54,9 @@
         )
 
     def unix_ns(self, at: float) -> int:
-        """Return Unix time in nanoseconds when the event loop's clock shows `at` seconds."""
+        """Convert a time of the event loop's clock in seconds to Unix time in nanoseconds."""
         return int(at * 1e9) + self._offset
 
     def loop_time(self, at_ns: int) -> float:
-        """Return the event loop's clock in seconds at the Unix time `at_ns`."""
+        """Convert Unix time in nanoseconds to a time of the event loop's clock in seconds."""
         return (at_ns - self._offset) / 1e9
--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -1,7 +1,7 @@
-"""The actor round the decisions: it owns the balancer, the table of requests and the timers.
+"""The actor around the balancer: owns the balancer, the table of open requests and the timers.
 
-All messages of a mailbox become one `handle(now, events)`; the actions are carried out in their
-order. Nothing is decided here.
+Each batch of messages becomes one call of `Balancer.handle(now, events)`, whose actions are
+executed in order. This module makes no balancing decisions.
 """
 
 from __future__ import annotations
@@ -42,16 +42,16 @@
 
 @dataclass(slots=True)
 class _Pending:
-    """One request that is open.
+    """One open request.
 
     Attributes:
         arrived: The request.
-        deadline_ns: Unix time by which it has to be answered.
-        backstop: Answers it if no decision does; None: its body is still on its way.
-        attempts: The actor of each attempt; None: it was never sent.
-        in_flight: Attempts that have not ended.
-        is_answered: It has its final response, or the first bytes of a long one.
-        has_timed_out: The last attempt ran out of time.
+        deadline_ns: Unix time by which the request has to be answered.
+        backstop: Fails the request after its deadline; None: its body is still being received.
+        attempts: The backend actor of each attempt; None for an attempt that was never sent.
+        in_flight: Number of attempts that have not ended.
+        is_answered: The final response, or the first bytes of a long one, was sent.
+        has_timed_out: The last attempt that ended had timed out.
         is_relaying: A long response is being relayed.
     """
 
@@ -66,12 +66,12 @@
 
 
 class Decider(Actor[DeciderMessage]):
-    """The actor that carries out what the balancer decides.
+    """The actor that executes the balancer's actions.
 
     Attributes:
-        endpoint_rows_received: Rows of endpoint lists and of their changes, ever.
-        endpoints_known: Set once an endpoint list is there to start with.
-        on_attempt_ended: Called with each end of an attempt and the index of its class.
+        endpoint_rows_received: Rows of endpoint lists and of deltas received so far.
+        endpoints_known: Set once there is an endpoint list to serve with.
+        on_attempt_ended: Called when an attempt ends, with its message and request class index.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self._balancer = Balancer(config.settings, config.seed)
         self._restarts = 0
         self._pending: dict[int, _Pending] = {}
-        # May be removed once the actions of this batch are carried out.
+        # Entries to check for removal once the actions of this batch are executed.
         self._ended_entries: list[_Pending] = []
         self._backends: dict[int, Backend] = {}
         self._endpoints: dict[int, io.Endpoint] = {}
@@ -101,22 +101,22 @@
         self._discovery: Discovery | None = None
         self.endpoints_known = asyncio.Event()
         self.on_attempt_ended: Callable[[backend_messages.AttemptEnded, int], None] | None = None
-        # By when all has to be answered, once the process is to end.
+        # Unix time by which all requests have to be answered; set when the process begins to stop.
         self._stop_by_ns: int | None = None
 
     def set_discovery(self, discovery: Discovery) -> None:
-        """Give the decider the actor that polls and watches endpoints."""
+        """Set the actor that polls and watches endpoints."""
         self._discovery = discovery
 
     def memory(self) -> io.InheritedState:
-        """Return what a process that takes over has to know."""
+        """Return the state that a successor process inherits."""
         return self._balancer.memory()
 
     def stop_by(self, latest_ns: int) -> None:
-        """Answer all that is open, and all that still comes, by `latest_ns`.
+        """Answer all open requests, and those that still arrive, by `latest_ns`.
 
-        Guards against a process that is killed while a request with a longer deadline is open, or
-        one whose long body its backend takes no more of.
+        Guards against a process that is killed while a request is open that has a longer deadline,
+        or whose long body the backend has stopped reading.
         """
         self._stop_by_ns = latest_ns
         for request, entry in self._pending.items():
@@ -125,18 +125,18 @@
                 self._start_backstop(request, entry)
 
     def listed_count(self) -> int:
-        """How many backends are listed."""
+        """Number of listed backends."""
         return len(self._endpoints)
 
     def out_of_rotation_count(self) -> int:
-        """How many listed backends get nothing new: those that drain or are ejected."""
+        """Number of listed backends that get no new requests because they drain or are ejected."""
         draining = sum(entry.health != Health.READY for entry in self._endpoints.values())
         return draining + self._balancer.out_of_rotation()
 
     # Messages to events
 
     def receive(self, batch: list[DeciderMessage]) -> None:
-        """Give all messages to the balancer at once, and carry out its actions."""
+        """Pass the batch to the balancer as events, and execute its actions."""
         now = self._clock.now()
         events: list[io.Event] = []
         for message in batch:
@@ -148,7 +148,7 @@
         self._remove_ended()
 
     def _to_event(self, message: DeciderMessage, now: int) -> io.Event | None:
-        """Note what a message says of its request; return what the balancer has to be told."""
+        """Update the table of requests by a message; return the event for the balancer, if any."""
         if isinstance(message, backend_messages.AttemptEnded):
             return self._on_ended(message)
         if isinstance(message, RequestArrived):
@@ -192,8 +192,8 @@
             deadline = min(deadline, message.latest_ns)
         entry = _Pending(message, deadline)
         self._pending[message.request] = entry
-        # The time of a request with a long body counts from when all of it is written, unless the
-        # process ends before.
+        # The deadline of a request with a long body counts from the end of writing the body, unless
+        # the process stops before.
         if inbound.stream is not None and self._stop_by_ns is not None:
             entry.deadline_ns = self._stop_by_ns
         if inbound.stream is None or self._stop_by_ns is not None:
@@ -276,7 +276,7 @@
         return io.ClientLeft(request)
 
     def _on_overdue(self, request: int) -> io.Event | None:
-        """Answer a request for which no decision came in time."""
+        """Fail a request that the balancer did not decide on in time."""
         entry = self._pending.get(request)
         if entry is None or entry.is_answered:
             return None
@@ -291,7 +291,7 @@
         update = message.update
         if update is None:
             if self._endpoints:
-                self.endpoints_known.set()  # the list from before has to do
+                self.endpoints_known.set()  # serve with the list from before
             return io.EndpointUpdate(message.scope, self._version, [], int(message.took_s * io.NS))
         self.counters.add("list_updates")
         check_invariant(
@@ -305,8 +305,8 @@
                 self._remove_backend(number)
         for member in update.members:
             self._update_backend(member)
-        # Guards against a start by a cached list where the agent has a newer one, which binds from
-        # the start.
+        # Guards against serving with a cached list where discovery pushes: the agent may have a
+        # newer list, whose drains have to be obeyed from the start.
         if message.scope != UpdateScope.CACHED or (
             update.members and not self._config.settings.discovery_push
         ):
@@ -331,7 +331,7 @@
             actor.tell(backend_messages.DrainBackend())
 
     def _remove_backend(self, number: int) -> None:
-        """Drain a backend that left the list: attempts in flight end as they do."""
+        """Drain a backend that left the list; its attempts in flight go on to their end."""
         self._endpoints.pop(number, None)
         actor = self._backends.pop(number, None)
         if actor:
@@ -365,7 +365,7 @@
         | io.PollEndpoints
         | io.Log,
     ) -> None:
-        """Carry out an action that belongs to no request."""
+        """Execute an action that belongs to no request."""
         if isinstance(action, io.ProbeLoad):
             self._tell_backend(action.backend, backend_messages.SendProbe())
         elif isinstance(action, io.CloseIdleConnections):
@@ -446,8 +446,8 @@
         if entry.backstop:
             entry.backstop.cancel()
         if entry.in_flight:
-            # Guards against an attempt that still waits for its connection and goes out for nobody,
-            # where the settings let the balancer cancel none.
+            # Guards against sending an attempt that still waits for a connection after its request
+            # is answered, where the settings don't allow the balancer to cancel attempts.
             for number, actor in enumerate(entry.attempts):
                 if actor:
                     actor.tell(backend_messages.WithholdAttempt(entry.arrived.request, number))
@@ -455,7 +455,7 @@
             entry.arrived.reply(reply)
 
     def _begin_relay(self, entry: _Pending, reply: ClientResponse) -> None:
-        """Begin a long response; `ResponseRelayed` says what becomes of it."""
+        """Begin to relay a long response; `ResponseRelayed` reports how it ended."""
         check_invariant(not entry.is_answered, "one final answer", self.counters)
         entry.is_answered = True
         entry.is_relaying = True
@@ -464,10 +464,10 @@
         entry.arrived.reply(reply)
 
     def _remove_when_done(self, entry: _Pending) -> None:
-        """Remove an entry once it is complete, and not before the balancer has handled this batch.
+        """Remove an entry once it is complete, but only after the balancer has handled this batch.
 
-        Guards against an attempt that the balancer sends in the very batch in which the client
-        leaves: it has to be told of its end like any other, or it counts it as in flight for ever.
+        Guards against an attempt that the balancer sends in the same batch in which the client
+        leaves: without an `AttemptEnded` event the balancer would count it as in flight forever.
         """
         self._ended_entries.append(entry)
 
@@ -479,7 +479,7 @@
                 self._pending.pop(entry.arrived.request, None)
 
     def recover(self, batch: list[DeciderMessage], why: Exception) -> None:
-        """Fail all that is open, and start a new balancer: the old one may be in any state."""
+        """Fail all open requests and create a new balancer: the old one's state may be corrupt."""
         self._restarts += 1
         for message in batch:
             if isinstance(message, RequestArrived) and message.request not in self._pending:
--- a/mothstall/net/decider_messages.py
+++ b/mothstall/net/decider_messages.py
@@ -1,4 +1,4 @@
-"""The messages to the decider's actor, and its final response to a request."""
+"""Messages to the decider, and its final response to a request."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class ClientResponse:
-    """The one final response to a client.
+    """The final response to a client.
 
     Attributes:
-        status: Its status.
-        body: Its body, unless `stream` has it.
-        head: Further headers, each with its end of line.
+        status: Status code.
+        body: The body, unless it is in `stream`.
+        head: Further header lines, each with its line end.
         stream: A long body, in place of `body`.
-        length: Bytes of the stream, where it is known.
+        length: Length of the stream in bytes, if known.
     """
 
     status: int
@@ -36,14 +36,15 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request is there, complete or as far as its head.
+    """A client's request was received: completely, or its head only.
 
     Attributes:
         request: The request's number.
-        client_request: The request itself.
-        received_ns: Unix time since when it may have been there.
+        client_request: The parsed request.
+        received_ns: Earliest Unix time at which it may have arrived.
         reply: Called once with the final response.
-        latest_ns: Unix time by which it has to be answered, whatever its client says; None: none.
+        latest_ns: Unix time by which the proxy has to answer, even if the client would wait longer;
+            None for no such limit.
     """
 
     request: int
@@ -62,21 +63,21 @@
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer that the decisions set is due."""
+    """A timer that the balancer set has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class RequestOverdue:
-    """The backstop of a request that no decision has answered is due."""
+    """The backstop timer of an unanswered request has expired."""
 
     request: int
 
 
 @dataclass(slots=True)
 class ResponseRelayed:
-    """The relay of a long response has ended, one way or the other."""
+    """The relay of a long response has ended with `outcome`."""
 
     request: int
     outcome: Outcome
@@ -84,7 +85,7 @@
 
 @dataclass(slots=True)
 class AttemptAwaitsBody:
-    """An attempt was sent whose request's body is still on its way."""
+    """An attempt was sent while the request's body is still being received."""
 
     request: int
     attempt: int
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True)
 class PeerProcessEvent:
-    """What another process of this proxy, or the fleet, tells the decisions."""
+    """An event for the balancer from another process of this proxy, or from the fleet."""
 
     event: io.InheritedState | io.SuccessorChanged | io.HealthHint | io.ZoneWeights
 
--- a/mothstall/net/discovery/__init__.py
+++ b/mothstall/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: polls and watches at discovery."""
+"""The endpoint list: polls and watches of discovery."""
--- a/mothstall/net/discovery/discovery.py
+++ b/mothstall/net/discovery/discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list: an actor that calls discovery, as one poll or as a watch that goes on."""
+"""The endpoint list: an actor that polls discovery, or watches it for changes."""
 
 from __future__ import annotations
 
@@ -24,47 +24,47 @@
 
 log = logging.getLogger("mothstall.discovery")
 
-WAIT_S = 5.0  # how long one watch call waits for an event, at least
-MAX_WAIT_S = 60.0  # the same, at most
-# How long a call that does not wait may take. Discovery itself gives up a call that has been queued
-# for 2 s: one that it took up just before that must not be work for nobody.
+WAIT_S = 5.0  # minimum time that one watch call waits for an event
+MAX_WAIT_S = 60.0  # maximum time that one watch call waits for an event
+# Timeout of a call that does not wait. Discovery drops a call that has been queued for 2 s: the
+# timeout is longer, so that a call it began to serve just before that is not wasted.
 CALL_S = 2.25
-# The same for a call that waits, beyond its wait: its events count as delivered 2 s after that.
+# Timeout of a call that waits, after its wait: its events count as delivered 2 s after the wait.
 GRACE_S = 1.2
-CONNECT_S = 1.0  # for a connection to discovery
+CONNECT_S = 1.0  # timeout of a connection to discovery
 MAX_LIST = 8 * 1024 * 1024  # bytes of one response
 HTTP_OK = 200
-MOVE_PAUSE_S = 0.1  # between attempts at a new address
-MOVE_TRY_S = 3.0  # how long they go on
-# Where the list is pushed, what the agent has applies at once: both limits below follow from the
-# grace of a drain.
-CALL_PART = 0.5  # of the grace: what a first call may take
-PAUSE_PART = 0.25  # of the grace: the pause before the next call after a second failure in a row
-MIN_CALL_S = 0.2  # of a first call, however short the grace
+MOVE_PAUSE_S = 0.1  # between calls at a new address that fail
+MOVE_TRY_S = 3.0  # after a change of address: failed calls are retried after MOVE_PAUSE_S
+# Where the list is pushed, a drain counts from when the agent has it: the two fractions below
+# derive time limits from the grace of a drain.
+CALL_PART = 0.5  # of the grace: time of a first call before the next one begins
+PAUSE_PART = 0.25  # of the grace: pause between calls from the second failure in a row on
+MIN_CALL_S = 0.2  # lower limit of the time of a first call
 MIN_PAUSE_S = 0.05  # guards against a busy loop where the grace is zero
-MAX_PAUSE_S = 1.0  # however long the grace
-SPREAD_S = 0.01  # after a silence that all proxies share, for each proxy
-MAX_SPREAD_S = 0.5  # the same, for all of them
+MAX_PAUSE_S = 1.0  # upper limit of the pause
+SPREAD_S = 0.01  # per proxy: spreads the calls of all proxies after an outage of discovery
+MAX_SPREAD_S = 0.5  # upper limit of the spread over all proxies
 
 
-# Headers that aiohttp would add and that discovery doesn't need.
+# Headers that aiohttp adds by default and discovery doesn't need.
 SKIP_AUTO = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
-# Called at the first byte of the response to the call in whose context it is set.
+# Called at the first byte of the response; set in the context of the task that makes the call.
 _on_first_byte: ContextVar[Callable[[], None] | None] = ContextVar("_on_first_byte", default=None)
 
 
 class Connection(ResponseHandler):
-    """A connection that notifies of a response's first byte.
+    """A connection that reports the first byte of a response.
 
-    aiohttp itself notifies of a complete head at the earliest.
+    aiohttp itself reports nothing before the head is complete.
     """
 
     on_first_byte: Callable[[], None] | None = None
 
     def data_received(self, data: bytes) -> None:
-        """Notifies once, before the bytes are parsed."""
+        """Call `on_first_byte` once, before the bytes are parsed."""
         notify = self.on_first_byte
         self.on_first_byte = None
         if notify:
@@ -73,11 +73,11 @@
 
 
 class Connector(aiohttp.TCPConnector):
-    """Makes connections of the class above; no limit, no cached names."""
+    """Creates connections of class `Connection`, without a connection limit or a DNS cache."""
 
     def __init__(self) -> None:
         super().__init__(limit=0, use_dns_cache=False, happy_eyeballs_delay=None)
-        # Which class a connection is of has no public switch.
+        # aiohttp has no public option for the class of connections.
         make: Any = partial(Connection, loop=self._loop)
         self._factory = make
 
@@ -87,7 +87,7 @@
         traces: list[Any],
         timeout: aiohttp.ClientTimeout,  # noqa: ASYNC109 - the signature of aiohttp
     ) -> ClientConnection:
-        """A connection that notifies the call, in whose context this runs, of its first byte."""
+        """Return a connection whose first byte is reported to the call in the current context."""
         connection = await super().connect(req, traces, timeout)
         if isinstance(connection.protocol, Connection):
             connection.protocol.on_first_byte = _on_first_byte.get()
@@ -95,7 +95,7 @@
 
 
 def make_session() -> aiohttp.ClientSession:
-    """A client that sends a request as given, once."""
+    """Return a client that sends each request once, and without additional headers."""
     session = aiohttp.ClientSession(
         connector=Connector(),
         cookie_jar=aiohttp.DummyCookieJar(),
@@ -104,83 +104,83 @@
         trust_env=False,
         timeout=aiohttp.ClientTimeout(total=None, connect=None, sock_connect=None, sock_read=None),
     )
-    # A call is one call: aiohttp's retry on a dropped idle connection has no public switch.
+    # Disables aiohttp's retry on a dropped idle connection, which has no public option.
     session._retry_connection = False
     return session
 
 
 async def read_complete(response: aiohttp.ClientResponse, max_bytes: int) -> bytes:
-    """The body of a response.
+    """Return the body of a response.
 
     Raises:
-        UnreadableMessageError: its end is not marked, or it is longer than `max_bytes`.
+        UnreadableMessageError: The body has no framing, or is longer than `max_bytes`.
     """
     chunked = response.headers.get("Transfer-Encoding", "").lower().endswith("chunked")
     framed = response.content_length is not None or chunked
     if not framed:
-        raise protocol.UnreadableMessageError("a response without a marked end")
+        raise protocol.UnreadableMessageError("response has neither a length nor chunks")
     if (response.content_length or 0) > max_bytes:
-        raise protocol.UnreadableMessageError("a response that is too long")
+        raise protocol.UnreadableMessageError("response is too long")
     parts = []
     size = 0
     async for chunk in response.content.iter_any():
         parts.append(chunk)
         size += len(chunk)
         if size > max_bytes:
-            raise protocol.UnreadableMessageError("a response that is too long")
+            raise protocol.UnreadableMessageError("response is too long")
     return b"".join(parts)
 
 
 @dataclass(slots=True)
 class SetWatching:
-    """Begins or ends the watch."""
+    """Start or end the watch."""
 
     on: bool
 
 
 @dataclass(slots=True)
 class PollOnce:
-    """One poll of the full list."""
+    """Poll the full list once."""
 
 
 @dataclass(slots=True)
 class DiscoveryMoved:
-    """The same service is at another address from now on."""
+    """The address of discovery has changed."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
 class PollFailed:
-    """A call that brought no list."""
+    """A call that failed."""
 
-    silent: bool  # no byte was received within its time
-    since: float  # the loop's clock, s: events after it may have been missed
+    silent: bool  # no byte was received before the timeout
+    since: float  # on the loop's clock, s: later events may have been missed
 
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """A response of discovery, or that a call failed."""
+    """A response of discovery, or a failed call."""
 
     scope: UpdateScope
     update: protocol.ParsedUpdate | None
-    took_s: float = 0.0  # of a failed call: how long ago it began
+    took_s: float = 0.0  # of a failed call: time since events may have been missed
 
 
 @dataclass(slots=True)
 class CallTiming:
-    """How long calls take and what lies between them, in seconds."""
+    """Time limits of calls and pauses between them, in seconds."""
 
-    wait_s: float  # of a watch call, for an event
-    first_s: float  # after which the next call follows a first one
-    pause_s: float  # after a second failure in a row, where the list is pushed
-    spread_s: float  # after a silence that all proxies share
+    wait_s: float  # time that a watch call waits for an event
+    first_s: float  # time of a first call before the next one begins
+    pause_s: float  # between calls from the second failure in a row on, where the list is pushed
+    spread_s: float  # delay of this proxy's next call after a watch that timed out silently
 
 
 def call_timing(push: bool, proxies: int, position: int, grace_s: float) -> CallTiming:
-    """The timing of one proxy's calls; the arguments are those of `Discovery`."""
+    """Return the timing of one proxy's calls; the arguments are those of `Discovery`."""
     return CallTiming(
-        # All proxies together end about one wait a second, as one service serves them all.
+        # One discovery serves all proxies: together they end about one wait per second.
         wait_s=min(MAX_WAIT_S, max(WAIT_S, float(proxies))),
         first_s=min(CALL_S, max(MIN_CALL_S, CALL_PART * grace_s)) if push else CALL_S,
         pause_s=min(MAX_PAUSE_S, max(MIN_PAUSE_S, PAUSE_PART * grace_s)),
@@ -189,7 +189,7 @@
 
 
 class Discovery(Actor[SetWatching | PollOnce | DiscoveryMoved]):
-    """Polls and watches discovery, and reports each update and each failure."""
+    """Polls and watches discovery, and reports each update and each failure to `report`."""
 
     def __init__(
         self,
@@ -208,13 +208,13 @@
         """Creates the actor; no call is made before `start` or a message.
 
         Args:
-            address: where discovery is.
-            version: of the cached list; updates are asked for since then.
-            names: of zones, classes and loads, to read updates by.
-            push: whether the watch goes on by itself.
-            proxies: how many proxies share one discovery.
-            position: this proxy's among them, from 0.
-            grace_s: how long requests may go on after a drain is notified.
+            address: address of discovery.
+            version: version of the cached list; updates since then are requested.
+            names: names of zones and hardware kinds, to parse updates with.
+            push: whether the watch starts by itself and continues after failures.
+            proxies: number of proxies that share one discovery.
+            position: index of this proxy among them, from 0.
+            grace_s: how long requests may still be sent after a drain is delivered.
             loop: the event loop.
             counters: where calls and failures are counted.
             report: receives each update and each failed call.
@@ -228,17 +228,17 @@
         self._timing = call_timing(push, proxies, position, grace_s)
         self._session = make_session()
         self._watch: asyncio.Task[None] | None = None
-        # In flight at an earlier address: its update still counts, but no call follows it.
+        # The watch at the previous address: its call in flight may still bring an update.
         self._former: asyncio.Task[None] | None = None
-        # A slow call that goes on beside those that follow it.
+        # A slow call that goes on while later calls are made.
         self._late: asyncio.Task[protocol.ParsedUpdate | PollFailed] | None = None
-        self._epoch = 0  # of the address: a watch of an earlier one ends
-        self._moved_until = 0.0  # the loop's clock, s: until then failures are retried soon
-        self._is_first_call_open = False  # a watch has begun and no response has been received yet
+        self._epoch = 0  # of the address: watches of earlier epochs end
+        self._moved_until = 0.0  # on the loop's clock, s: failures are retried soon until then
+        self._is_first_call_open = False  # a watch has started and has received no response yet
         self._fetches: set[asyncio.Task[None]] = set()
 
     def receive(self, batch: list[SetWatching | PollOnce | DiscoveryMoved]) -> None:
-        """Carries out the messages in order; none waits for a call."""
+        """Handle the messages in order, without waiting for calls."""
         for message in batch:
             if isinstance(message, DiscoveryMoved):
                 self._move(message.address)
@@ -250,7 +250,7 @@
                 continue
             is_push_watched = self._push and self._watch and not self._watch.done()
             if message.on and (self._is_first_call_open or is_push_watched):
-                # The call in flight serves this message too, or the next one of the watch.
+                # The call in flight serves this message too, or the running watch does.
                 continue
             self._drop()
             if message.on:
@@ -258,7 +258,7 @@
                 self._watch = self.loop.create_task(self._follow(self._epoch, self._address))
 
     def start(self) -> None:
-        """Where updates are pushed, the watch begins by itself."""
+        """Start the watch if updates are pushed."""
         if self._push:
             self.tell(SetWatching(True))
 
@@ -272,9 +272,9 @@
         self._is_first_call_open = False
 
     def _move(self, address: Address) -> None:
-        """Begins at the new address at once; the call in flight at the old one still counts.
+        """Call the new address at once; the call in flight at the old one may bring an update.
 
-        Guards against a gap: the old address ends its watches at any time, or falls silent.
+        Guards against a gap: the old address may end its watches at any time, or stop responding.
         """
         if address == self._address:
             return
@@ -286,14 +286,13 @@
         self._former = self._watch
         if self._watch is None or self._watch.done():
             self._is_first_call_open = True
-        # Where a watch is on, a first call that does not wait would bring no more than the next
-        # one.
+        # A running watch goes on with a call that waits: a poll would bring nothing more.
         self._watch = self.loop.create_task(
             self._follow(self._epoch, address, first=self._is_first_call_open)
         )
 
     async def stop(self) -> None:
-        """Cancels all calls and closes the connections."""
+        """Cancel all calls and close the connections."""
         for task in (self._watch, self._former, self._late, *self._fetches):
             if task:
                 task.cancel()
@@ -309,7 +308,7 @@
     async def _watch_call(
         self, address: Address, first: bool
     ) -> protocol.ParsedUpdate | PollFailed:
-        """The next call of a watch: the first one does not wait for an event."""
+        """Make the next call of a watch; the first one does not wait for an event."""
         wait_ms = 1 if first else int(self._timing.wait_s * 1000)
         query = f"?since={self._version}&timeout_ms={wait_ms}"
         if first and self._timing.first_s < CALL_S:
@@ -318,24 +317,24 @@
         return await self._call(address, query, max_s, waits=not first)
 
     async def _follow(self, epoch: int, address: Address, first: bool = True) -> None:
-        """A watch: the first call polls what was missed, each later one waits for an event."""
-        failures = 0  # calls in a row
+        """Run a watch: the first call polls missed changes, later calls wait for an event."""
+        failures = 0  # in a row
         while epoch == self._epoch:
             result = await self._watch_call(address, first)
             update = None if isinstance(result, PollFailed) else result
             if epoch != self._epoch:
-                # The watch at the new address is the one that counts, and its failures with it.
+                # The address has changed: only an update of this call counts, not a failure.
                 if update and (update.members or update.is_complete):
                     self._report_update(update)
                 return
             if isinstance(result, PollFailed) and self.loop.time() < self._moved_until:
-                # Guards against a wait into the silence of a service that is still coming up.
+                # Guards against a long wait for a service that is still starting.
                 first = True
                 await asyncio.sleep(MOVE_PAUSE_S)
                 continue
             if isinstance(result, PollFailed) and result.silent and not first:
-                # Guards against a pause after a silence: what was missed counts as delivered 2 s
-                # after the wait.
+                # Guards against a longer pause after a silent watch: missed events count as
+                # delivered 2 s after the wait.
                 first = True
                 self._is_first_call_open = True
                 await asyncio.sleep(self._timing.spread_s)
@@ -345,7 +344,7 @@
                 self._report_failure(result)
                 if not self._push:
                     return
-                # Guards against a drain that the agent has and nobody has read: its grace is short.
+                # Guards against a drain that this proxy does not read before its grace is over.
                 await asyncio.sleep(self._timing.pause_s if failures else 0.0)
                 failures += 1
                 first = True
@@ -358,12 +357,11 @@
     async def _call_briefly(
         self, address: Address, query: str
     ) -> protocol.ParsedUpdate | PollFailed:
-        """A call that the next one follows after `first_s`; one at a time goes on beside them.
+        """Make a call that counts as failed after `first_s`, but may go on in the background.
 
-        Guards against an agent that is slow, as a drain's grace leaves a call too little time.
-        Worst
-        sum: one has its 2.25 s, the next that has them begins a pause later (1 s), its response
-        takes 2.25: under 6 s.
+        Guards against an agent that responds slower than a drain's grace allows. One call at a time
+        goes on in the background. Worst case: 2.25 s for that call, a pause of 1 s, and 2.25 s for
+        the next one, less than 6 s in total.
         """
         call = self.loop.create_task(self._call(address, query, CALL_S))
         began = self.loop.time()
@@ -377,7 +375,7 @@
                 if late and late.done():
                     received = _update_of(late)
                     if received is not None:
-                        return received  # the agent is reachable: on to a watch
+                        return received  # the agent is reachable: continue with a watch
                     late = None
                 await asyncio.wait(
                     {call, late} if late else {call},
@@ -396,7 +394,7 @@
                 call.cancel()
 
     def _received_late(self, call: asyncio.Task[protocol.ParsedUpdate | PollFailed]) -> None:
-        """Guards against an update that is held up by a pause between the calls that follow."""
+        """Report the update of the slow call now, not after a pause between later calls."""
         if self._late is call:
             self._late = None
         update = _update_of(call)
@@ -406,7 +404,7 @@
     async def _fetch(self) -> None:
         result: protocol.ParsedUpdate | PollFailed | None = None
         address = None
-        # Discovery may have moved while a call failed.
+        # The address may have changed while a call failed.
         while not isinstance(result, protocol.ParsedUpdate) and address != self._address:
             address = self._address
             result = await self._call(address, "", CALL_S)
@@ -418,16 +416,16 @@
     async def _call(
         self, address: Address, query: str, max_s: float, waits: bool = False
     ) -> protocol.ParsedUpdate | PollFailed:
-        """One call of `max_s` at most; `waits`: it is answered only once there is an event."""
+        """Make one call with a timeout of `max_s`; `waits`: the response waits for an event."""
         self.counters.add("discovery_calls")
         why: object
         began = self.loop.time()
-        first_byte_at: float | None = None  # the loop's clock, s
+        first_byte_at: float | None = None  # on the loop's clock, s
         silent = False
         limit = asyncio.timeout(max_s)
 
         def on_first_byte() -> None:
-            # Guards against a response that trickles for as long as the wait would have been.
+            # Guards against a slow response that takes as long as the wait for an event may.
             nonlocal first_byte_at
             first_byte_at = self.loop.time()
             when = limit.when()
@@ -448,7 +446,7 @@
             why = f"{type(err).__name__}: {err}"
             silent = limit.expired() and first_byte_at is None
         except Exception as err:
-            # Guards against a watch that ends unnoticed: whatever went wrong, the call has failed.
+            # Guards against a watch that ends unnoticed: any exception is a failed call.
             self.counters.add("faults")
             log.exception("discovery fault")
             why = err
@@ -457,19 +455,18 @@
     def _failed(
         self, why: object, silent: bool, waits: bool, began: float, first_byte_at: float | None
     ) -> PollFailed:
-        """Counts and logs the failure of the current task's call."""
-        if asyncio.current_task() is not self._late:  # which has been counted
+        """Count and log the failure of the call that the current task makes."""
+        if asyncio.current_task() is not self._late:  # counted when its time was up
             self.counters.add("discovery_failures")
         log.info("discovery call failed", extra={"kv": {"why": why}})
         now = self.loop.time()
-        # A wait that breaks off late was a watch until then; one that breaks off early may never
-        # have begun.
+        # A wait that fails late was a watch until then; one that fails early may never have begun.
         watched = waits and not silent and now - began > CALL_S + GRACE_S
         watched_until = now if first_byte_at is None else first_byte_at
         return PollFailed(silent, watched_until if watched else began)
 
     async def _get(self, address: Address, query: str) -> tuple[int, bytes]:
-        """Status and body of one response."""
+        """Return status and body of one response."""
         async with self._session.get(
             URL(f"http://{address}{protocol.ENDPOINT_LIST_PATH}{query}", encoded=True),
             allow_redirects=False,
@@ -479,7 +476,7 @@
         return response.status, body
 
     def _accept(self, body: bytes) -> protocol.ParsedUpdate:
-        """The update in `body`, whose version becomes this proxy's; versions never go backward."""
+        """Return the update in `body` and adopt its version, which never goes backward."""
         update = protocol.parse_endpoint_list(json.loads(body), self._names)
         if update.version < self._version:
             raise protocol.UnreadableMessageError(f"version {update.version} after {self._version}")
@@ -490,7 +487,7 @@
 def _update_of(
     call: asyncio.Task[protocol.ParsedUpdate | PollFailed],
 ) -> protocol.ParsedUpdate | None:
-    """The update that a finished call brought, if it did."""
+    """Return the update that a finished call received, if any."""
     if call.cancelled():
         return None
     result = call.result()
--- a/mothstall/net/errors.py
+++ b/mothstall/net/errors.py
@@ -8,4 +8,4 @@
 
 
 class UnreadableMessageError(NetError, ValueError):
-    """What a client or a peer sent cannot be read; the message says which part."""
+    """A client or a peer sent something unreadable; the error's text names the faulty part."""
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -1,7 +1,8 @@
-"""The proxy's side of the fleet's agent: endpoint updates with operators' drains applied.
+"""Connects the proxy to the fleet's agent: applies operators' drains to endpoint updates.
 
-It exists only where an operator file is given. The agent knows backends by name, and drains; the
-decider receives discovery's update, or a change of it, and never waits.
+Only used where an operator file is given. The agent tracks drains by backend name. The decider
+receives discovery's updates with the drains applied, and a delta when the drains change; it never
+waits for the agent.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 
 
 class FleetIntegration:
-    """Applies drains to endpoint updates, and is the traffic that the agent's failover controls.
+    """Applies drains to endpoint updates, and gives the agent's failover access to the traffic.
 
-    The updates go on to `report`.
+    Updates with the drains applied are passed to `report`.
 
     Raises:
-        OSError: the agent can't be made.
-        ValueError: data that it persisted is unreadable.
+        OSError: the agent can't be created.
+        ValueError: data that the agent persisted is unreadable.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         return replace(member, endpoint=replace(member.endpoint, health=health))
 
     def endpoints_updated(self, message: EndpointsUpdated) -> None:
-        """An update of discovery, which goes on with the drains applied."""
+        """Pass an update of discovery on with the drains applied."""
         update = message.update
         if update is None:
             self._report(message)
@@ -104,7 +105,7 @@
         self._report(EndpointsUpdated(message.scope, replace(update, members=members)))
 
     def _changed(self) -> None:
-        """Drains may have changed: differences are reported at once, as a delta of the list."""
+        """Report backends whose drain state has changed, as a delta, and new health hints."""
         drained = self.agent.active_drains()
         rows = []
         for member in self._members.values():
@@ -118,20 +119,20 @@
                 )
             )
         for name in self.agent.take_unhealthy_backends():
-            if name in self._members:  # a backend known only by a hint is not listed
+            if name in self._members:  # a hint may name a backend that is not listed
                 self._report(PeerProcessEvent(HealthHint(self._members[name].endpoint.backend)))
 
-    # What failover reads and controls
+    # Interface that the agent's failover reads and controls traffic by
 
     def attempt_ended(self, message: AttemptEnded, cls: int) -> None:
-        """An attempt's end, for what this proxy reports of zones."""
+        """Record the end of an attempt in this proxy's statistics of zones."""
         zone = self._zones.get(message.backend)
         if zone and self.agent.failover:
             util = message.load[self._util] if 0 <= self._util < len(message.load) else -1.0
             self.agent.failover.record_attempt(zone, cls, message.result, message.latency_ns, util)
 
     def warm_weights(self) -> Mapping[str, float]:
-        """The weight of each zone's ready backends, reduced while they warm up."""
+        """The total weight of each zone's ready backends, reduced for those that are warming up."""
         weights = dict.fromkeys(self._zones.values(), 0.0)
         settings = self._settings
         now = self._clock.now()
@@ -148,11 +149,11 @@
         return weights
 
     def request_totals(self) -> tuple[int, int]:
-        """Counts of all requests so far, as the metrics keep them."""
+        """Requests accepted so far, and those of them that were rejected."""
         return self._figures.totals
 
     def apply_weights(self, weights: RoutingWeights, lifetime_ms: int) -> None:
-        """Gives the decider the zones' weights, which expire after `lifetime_ms`."""
+        """Pass the zones' weights to the decider; they expire after `lifetime_ms`."""
         parts = tuple(weights.weights.get(zone, 0.0) for zone in self._names.zones)
         until = self._clock.now() + lifetime_ms * NS_PER_MS
         self._report(
--- a/mothstall/net/handover/__init__.py
+++ b/mothstall/net/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes as one proxy while a new version takes over."""
+"""Handover between two processes of one proxy while a new version is deployed."""
--- a/mothstall/net/handover/handover.py
+++ b/mothstall/net/handover/handover.py
@@ -1,9 +1,9 @@
-"""Two processes as one proxy while a new version takes over: a Unix socket in a shared directory.
+"""Handover from an old process of a proxy to a new one, over a Unix socket in a shared directory.
 
-The new process sends a request at its start, once it could accept clients; the old one stops
+The new process sends a request at its start, once it can accept clients. The old process stops
 accepting, sends its state, and hands over the descriptors of client connections as they become
-idle, so that no connection is closed on a request in flight. Whatever fails (no process, a
-malformed message, silence, a process that dies) leaves one process that serves as if alone.
+idle, so that no connection is closed with a request in flight. If the handover fails (no old
+process, a malformed message, a timeout, a process that dies), one process serves on its own.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 log = logging.getLogger("mothstall.handover")
 
-ANSWER_S = 0.5  # for the old process's state
-MAX_PEERS = 4  # processes that may be connected at once
+ANSWER_S = 0.5  # timeout for the old process's state
+MAX_PEERS = 4  # connections of later processes at once
 READ_BATCH = 32  # messages read in one iteration of the event loop
-MAX_DESCRIPTORS = 4  # sent with one message
+MAX_DESCRIPTORS = 4  # per message
 MAX_PATH = 100  # bytes that the address of a Unix socket holds on every platform
 
 
 class PeerConnection:
-    """A connection between two processes that carries complete messages and descriptors."""
+    """A connection between two processes that transfers complete messages and descriptors."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         loop.add_reader(sock, self._read)
 
     def send(self, raw: bytes, fds: list[int] | None = None) -> bool:
-        """Whether the kernel accepted it; the buffer of a peer that does not read is soon full."""
+        """Send a message; False if the kernel rejects it, as when a peer does not read."""
         if not self.open:
             return False
         try:
@@ -72,7 +72,7 @@
         return True
 
     def close(self) -> None:
-        """Closes the connection and notifies once; may be called again."""
+        """Close the connection and call `on_close` once; may be called again."""
         if self.open:
             self.open = False
             self.loop.remove_reader(self.sock)
@@ -80,10 +80,10 @@
             self._on_close(self)
 
     def finish(self) -> None:
-        """Takes what the peer has sent already, and closes the connection.
+        """Receive what the peer has already sent, and close the connection.
 
-        Guards against descriptors that go down unread with this end of the connection: from the
-        shutdown on the peer's `send` fails, so that what it would hand over stays with it.
+        Guards against losing unread descriptors with this end of the connection: after the shutdown
+        the peer's `send` fails, so that the peer keeps the connections it has not handed over.
         """
         if self.open:
             with contextlib.suppress(OSError):
@@ -93,7 +93,7 @@
             self.close()
 
     def _read(self) -> bool:
-        """Whether there may be more than was read."""
+        """Read a batch of messages; returns whether there may be more."""
         for _ in range(READ_BATCH):
             if not self.open:
                 return False
@@ -117,22 +117,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverCallbacks:
-    """What the proxy does at each step of a handover."""
+    """Callbacks of the proxy for the steps of a handover."""
 
-    # A later process takes over: this one stops accepting.
+    # A later process takes over: stop accepting, and return the state for it.
     hand_over_listening: Callable[[], HandoverState]
     resume: Callable[[], None]  # the later process is gone
-    # A client's connection of the previous process.
+    # Takes over a client connection of the previous process.
     adopt_client: Callable[[socket.socket, ClientHandover], None]
-    # A long response of the previous process: the sockets of its client and of its backend.
+    # Takes over a long response: the sockets of its client and of its backend.
     adopt_stream: Callable[[socket.socket, socket.socket | None, StreamHandover], None]
     on_predecessor_gone: Callable[[], None]
 
 
 class Handover:
-    """Both roles of a handover: at its start the new process, later the old one.
+    """Both roles of a handover: the new process at the start, the old process later.
 
-    Nothing here raises for what the other process does.
+    No method raises because of a fault of the other process.
     """
 
     def __init__(
@@ -144,14 +144,14 @@
         counters: Counters,
         callbacks: HandoverCallbacks,
     ) -> None:
-        """Opens nothing yet.
+        """Prepare the handover; nothing is opened yet.
 
         Args:
-            directory: shared by all processes of this proxy.
-            name: of the proxy; only processes of the same name hand over to each other.
+            directory: directory that all processes of this proxy share.
+            name: name of the proxy; processes hand over only to processes of the same name.
             loop: the event loop.
             counters: where handovers and adopted connections are counted.
-            callbacks: what the proxy does at each step.
+            callbacks: callbacks of the proxy for each step.
         """
         self._directory = Path(directory)
         self._name = name
@@ -160,16 +160,16 @@
         self._callbacks = callbacks
         self._file = f"mothstall-{hashlib.blake2b(name.encode(), digest_size=6).hexdigest()}"
         self._listener: socket.socket | None = None
-        self._peers: set[PeerConnection] = set()  # accepted, of later processes
+        self._peers: set[PeerConnection] = set()  # accepted connections of later processes
         self._successor: PeerConnection | None = None
         self._predecessor: PeerConnection | None = None
         self._answer: asyncio.Future[HandoverState] | None = None
-        self._own_inode = 0  # of our own socket
+        self._own_inode = 0  # of the socket that this process has bound
 
     # The new process
 
     async def take_over(self) -> HandoverState | None:
-        """The state of the previous process; None if there is none, or none that can be used."""
+        """Return the state of the previous process; None without one, or if the handover failed."""
         try:
             peer = self._connect()
         except OSError as why:
@@ -206,7 +206,7 @@
         return PeerConnection(sock, self.loop, self._from_predecessor, self._predecessor_closed)
 
     def _from_predecessor(self, peer: PeerConnection, raw: bytes, fds: list[int]) -> None:
-        """A message of the previous process."""
+        """Handle a message of the previous process."""
         try:
             self._accept_message(decode(raw), fds)
         except (HandoverMessageError, OSError) as why:
@@ -221,8 +221,8 @@
                 os.close(fd)
 
     def _accept_message(self, message: Message, fds: list[int]) -> None:
-        """Carries it out; the descriptors that it uses are taken out of `fds`."""
-        # A first client may arrive before the coroutine that waits for the state has gone on.
+        """Apply a message; the descriptors that it uses are removed from `fds`."""
+        # The first client may arrive before the coroutine that awaits the state has resumed.
         answered = self._answer is None or self._answer.done()
         if isinstance(message, ClientHandover) and len(fds) == 1 and answered:
             self._callbacks.adopt_client(socket.socket(fileno=fds.pop()), message)
@@ -241,10 +241,10 @@
             raise HandoverMessageError("an unexpected message")
 
     def release_predecessor(self) -> None:
-        """The previous process takes clients again, if it still runs: this one begins to end.
+        """Let the previous process, if it still runs, accept clients again: this one is stopping.
 
-        Guards against new connections that nobody accepts while this process ends: it has left the
-        listener to others, and the previous process waits until this one is gone.
+        Guards against new connections that no process accepts while this one stops: it no longer
+        accepts, and the previous process waits until their connection is closed.
         """
         if self._predecessor is not None:
             self._predecessor.finish()
@@ -259,16 +259,16 @@
     # The old process
 
     def listen(self) -> None:
-        """From now on a later process may take over; if the socket can't be made, none can."""
+        """Accept handover requests of later processes; without a socket, none can take over."""
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        except OSError as why:  # a platform without such sockets must not end the start
+        except OSError as why:  # a platform without such sockets must not fail the start
             log.warning("no handover socket", extra={"kv": {"why": why}})
             return
         name = f"{self._file}.{os.getpid()}"
         try:
             sock.setblocking(False)
-            # Guards against files that processes killed between bind and rename have left.
+            # Guards against files left by processes that were killed between bind and rename.
             for left in self._directory.glob(f"{self._file}.*"):
                 left.unlink(missing_ok=True)
             with self._address(name) as address:
@@ -297,7 +297,7 @@
         self._peers.add(PeerConnection(sock, self.loop, self._from_peer, self._peer_closed))
 
     def _from_peer(self, peer: PeerConnection, raw: bytes, fds: list[int]) -> None:
-        """A message of a later process, of which only a request is valid."""
+        """Handle a message of a later process, of which only a request is valid."""
         for fd in fds:
             os.close(fd)
         try:
@@ -314,7 +314,7 @@
     def _check_request(self, message: Message) -> None:
         is_request = isinstance(message, HandoverRequest) and message.name == self._name
         if not is_request or self._successor is not None:
-            raise HandoverMessageError("an unexpected message, or another proxy's")
+            raise HandoverMessageError("an unexpected message, or a request of another proxy")
 
     def _peer_closed(self, peer: PeerConnection) -> None:
         self._peers.discard(peer)
@@ -325,22 +325,22 @@
 
     @property
     def linked(self) -> bool:
-        """Whether a later process takes client connections over from this one."""
+        """Whether a later process is taking over the client connections of this one."""
         return self._successor is not None
 
     def hand_over(self, fd: int, silent: bool, age_s: float) -> bool:
-        """Hands over a client's connection; False if it stays with this process."""
+        """Hand over a client's connection; False if it stays with this process."""
         return self._successor is not None and self._successor.send(
             encode(ClientHandover(silent, age_s)), [fd]
         )
 
     def hand_over_answer(self, client: int, backend: int | None, stream: StreamHandover) -> bool:
-        """Hands over a long response in the middle; False if it stays with this process."""
+        """Hand over a long response in progress; False if it stays with this process."""
         fds = [client] if backend is None else [client, backend]
         return self._successor is not None and self._successor.send(encode(stream), fds)
 
     def close(self) -> None:
-        """Ends this process's part: removes its socket, closes all peers silently."""
+        """Remove this process's socket and close all peers, without further callbacks."""
         self._callbacks = replace(
             self._callbacks, resume=lambda: None, on_predecessor_gone=lambda: None
         )
@@ -349,17 +349,20 @@
             self._listener.close()
             self._listener = None
             with contextlib.suppress(OSError):
-                # A later process may have put its own socket in this place.
+                # A later process may have replaced the file by its own socket.
                 if (self._directory / self._file).stat().st_ino == self._own_inode:
                     (self._directory / self._file).unlink()
-        self._successor = None  # not gone: it is this process that ends
+        self._successor = None  # not lost: this process stops, and must not log a lost successor
         for peer in [*self._peers, self._predecessor]:
             if peer is not None:
                 peer.close()
 
     @contextlib.contextmanager
     def _address(self, name: str) -> Iterator[str]:
-        """Guards against a directory whose path is longer than a Unix socket's address may be."""
+        """Yield an address for the socket `name` in the directory.
+
+        Guards against a directory whose path is longer than a Unix socket's address may be.
+        """
         path = str(self._directory / name)
         if len(os.fsencode(path)) <= MAX_PATH:
             yield path
--- a/mothstall/net/handover/messages.py
+++ b/mothstall/net/handover/messages.py
@@ -1,9 +1,9 @@
 """Messages between two processes of one proxy when one takes over from the other. Pure.
 
-A message is one JSON object. The new process sends a `HandoverRequest` once it can accept clients;
-the old one answers with its `HandoverState` and stops accepting; then a `ClientHandover` is sent
-with each client connection that it hands over, and a `StreamHandover` with each long response in
-the middle. A peer that sends anything else is rejected.
+A message is one JSON object. The new process sends a `HandoverRequest` once it can accept clients.
+The old process stops accepting and answers with its `HandoverState`. It then sends a
+`ClientHandover` with each client connection that it hands over, and a `StreamHandover` with each
+long response in progress. Any other message is rejected.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from mothstall.interface import InheritedBackend, InheritedState
 
 VERSION = 1
-MAX_MESSAGE = 192 * 1024  # bytes: a long response brings a window and one read with it
+MAX_MESSAGE = 192 * 1024  # bytes; a long response may include a stream's window and one read
 MAX_KNOWN = 600  # backends whose state the new process inherits
 
 
 class HandoverMessageError(ValueError):
-    """A message that no peer of this version sends."""
+    """A message is malformed, unexpected or of another version."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequest:
-    """The new process asks the old one of the proxy `name` to hand over."""
+    """Request of a new process of the proxy `name` for a handover."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """The connections that the old process still has, and the state that the new one inherits."""
+    """The number of open connections of the old process, and the state that it passes on."""
 
     clients: int
     backends: int  # connections to backends
@@ -43,33 +43,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientHandover:
-    """A client's connection, whose descriptor is sent with the message."""
+    """A client connection, whose descriptor is sent with the message."""
 
-    silent: bool  # nothing was received on it yet
-    age_s: float  # for how long it has been silent or idle
+    silent: bool  # nothing was received on the connection yet
+    age_s: float  # how long it has been silent or idle
 
 
 @dataclass(frozen=True, slots=True)
 class StreamHandover:
-    """A long response in the middle.
+    """A long response in progress.
 
-    The descriptors of its client, and of its backend if that still owes something (`left` is not
-    0), are sent with the message.
+    The descriptor of its client is sent with the message, and that of its backend unless the
+    response was received completely (`left` is 0).
     """
 
-    left: int | None  # bytes that the backend still owes; None: until its end, or by `coding`
-    # State of the decoder of its chunks: phase, bytes left, incomplete line.
+    left: int | None  # bytes not received from the backend; None: unknown, or given by `coding`
+    # State of the `ChunkedDecoder` of its body: phase, remaining bytes, partial line.
     coding: tuple[int, int, bytes] | None
-    chunks: bool  # its client receives chunks
-    raw: bytes  # encoded for the client and not yet taken by its connection
-    data: tuple[bytes, ...]  # read from the backend, not yet given to the client
+    chunks: bool  # the client receives the chunked coding
+    raw: bytes  # encoded for the client, but not written to its socket
+    data: tuple[bytes, ...]  # received from the backend, not yet passed on to the client
 
 
 Message = HandoverRequest | HandoverState | ClientHandover | StreamHandover
 
 
 def encode(message: Message) -> bytes:
-    """The message as bytes of this version."""
+    """Return a message as bytes of this version."""
     if isinstance(message, HandoverRequest):
         tree = _request_tree(message)
     elif isinstance(message, ClientHandover):
@@ -135,10 +135,10 @@
 
 
 def decode(received: bytes) -> Message:
-    """The message in these bytes.
+    """Return the message in `received`.
 
     Raises:
-        HandoverMessageError: whatever is not a message of this version.
+        HandoverMessageError: The bytes are not a message of this version.
     """
     try:
         return _message(json.loads(received))
@@ -188,5 +188,5 @@
 def _number(value: Any) -> Any:
     number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not number or not math.isfinite(value) or value < 0:
-        raise HandoverMessageError(f"{str(value)[:20]!r} is no number of ours")
+        raise HandoverMessageError(f"{str(value)[:20]!r} is not a finite number of at least 0")
     return value
--- a/mothstall/net/handover/stream_takeover.py
+++ b/mothstall/net/handover/stream_takeover.py
@@ -1,4 +1,4 @@
-"""A long response that an earlier process began and this one ends: from one socket to the other."""
+"""Relays the rest of a long response that the predecessor began, from socket to socket."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger("mothstall.stream_takeover")
 
-STALL_S = 10.0  # without progress on either side
-LINGER_S = 1.0  # how long a lingering close reads what still arrives
+STALL_S = 10.0  # a response is aborted after this time without progress
+LINGER_S = 1.0  # a lingering close reads and discards input for this time
 
 
 class _Side(asyncio.Protocol):
-    """One of the two connections."""
+    """One of the two connections of a response."""
 
     def __init__(self, takeover: StreamTakeover) -> None:
         self._takeover = takeover
@@ -34,7 +34,7 @@
 
 
 class _ToClient(_Side):
-    """The sink; its connection ends with the response."""
+    """The connection to the client, a sink; it is closed at the end of the response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -49,7 +49,7 @@
         self._takeover.stream.sink_blocked()
 
     def resume_writing(self) -> None:
-        # Guards against a close out of this call, which asyncio would carry out twice.
+        # Guards against closing the transport within this callback: asyncio would close it twice.
         asyncio.get_running_loop().call_soon(self._takeover.flow)
 
     def write_body(self, data: bytes) -> None:
@@ -65,7 +65,10 @@
             self._finish(self.transport)
 
     def abort_body(self) -> None:
-        """Guards against a truncated response that passes for a complete one: a reset marks it."""
+        """Close an incomplete response.
+
+        Guards against a truncated response without framing that looks complete: it ends in a reset.
+        """
         if self.transport is None:
             return
         if self._takeover.response.chunks or self._takeover.response.left is not None:
@@ -74,9 +77,9 @@
             self.abort()
 
     def _finish(self, transport: asyncio.Transport) -> None:
-        """A lingering close: what its client has sent meanwhile is read and discarded.
+        """Close the connection with a lingering close, which reads and discards further input.
 
-        Guards against a close over unread bytes, which would lose the end of the response.
+        Guards against closing with unread bytes, which would lose the end of the response.
         """
         transport.resume_reading()
         try:
@@ -88,7 +91,7 @@
 
     def _lingered(self, transport: asyncio.Transport) -> None:
         if transport.get_write_buffer_size():
-            # A slow reader.
+            # The client reads slowly.
             asyncio.get_running_loop().call_later(LINGER_S, self._lingered, transport)
         else:
             transport.abort()
@@ -101,7 +104,7 @@
 
 
 class _FromBackend(_Side):
-    """The source."""
+    """The connection to the backend, a source."""
 
     def data_received(self, data: bytes) -> None:
         self._takeover.received(data)
@@ -123,7 +126,7 @@
 
 
 class StreamTakeover:
-    """Passes the rest of one response on, with the flow control and end of a stream."""
+    """Relays the rest of one response, with the flow control of a `Stream`."""
 
     def __init__(
         self, response: StreamHandover, grants: BufferGrants, loop: asyncio.AbstractEventLoop
@@ -136,7 +139,7 @@
         self._sink = _ToClient(self)
         self.stream = Stream(self._source, grants)
         self._stall_check: asyncio.TimerHandle | None = None
-        self._passed_before = -1  # bytes, at the last check
+        self._passed_before = -1  # bytes delivered at the last check
         self._on_end: Callable[[StreamTakeover], None] | None = None
 
     async def run(
@@ -145,7 +148,7 @@
         backend: socket.socket | None,
         on_end: Callable[[StreamTakeover], None],
     ) -> None:
-        """From now on bytes pass; `on_end` is called once, at the end."""
+        """Start to relay; `on_end` is called once, at the end."""
         self._on_end = on_end
         try:
             for sock, side in ((client, self._sink), (backend, self._source)):
@@ -171,7 +174,7 @@
         self._stall_check = self._loop.call_later(STALL_S, self._check_progress)
 
     def received(self, data: bytes) -> None:
-        """Bytes of the backend."""
+        """Relay bytes of the backend."""
         if self._chunks is not None:
             try:
                 parts = self._chunks.feed(data)
@@ -180,7 +183,7 @@
                 self.stream.truncate()
                 self._source.sink_closed()
                 return
-            self.stream.feed(b"".join(parts))  # chunks of one byte would each cost a send
+            self.stream.feed(b"".join(parts))  # one write: chunks may be one byte long
             if self._chunks.has_ended:
                 self._complete()
         elif self._left is not None:
@@ -197,18 +200,18 @@
         self._source.sink_closed()
 
     def ended(self, orderly: bool) -> None:
-        """The backend's side is closed."""
+        """The backend's connection is closed."""
         if orderly and self._left is None and self._chunks is None:
             self.stream.end()
         elif not self.stream.has_ended:
             self.stream.truncate()
 
     def flow(self) -> None:
-        """The client's connection takes more."""
+        """The client's connection is ready for more data."""
         self.stream.sink_ready()
 
     def hand_over(self, give: Callable[..., bool]) -> None:
-        """Hands the rest of it over to yet another process; `give` as the frontend's."""
+        """Hand the rest over to a later process through `give`, as the frontend does."""
         client = self._sink.transport
         backend = self._source.transport
         if client is None:
@@ -220,7 +223,7 @@
         if self.stream.is_truncated:
             self.stream.thaw()
             return
-        is_encoded = self.stream.is_over  # all of it is encoded already
+        is_encoded = self.stream.is_over  # the complete response is encoded already
         ended = is_encoded or self.stream.has_ended or backend is None
         coding = self._chunks and (
             self._chunks.phase,
@@ -244,7 +247,7 @@
         client.abort()
 
     def over(self) -> None:
-        """The client's connection is closed, or was never taken: ends everything, once."""
+        """End both sides: the client's connection is closed, or could not be set up."""
         if self._stall_check is not None:
             self._stall_check.cancel()
         self.stream.drop()
@@ -255,7 +258,7 @@
             on_end(self)
 
     def _check_progress(self) -> None:
-        """Guards against a peer that takes or gives nothing more."""
+        """Abort the response if it made no progress: a peer has stopped reading or sending."""
         passed = self.stream.delivered_bytes
         if passed == self._passed_before:
             self._sink.abort()
--- a/mothstall/net/invariants.py
+++ b/mothstall/net/invariants.py
@@ -10,10 +10,10 @@
 
 
 def check_invariant(ok: bool, what: str, counters: Counters) -> None:
-    """Check that `ok` holds, which `what` describes.
+    """Check the invariant that `what` describes, which holds if `ok` is true.
 
     Raises:
-        AssertionError: It does not, in a debug build.
+        AssertionError: The invariant is violated, in a debug build.
     """
     if ok:
         return
--- a/mothstall/net/lifecycle.py
+++ b/mothstall/net/lifecycle.py
@@ -1,77 +1,76 @@
 """The proxy's lifecycle: serving, draining, drained or stopping. Pure: no clock, no sockets.
 
-Times are seconds of any monotonic clock. Each transition may be called twice, or when it changes
-nothing.
+Times are seconds of any monotonic clock. Transitions are idempotent.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-IDLE_S = 1.9  # from the drain's begin: how long an idle connection may still bring a request
-SILENT_S = 0.2  # from then on: how long a connection may stay open on which nothing was received
-# From the drain's begin: by then a request received after IDLE_S is answered, or closed if it is
-# incomplete.
+IDLE_S = 1.9  # after the start of a drain: idle connections are kept open for new requests
+SILENT_S = 0.2  # after IDLE_S: connections that have received nothing are kept open
+# After the start of a drain: deadline for requests received after IDLE_S. An incomplete one is
+# closed by then.
 LATEST_S = 3.6
-INCOMPLETE_S = 0.5  # before the longest deadline: from then on an incomplete request is rejected
-SPARE_S = 0.2  # after the longest deadline: by then all that was accepted is answered
+INCOMPLETE_S = 0.5  # before the longest deadline: incomplete requests are rejected from here on
+SPARE_S = 0.2  # after the longest deadline: all accepted requests are answered by then
 
 
 class Phase(Enum):
     """States of the lifecycle; the values are those of the admin API."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # accepts what still arrives; each response ends its connection
-    DRAINED = "drained"  # the same, and no connection is idle
+    DRAINING = "draining"  # still accepts requests, and closes each connection with its response
+    DRAINED = "drained"  # like DRAINING, and idle connections are closed
     STOPPING = "stopping"
 
 
 class Lifecycle:
-    """The current phase, and the times by which a drain or a shutdown has to be over."""
+    """The current phase, and the time limits of a drain or a shutdown."""
 
     def __init__(self) -> None:
         self.phase = Phase.SERVING
         self.is_handing_over = False  # idle client connections are handed over, not closed
         self._draining_since_s = 0.0
-        self._complete_by_s = 0.0  # while stopping: an incomplete request is rejected from then on
+        self._complete_by_s = 0.0  # while stopping: incomplete requests are rejected from then on
         self._answered_by_s = 0.0  # while stopping
 
     def evacuate(self, now: float) -> bool:
-        """Begins a drain, unless one has begun already. False: the process ends anyway."""
+        """Start a drain, unless one is running. Returns False if the process is stopping."""
         if self.phase is Phase.SERVING:
             self.phase = Phase.DRAINING
             self._draining_since_s = now
         return self.phase is not Phase.STOPPING
 
     def rejoin(self) -> bool:
-        """Accepts clients again; False once the process is to end."""
+        """Accept clients again. Returns False if the process is stopping."""
         if self.phase is Phase.STOPPING:
             return False
         self.phase = Phase.SERVING
         return True
 
     def stop(self, now: float, longest_s: float) -> None:
-        """Begins to end, from whatever phase; this is final.
+        """Start to stop, from any phase; this is final.
 
-        All that is accepted is answered `longest_s` and a little later, before the process may be
-        killed.
+        All accepted requests are answered within `longest_s` plus `SPARE_S`, before the process may
+        be killed.
         """
         self.phase = Phase.STOPPING
         self._complete_by_s = now + longest_s - INCOMPLETE_S
         self._answered_by_s = now + longest_s + SPARE_S
 
     def tick(self, now: float) -> Phase:
-        """Moves on with time."""
+        """Apply the transition that is due at `now`, and return the phase."""
         if self.phase is Phase.DRAINING and now - self._draining_since_s >= IDLE_S:
             self.phase = Phase.DRAINED
         return self.phase
 
     def hand_over(self) -> None:
-        """Another process of this proxy takes the clients over."""
+        """Mark that a successor process is taking over the clients."""
         self.is_handing_over = True
 
     def resume(self) -> None:
-        """That process is gone."""
+        """Mark that the successor process is gone."""
         self.is_handing_over = False
 
     @property
@@ -85,14 +84,17 @@
         return self.phase is not Phase.SERVING and not self.is_handing_over
 
     def latest(self, now: float) -> float | None:
-        """By when a request received now has to be answered, however long its client would wait.
+        """Time by which a request received now has to be answered, regardless of its own deadline.
 
-        Guards against a connection still held for a young request when the drain has to be over.
+        Guards against a request received late that is still open when the drain has to be finished.
         """
         if self.phase is Phase.STOPPING:
             return self._answered_by_s
         return self._draining_since_s + LATEST_S if self.tick(now) is Phase.DRAINED else None
 
     def too_late(self, now: float) -> bool:
-        """Guards against a request that becomes complete with no time left to answer it."""
+        """Whether an incomplete request is to be rejected.
+
+        Guards against a request that becomes complete with no time left to answer it.
+        """
         return self.phase is Phase.STOPPING and now >= self._complete_by_s
--- a/mothstall/net/listener.py
+++ b/mothstall/net/listener.py
@@ -1,4 +1,4 @@
-"""Sockets: listeners, bound or inherited, and what asyncio's transports do not say of theirs."""
+"""Sockets: bound or inherited listeners, and state that asyncio's transports don't expose."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from mothstall.config import Address
 
-MAX_BIND_ATTEMPTS = 30  # of 1.5 s together: an earlier process may still be on its way out
-BIND_RETRY_S = 0.05  # between two of them
-# After so long a client may have left unseen: its socket is checked before it is served.
+MAX_BIND_ATTEMPTS = 30  # 1.5 s in total: an earlier process may still be exiting
+BIND_RETRY_S = 0.05  # between two attempts
+# A client's socket is checked for a hang-up before a request is served that has waited longer.
 CHECK_CLIENT_AFTER_NS = 20_000_000
 
 
@@ -21,9 +21,9 @@
     """Return a listening socket.
 
     Args:
-        key: The setting that has the address, for the error's text.
+        key: The setting that holds the address, for the error's text.
         address: Where to listen.
-        backlog: Connections that the kernel queues.
+        backlog: Number of connections that the kernel queues.
 
     Raises:
         OSError: The address cannot be bound; its text names `key`.
@@ -37,25 +37,28 @@
             sock.bind((address.host, address.port))
             sock.listen(backlog)
         except OSError as why:
-            # Guards against an earlier process that is still on its way out.
+            # Guards against an earlier process that has not released the address yet.
             if why.errno != errno.EADDRINUSE or not left:
                 sock.close()
                 raise OSError(why.errno, f"{key} {address}: {why.strerror or why}") from why
         else:
             return sock
         await asyncio.sleep(BIND_RETRY_S)
-    raise AssertionError("the last try returns or raises")
+    raise AssertionError("the last attempt returns or raises")
 
 
 def inherit_socket(descriptor: int) -> socket.socket:
-    """Return a copy of an inherited socket: others hold it too, so it is never shut down here."""
+    """Return a duplicate of an inherited socket.
+
+    Other processes hold the socket too: it must not be shut down.
+    """
     sock = socket.socket(fileno=os.dup(descriptor))
     sock.setblocking(False)
     return sock
 
 
 def has_peer_hung_up(transport: asyncio.Transport | None) -> bool:
-    """Return whether the peer has closed or reset the connection, also behind unread bytes."""
+    """Return whether the peer has closed or reset the connection, even behind unread bytes."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or sock.fileno() < 0:
         return False
@@ -67,10 +70,10 @@
 
 
 def unsent_bytes(transport: asyncio.Transport) -> bytes | None:
-    """Return what a transport buffers that its socket has not taken; None if that is unknown.
+    """Return the bytes that a transport buffers and has not written to its socket; None if unknown.
 
-    Reaches into asyncio, whose transports do not say: a bytearray, or from Python 3.12 on a queue
-    of views.
+    Reads a private attribute of asyncio's transports, which offer no public access: a bytearray, or
+    a deque of views from Python 3.12 on.
     """
     if not transport.get_write_buffer_size():
         return b""
--- a/mothstall/net/logs.py
+++ b/mothstall/net/logs.py
@@ -1,4 +1,4 @@
-"""The log: one line for each entry, as key=value pairs."""
+"""The log: one line of key=value pairs per entry."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Formats `time=... level=... event=...` and the pairs of `extra={"kv": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the entry's line; values with spaces, quotes or `=` as JSON strings."""
+        """Return the entry's line; values with spaces, quotes or `=` become JSON strings."""
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs: dict[str, object] = {
             "time": f"{stamp}.{int(record.msecs):03d}Z",
@@ -34,7 +34,7 @@
 
 
 def configure_logging(level: str, stream: TextIO | None = None) -> None:
-    """Send all entries from `level` on to `stream`; None: standard error."""
+    """Write all entries of `level` and above to `stream`, by default standard error."""
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     root = logging.getLogger()
--- a/mothstall/net/metrics.py
+++ b/mothstall/net/metrics.py
@@ -1,15 +1,15 @@
-"""Outcomes of requests by class, and attempts sent: the source of all figures. Pure.
+"""Outcomes of requests by class, and attempts sent: the source of all reported metrics. Pure.
 
 | count | when |
 | --- | --- |
-| taken | a request of a known class is given to the decisions |
-| fulfilled | its 200 response was handed to the client's connection completely |
-| throttled | its rejection (503) was |
-| faulted | its failure (502 or 504) was, or its response was cut off |
+| taken | a request of a known class was passed to the balancer |
+| fulfilled | its 200 response was written completely to the client's connection |
+| throttled | its rejection (503) was written to the client's connection |
+| faulted | its failure (502 or 504) was written, or its response was truncated |
 | left | its client left before any of these |
-| relayed | the last byte of an attempt was handed to a backend's connection |
+| relayed | the last byte of an attempt was written to a backend's connection |
 
-A request that is not well-formed has no class here: it is counted in `counters.py` alone.
+A malformed request has no class and is counted in `counters.py` only.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from mothstall.net.counters import Counters
 from mothstall.net.invariants import check_invariant
 
-PREFIX = "app"  # of all names
+PREFIX = "app"  # of all metric names
 
 
 class Outcome(IntEnum):
@@ -40,7 +40,7 @@
     """Counts of requests by class and outcome.
 
     Attributes:
-        relayed: Attempts whose last byte was handed to a backend's connection.
+        relayed: Attempts whose last byte was written to a backend's connection.
     """
 
     def __init__(self, classes: Sequence[str], counters: Counters) -> None:
@@ -57,31 +57,31 @@
 
     @property
     def totals(self) -> tuple[int, int]:
-        """Requests taken, and those of them that were rejected."""
+        """Requests accepted, and those of them that were rejected."""
         return sum(self._taken), sum(self._ended[Outcome.THROTTLED])
 
     def start_request(self, class_index: int) -> None:
-        """Count a request that is given to the decisions."""
+        """Count a request that is passed to the balancer."""
         self._taken[class_index] += 1
         self._counters.add("requests")
 
     def end_request(self, class_index: int, outcome: Outcome) -> None:
-        """Count the one end of a request."""
+        """Count the end of a request; called once per request."""
         self._ended[outcome][class_index] += 1
         self._counters.add(_OUTCOME_COUNTERS[outcome])
         ended = sum(row[class_index] for row in self._ended)
         check_invariant(
             ended <= self._taken[class_index],
-            "no more requests end than were taken",
+            "no more requests end than were accepted",
             self._counters,
         )
 
     def count(self, outcome: Outcome, class_index: int) -> int:
-        """Return how many requests of a class ended so."""
+        """Return the number of requests of a class that ended with `outcome`."""
         return self._ended[outcome][class_index]
 
     def statsd_text(self, **gauges: int) -> str:
-        """Return lines of statsd: counts since the start, then gauges."""
+        """Return lines in statsd format: counters since the start, then gauges."""
         lines = [
             f"{PREFIX}.{outcome.name.lower()}.{name}:{self._ended[outcome][i]}|c"
             for outcome in (Outcome.FULFILLED, Outcome.THROTTLED, Outcome.FAULTED)
--- a/mothstall/net/protocol/__init__.py
+++ b/mothstall/net/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Headers and JSON in the interface's terms, and results as responses.
+"""Translates headers and JSON to the types of `mothstall.interface`, and results to responses.
 
 Pure: no sockets, no clock.
 """
--- a/mothstall/net/protocol/durations.py
+++ b/mothstall/net/protocol/durations.py
@@ -1,4 +1,4 @@
-"""Durations as the wire writes them: a number with `m` (milliseconds) or `u` (microseconds)."""
+"""Durations in headers: a number with the unit `m` (milliseconds) or `u` (microseconds)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Return a duration in nanoseconds.
 
     Raises:
-        UnreadableMessageError: `text` is no duration.
+        UnreadableMessageError: `text` is not a duration.
     """
     match = _DURATION.fullmatch(text)
     if not match:
@@ -24,5 +24,5 @@
 
 
 def format_duration(duration_ns: int) -> str:
-    """Return a duration in whole microseconds, as `parse_duration_ns` reads it; at least 0."""
+    """Return the text of a duration in whole microseconds, at least 0, for `parse_duration_ns`."""
     return f"{max(0, duration_ns) // 1_000}u"
--- a/mothstall/net/protocol/endpoint_list.py
+++ b/mothstall/net/protocol/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: its JSON in the interface's terms."""
+"""Parses the JSON of discovery's endpoint list to the types of `mothstall.interface`."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from mothstall.net.errors import UnreadableMessageError
 
 _HEALTH = {"SERVING": Health.READY, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
-_NUMBER_BYTES = 6  # of a backend's number: collisions are out of reach for any fleet
-_NO_ADDRESS = "-:0"  # of a backend that is gone
+_NUMBER_BYTES = 6  # of a backend's number: enough to rule out collisions in any fleet
+_NO_ADDRESS = "-:0"  # of a removed backend
 
 
 @dataclass(slots=True)
@@ -21,8 +21,8 @@
 
     Attributes:
         id: The backend's id.
-        address: Where it listens.
-        endpoint: The backend in the interface's terms.
+        address: The address that it listens on.
+        endpoint: The backend as the balancer receives it.
     """
 
     id: str
@@ -32,12 +32,12 @@
 
 @dataclass(slots=True)
 class ParsedUpdate:
-    """An endpoint list, or a change of it.
+    """An endpoint list, or a delta of it.
 
     Attributes:
-        version: Its revision.
-        is_complete: A complete list rather than a change.
-        members: The backends that it names.
+        version: Revision of the list.
+        is_complete: Whether this is a complete list rather than a delta.
+        members: The backends in the list, or those that changed.
     """
 
     version: int
@@ -46,22 +46,22 @@
 
 
 def backend_number(ident: str) -> int:
-    """Return the same number for a backend at every proxy and in each of its incarnations."""
+    """Return a backend's number, the same at every proxy and for all incarnations."""
     digest = hashlib.blake2b(ident.encode("utf-8", "replace"), digest_size=_NUMBER_BYTES)
     return int.from_bytes(digest.digest(), "big")
 
 
 def parse_endpoint_list(tree: Any, names: Names) -> ParsedUpdate:
-    """Return discovery's JSON in the interface's terms.
+    """Return the update in discovery's JSON.
 
     Raises:
-        UnreadableMessageError: Any member is unreadable, and with it the complete update.
+        UnreadableMessageError: The list or any of its members is unreadable.
     """
     try:
         version, is_complete, rows = tree["revision"], tree["complete"], tree["members"]
         is_typed = isinstance(version, int) and isinstance(is_complete, bool)
         if not is_typed or not isinstance(rows, list):
-            raise UnreadableMessageError("list of an unknown form")
+            raise UnreadableMessageError("list has an unknown format")
         return ParsedUpdate(version, is_complete, [_parse_member(row, names) for row in rows])
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         raise UnreadableMessageError(f"list: {type(error).__name__}: {error}") from error
@@ -82,6 +82,6 @@
         weight=float(row.get("size", 1.0)),
         started_ns=int(row.get("up_since_ms") or 0) * 1_000_000,
     )
-    # One that is gone needs no address.
+    # A removed backend needs no address.
     address = row.get("host_port") or (_NO_ADDRESS if endpoint.health == Health.GONE else "")
     return ListedEndpoint(ident, parse_address(address), endpoint)
--- a/mothstall/net/protocol/headers.py
+++ b/mothstall/net/protocol/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers and paths, and what belongs to one connection alone."""
+"""Names of headers and paths, and the sets of headers that are not forwarded."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 LOAD_PATH = "/status/load"
 ENDPOINT_LIST_PATH = "/v1/endpoints"
 
-# A request that has one of these twice is not well-formed.
+# A request that repeats one of these is malformed.
 UNIQUE_HEADERS = frozenset(
     (
         REQUEST_ID_HEADER,
@@ -32,7 +32,7 @@
     )
 )
 
-# What belongs to one connection, or is written anew for the next one.
+# Headers of one connection only, and headers that are generated anew for the next one.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         CONNECTION,
@@ -49,7 +49,7 @@
         REMAINING_HEADER,
     )
 )
-# Of a backend's response: also what the backend says to the proxy alone.
+# Headers of a backend's response that are not forwarded: also those addressed to the proxy.
 BACKEND_ONLY_HEADERS = HOP_BY_HOP_HEADERS | {b"x-pressure", b"x-turned-away", b"server"}
 
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
@@ -57,13 +57,13 @@
 
 
 def connection_headers(value: bytes) -> set[bytes]:
-    """Return the headers that `Connection` names as its own; ids are never among them."""
+    """Return the hop-by-hop headers that `Connection` lists, except headers with ids."""
     names = {name.strip().lower() for name in value.split(b",")}
     return names - {REQUEST_ID_HEADER, IDEMPOTENCY_KEY_HEADER}
 
 
 def framing_header(length: int | None) -> bytes:
-    """Return the header that says where a body ends; without a length it goes out in chunks."""
+    """Return the header that frames a body: its length, or chunks if that is unknown."""
     return CHUNKED if length is None else b"Content-Length: %d\r\n" % length
 
 
--- a/mothstall/net/protocol/load_reports.py
+++ b/mothstall/net/protocol/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: `name=value` pairs of a backend, separated by commas."""
+"""Load reports of backends: `name=value` pairs, separated by commas."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def parse_load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
-    """Return a load report's values in the settings' order.
+    """Return a load report's values in the order of the settings.
 
     Args:
         text: The report.
-        names: The fields that the settings name.
+        names: The required fields, in the order of the settings.
 
     Raises:
-        UnreadableMessageError: A value is no finite number, or a field is missing.
+        UnreadableMessageError: A value is not a finite number, or a field is missing.
     """
     quoted = text[:_MAX_QUOTED]
     values: dict[str, float] = {}
--- a/mothstall/net/protocol/requests.py
+++ b/mothstall/net/protocol/requests.py
@@ -1,7 +1,7 @@
-"""Requests: from a client's headers to the interface's terms, and on to a backend.
+"""Parses clients' requests and encodes them for backends.
 
-Only the fields that decisions need are taken out; method, target, headers and body are forwarded as
-they came.
+Only the fields that the balancer needs are parsed; method, target, headers and body are forwarded
+unchanged.
 """
 
 from __future__ import annotations
@@ -33,43 +33,43 @@
     framing_header,
 )
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a body that is held complete; longer ones are relayed
-# A client that would wait longer than so many deadlines of its class means something else.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longer bodies are relayed, not buffered completely
+# A remaining time of more than this multiple of the class's deadline is an error of the client.
 MAX_DEADLINE_FACTOR = 4
 _ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
 _COST = re.compile(rb"\d{1,13}")  # nanoseconds, up to some hours
 
 
 class WaitingClient(Protocol):
-    """Who waits for the response to a request."""
+    """The client that waits for the response to a request."""
 
     def is_waiting(self, request: ClientRequest, check_socket: bool) -> bool:
-        """Return whether it still does.
+        """Return whether the client still waits for the response.
 
         Args:
             request: The request.
-            check_socket: Check the socket: the client's end may be there and not be read yet.
+            check_socket: Also check the socket for a hang-up that was not read yet.
         """
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One client request: what decisions need of it, and the bytes that are forwarded.
+    """One client request: the fields that the balancer needs, and the bytes that are forwarded.
 
     Attributes:
-        request_id: The client's id for it.
-        head: The request line and the forwarded headers, each with its end of line.
-        body: Its body, unless `stream` has it.
-        class_index: Its class, by the order of the settings.
-        tenant_index: Its tenant, by the order of the settings; one past the last: unknown.
-        remaining_ns: How long its client waits from when it came.
-        is_retry: Its client says that it sends it again.
+        request_id: The id that the client gave it.
+        head: The request line and the forwarded headers, each with its line end.
+        body: The body, unless it is in `stream`.
+        class_index: Index of its class in the settings.
+        tenant_index: Index of its tenant in the settings; one past the last if unknown.
+        remaining_ns: How long the client waits, from the arrival of the request.
+        is_retry: Whether the client marked it as a retry.
         stream: A long body, in place of `body`.
-        length: Bytes of the stream, where it is known.
-        cost_ns: Expected work, as declared; 0: not declared.
-        client: Who waits for the response; None: cannot be checked.
-        received_ns: Unix time since when it may have been there; its client's end was not seen by
-            then.
+        length: Length of the stream in bytes, if known.
+        cost_ns: Expected work as declared by the client; 0 if not declared.
+        client: The client that waits for the response; None if that cannot be checked.
+        received_ns: Earliest Unix time at which it may have arrived; no hang-up of the client had
+            been seen by then.
     """
 
     request_id: bytes
@@ -89,22 +89,22 @@
 def parse_request(
     method: str, target: str, came: Iterable[tuple[bytes, bytes]], body: bytes, names: Names
 ) -> ClientRequest:
-    """Return a client's request in the interface's terms.
+    """Parse and check a client's request.
 
     Args:
         method: The request's method.
         target: The request's target.
-        came: Its headers, in their order.
-        body: Its body, if it is complete.
+        came: The headers, in order.
+        body: The body, if it was received completely.
         names: The settings' classes, tenants and effects.
 
     Raises:
-        UnreadableMessageError: It is not well-formed; nothing of it is forwarded.
+        UnreadableMessageError: The request is malformed.
     """
     line = f"{method} {target} HTTP/1.1\r\n".encode("utf-8", "surrogateescape")
     forwarded, found = _forwarded_headers(came)
-    # Guards against two readings of where a request ends: the second would hide a request in the
-    # first.
+    # Guards against request smuggling: with two framings, another parser may see a further request
+    # in the body.
     if CONTENT_LENGTH in found and TRANSFER_ENCODING in found:
         raise UnreadableMessageError("two framings")
     if not _ID.fullmatch(found.get(REQUEST_ID_HEADER, b"")):
@@ -129,7 +129,7 @@
 def _forwarded_headers(
     came: Iterable[tuple[bytes, bytes]],
 ) -> tuple[list[bytes], dict[bytes, bytes]]:
-    """Return the lines that are forwarded, and all headers by their names in lower case."""
+    """Return the lines that are forwarded, and all headers by lower-case name."""
     lines: list[bytes] = []
     found: dict[bytes, bytes] = {}
     named: set[bytes] = set()
@@ -148,7 +148,7 @@
 
 
 def _parse_class(found: dict[bytes, bytes], target: str, names: Names) -> int:
-    """Return the index of the request's class, which its path has to name too."""
+    """Return the index of the request's class, which must also be the first segment of its path."""
     name = found.get(CLASS_HEADER, b"").decode("utf-8", "replace")
     class_index = names.class_index.get(name, -1)
     if class_index < 0:
@@ -163,7 +163,7 @@
 def _check_effect(
     method: str, class_index: int, found: dict[bytes, bytes], body: bytes, names: Names
 ) -> None:
-    """Check the method, the key and the body against the effect of the request's class."""
+    """Check method, idempotency key and body against the effect of the request's class."""
     if class_index >= len(names.effects):
         return
     effect = names.effects[class_index]
@@ -179,7 +179,7 @@
 
 
 def _parse_remaining_ns(found: dict[bytes, bytes], class_index: int, names: Names) -> int:
-    """Return how long the client waits, within the bounds of the request's class."""
+    """Return how long the client waits; raises if that exceeds the limit of its class."""
     text = found.get(REMAINING_HEADER, b"").decode("utf-8", "replace")
     remaining_ns = parse_duration_ns(text)
     is_in_bounds = remaining_ns > 0
@@ -192,7 +192,7 @@
 
 
 def _parse_cost_ns(labels: bytes, name: str) -> int:
-    """Return the expected work that the labels declare; 0 where none that can be used."""
+    """Return the expected work that the labels declare; 0 without a valid declaration."""
     for label in labels.split(b","):
         key, _, value = label.strip().partition(b"=")
         if key == name.encode() and _COST.fullmatch(value):
@@ -201,11 +201,11 @@
 
 
 def encode_request(request: ClientRequest, remaining_ns: int) -> bytes:
-    """Return the request as one attempt writes it; with a long body the head alone.
+    """Return the bytes of one attempt: head and body, or only the head if the body is long.
 
     Args:
         request: The client's request.
-        remaining_ns: How long the attempt's response is waited for.
+        remaining_ns: How long the proxy waits for the response of the attempt.
     """
     remaining = format_duration(remaining_ns).encode()
     if request.stream is not None:
--- a/mothstall/net/protocol/responses.py
+++ b/mothstall/net/protocol/responses.py
@@ -1,4 +1,4 @@
-"""Responses: from a backend's headers to an attempt's result, and on to a client."""
+"""Interprets backends' responses and encodes responses to clients."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 @dataclass(slots=True)
 class BackendResponse:
-    """A backend's 200 response, complete, or as far as its first bytes.
+    """A backend's 200 response, complete, or with a long body that is still being received.
 
     Attributes:
-        body: Its body, unless `stream` has it.
-        head: The forwarded headers, each with its end of line.
+        body: The body, unless it is in `stream`.
+        head: The forwarded headers, each with its line end.
         stream: A long body, in place of `body`.
-        length: Bytes of the stream, where it is known.
+        length: Length of the stream in bytes, if known.
     """
 
     body: bytes
@@ -45,7 +45,7 @@
 
 
 def attempt_result(status: int, headers: Mapping[str, str]) -> AttemptResult:
-    """Return what a complete response says of its attempt; in doubt it may have run."""
+    """Return the result of an attempt by its response; in doubt the request may have executed."""
     if status == 200:
         return AttemptResult.OK
     if status in (503, 504) and headers.get(REJECTED_HEADER) == "1":
@@ -68,7 +68,7 @@
 
 
 def retry_after_header(after_ns: int) -> bytes:
-    """Return the header of a rejection that says when to come back; nothing for 0."""
+    """Return the Retry-After header of a rejection; empty for 0."""
     return b"Retry-After: %.3f\r\n" % (after_ns / 1e9) if after_ns else b""
 
 
@@ -83,7 +83,7 @@
 def encode_response_head(head: bytes, length: int | None, chunks: bool, close: bool) -> bytes:
     """Return the head of a long 200 response.
 
-    With neither a length nor chunks the body's end is that of the connection.
+    With neither a length nor chunks the body ends with the connection.
     """
     framing = framing_header(length) if chunks or length is not None else b""
     ending = CLOSE_HEADER if close else b""
--- a/mothstall/net/proxy.py
+++ b/mothstall/net/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy as a library: `Proxy(config)`, `start`, and `stop`; `run` does both around a signal."""
+"""The proxy as a library: `Proxy(config)` with `start` and `stop`; `run` serves until a signal."""
 
 from __future__ import annotations
 
@@ -42,27 +42,28 @@
 RESERVE = (
     32  # descriptors kept free of traffic: for the listener, discovery, logs and the event loop
 )
-BACKEND_PART = 0.3  # of the other descriptors
-PIPELINED_PART = 1 / 16  # of the memory limit, for requests that clients pipeline
-TIDY_S = 2.0  # between two collections of garbage
-# Rows of the list: each costs some 3 us at every collection unless it is frozen.
+BACKEND_PART = 0.3  # of the remaining descriptors
+PIPELINED_PART = 1 / 16  # of the memory limit, for pipelined requests
+TIDY_S = 2.0  # between two garbage collections
+# Objects are frozen again after so many new endpoint rows: a row that is not frozen adds about 3 us
+# to each collection.
 FROZEN_ROWS = 2_000
-LISTED_S = 4.0  # how long a new process waits for a list before it takes clients over
-# A process may be killed 0.7 s after the longest deadline, which counts as this at most.
+LISTED_S = 4.0  # a new process waits for an endpoint list before it takes clients over
+# Upper limit for the longest deadline at shutdown: a process may be killed 0.7 s after it.
 MAX_LONGEST_S = 3.0
 END_S = 0.3  # after that deadline all connections are closed
-DRAIN_S = 0.5  # how long new connections are still accepted after the signal to stop
+DRAIN_S = 0.5  # new connections are still accepted after the signal to stop
 
 
 def retry_after_ns(settings: Settings) -> int:
-    """The Retry-After of a request rejected before its class was known; 0: none is sent."""
+    """The Retry-After for a request that is rejected before its class is known; 0 for none."""
     if not settings.retry_after:
         return 0
     return min(settings.max_retry_after_ns, min(c.objective_ns for c in settings.classes) // 4)
 
 
 class Proxy:
-    """One proxy: composes its actors, and starts, reloads and stops them in order."""
+    """One proxy: creates its actors, and starts, reloads and stops them in order."""
 
     def __init__(
         self,
@@ -74,12 +75,12 @@
 
         Args:
             config: the checked configuration.
-            poll: the event loop's selector, where it measures how long events had to wait.
-            operator: the operator file, with which the proxy takes part in its fleet.
+            poll: the event loop's selector, if it measures how long events had to wait.
+            operator: the operator file; with one the proxy takes part in its fleet.
 
         Raises:
-            ConfigError: data that the fleet's agent persisted is unreadable.
-            OSError: it can't be read.
+            ConfigError: data that the fleet's agent persisted is malformed.
+            OSError: the data can't be read.
         """
         self.config = config
         self.counters = Counters()
@@ -116,7 +117,7 @@
         on_update(EndpointsUpdated(UpdateScope.CACHED, cached))
         self._frontend = self._make_frontend(free - self._max_backend_connections, max_streams)
         self._handover: Handover | None = None
-        # Of responses that an earlier process began.
+        # Relays of responses that the predecessor began.
         self._stream_takeovers: set[StreamTakeover] = set()
         self._starting: set[asyncio.Task[None]] = set()
         self._admin_server: AdminServer | None = None
@@ -159,7 +160,7 @@
         )
 
     def _join(self, operator: OperatorConfig) -> Callable[[EndpointsUpdated], None]:
-        """The fleet's part is read only here: without an operator file nothing of it is loaded."""
+        """Create the fleet integration, whose modules are imported only with an operator file."""
         from mothstall.net.fleet_integration import FleetIntegration
 
         try:
@@ -211,11 +212,11 @@
         )
 
     def rows_taken(self) -> int:
-        """How many rows of lists and their changes were received so far."""
+        """Number of rows of endpoint lists and deltas received so far."""
         return self._decider.endpoint_rows_received
 
     def note_fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """For the event loop's exception handler: logged and counted, and the proxy goes on."""
+        """Exception handler of the event loop: logs and counts the exception."""
         self.counters.add("faults")
         why = context.get("exception")
         log.error(
@@ -223,10 +224,10 @@
         )
 
     async def start(self) -> None:
-        """Serves from here on.
+        """Start to serve.
 
         Raises:
-            OSError: an address can't be bound; its text names the key.
+            OSError: an address can't be bound; the error's text names its key.
         """
         try:
             if self.config.admin is not None:
@@ -254,10 +255,10 @@
         )
         await self._admin_server.start()
 
-    # Handover between two processes
+    # Handover between processes
 
     async def _take_over(self, directory: str) -> None:
-        """Takes the clients over from the previous process, once there is an endpoint list."""
+        """Take clients over from the predecessor, once there is a list or after LISTED_S."""
         from mothstall.net.handover.handover import Handover, HandoverCallbacks
 
         self._handover = Handover(
@@ -281,13 +282,13 @@
         state = await self._handover.take_over()
         if state is not None:
             self._decider.tell(PeerProcessEvent(state.memory))
-            # Until that process is gone, its connections count against this one's part.
+            # The predecessor's connections count against this process's limit until it exits.
             self._pool.max_connections = max(
                 self._pool.max_connections // 2, self._pool.max_connections - state.backends
             )
 
     def _hand_over_listening(self) -> HandoverState:
-        """Another process takes over: this one stops accepting and hands over what is idle."""
+        """Stop accepting and hand over idle connections: a successor process takes over."""
         from mothstall.net.handover.messages import HandoverState
 
         self._lifecycle.hand_over()
@@ -299,7 +300,7 @@
         return HandoverState(self._frontend.count, self._pool.open_count, memory)
 
     def _resume(self) -> None:
-        """The process that took over is gone: this one takes clients again, unless it is to end."""
+        """Accept clients again, unless stopping: the successor process is gone."""
         self._lifecycle.resume()
         self._frontend.handover.thaw_responses()
         self._decider.tell(PeerProcessEvent(SuccessorChanged(False)))
@@ -346,7 +347,7 @@
         return self._admin_server.port if self._admin_server else 0
 
     def handle_admin_call(self, path: str) -> tuple[int, str]:
-        """An operator's call; status and text of the response."""
+        """Handle an operator's call; returns status and text of the response."""
         if path == "/api/telemetry":
             return 200, self.figures.statsd_text(
                 registry_entries=self._decider.listed_count(),
@@ -367,7 +368,7 @@
         return (200, f"{self._lifecycle.phase.value}\n") if done else (409, "the process ends\n")
 
     def reload(self, fresh: Config) -> None:
-        """Applies what can change while the proxy runs, and logs which changed keys cannot."""
+        """Apply the keys that can change at run time, and log changed keys that need a restart."""
         self.counters.add("reloads")
         self._discovery.tell(DiscoveryMoved(fresh.discovery))
         unchanged_keys = ",".join(keys_that_need_restart(self.config, fresh))
@@ -377,15 +378,15 @@
         self.config = replace(self.config, discovery=fresh.discovery, log_level=fresh.log_level)
 
     async def stop(self, drain_s: float = DRAIN_S) -> None:
-        """Ends in order: accepts what still arrives, answers all requests, then closes."""
+        """Stop in order: accept requests for `drain_s`, answer all, close everything."""
         began = self.loop.time()
-        # Guards against a kill sooner than a class's deadline, or than a client would wait.
+        # Guards against a kill before the longest deadline of a class or of a client.
         longest = min(MAX_LONGEST_S, max(c.deadline_ns for c in self.config.settings.classes) / NS)
         self._lifecycle.stop(began, longest)
         self._decider.stop_by(self._clock.unix_ns(self._lifecycle.latest(began) or began))
         if self._handover is not None:
             self._handover.release_predecessor()
-        # Others hold an inherited socket: they accept the connections from now on.
+        # Other processes hold an inherited socket and accept its connections from now on.
         await asyncio.sleep(0.0 if self.config.listen_fd is not None else drain_s)
         await self._frontend.close()
         end = began + longest + END_S
@@ -417,13 +418,13 @@
     poll: TimedSelector | None = None,
     operator: OperatorConfig | None = None,
 ) -> None:
-    """Serves until SIGTERM or SIGINT, then drains. SIGHUP reloads, SIGUSR1 prints counters.
+    """Serve until SIGTERM or SIGINT, then drain. SIGHUP reloads, SIGUSR1 logs the counters.
 
-    The cached list of the configuration (`known`) is read once and emptied.
+    The cached endpoint list of the configuration (`known`) is cleared once it was read.
     """
     proxy = Proxy(config, poll, operator)
     if isinstance(config.known, dict):
-        # Guards against a second copy of the list, as JSON, while the process lives.
+        # Guards against holding a second copy of the list, as JSON, for the life of the process.
         config.known.clear()
     proxy.loop.set_exception_handler(proxy.note_fault)
     stopped = asyncio.Event()
@@ -433,9 +434,9 @@
     proxy.loop.add_signal_handler(signal.SIGHUP, reload_config, proxy, reread)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await proxy.start()
-    await asyncio.sleep(0)  # the list that it begins with is applied, and frozen with the rest
+    await asyncio.sleep(0)  # the initial list is applied first, so that it is frozen with the rest
     gc.freeze()
-    gc.set_threshold(50_000, 20, 50)  # a request leaves no cycles behind
+    gc.set_threshold(50_000, 20, 50)  # requests create no reference cycles
     gc.enable()
     tidy(proxy.loop, proxy.rows_taken, proxy.rows_taken())
     await stopped.wait()
@@ -443,7 +444,7 @@
     await proxy.stop()
     print_counters(proxy, "end")
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        # Guards against a signal as the process ends: without its handler it would kill it.
+        # Guards against a signal during exit, which would kill the process without a handler.
         proxy.loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
 
@@ -451,16 +452,17 @@
 def tidy(
     loop: asyncio.AbstractEventLoop, rows: Callable[[], int] = lambda: 0, frozen: int = 0
 ) -> None:
-    """Collects garbage at intervals.
+    """Collect garbage periodically.
 
-    Guards against memory that grows with connections ever seen: asyncio's transports are cycles.
-    What exists at the start is frozen, so that a collection takes a few milliseconds at most.
+    Guards against memory that grows with every connection: asyncio's transports are reference
+    cycles. Objects that exist at the start are frozen, which keeps a collection to a few
+    milliseconds.
 
     Args:
-        loop: the event loop that calls it again.
-        rows: how many rows of lists were received so far.
-        frozen: how many had been when objects were frozen last. Guards against collections that go
-            through the complete list each time; frozen garbage is freed at the next freeze.
+        loop: the event loop that schedules the next collection.
+        rows: returns the number of endpoint rows received so far.
+        frozen: the number of rows at the last freeze. Guards against traversing the complete list
+            in each collection; frozen garbage is freed at the next freeze.
     """
     received = rows()
     must_freeze = received - frozen >= FROZEN_ROWS
@@ -473,7 +475,7 @@
 
 
 def reload_config(proxy: Proxy, reread: Callable[[], Config]) -> None:
-    """Reads the file with the checks of the start; a faulty one changes nothing."""
+    """Read and check the configuration again; an invalid one changes nothing."""
     try:
         fresh = reread()
     except ConfigError as why:
@@ -485,5 +487,5 @@
 
 
 def print_counters(proxy: Proxy, event: str) -> None:
-    """Logs the counters that are not zero, as one line."""
+    """Log the non-zero counters as one line."""
     log.info(event, extra={"kv": {k: v for k, v in proxy.counters.values.items() if v}})
--- a/mothstall/serving/__init__.py
+++ b/mothstall/serving/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes that serve frame connections, keepers and observers, have in common."""
+"""Code shared by keepers and observers, the processes that serve frame connections."""
--- a/mothstall/serving/errors.py
+++ b/mothstall/serving/errors.py
@@ -14,4 +14,4 @@
 
 
 class ProcessFaultError(ServingError, OSError):
-    """A process ended because of a defect of its own."""
+    """A process ended because of an internal error."""
--- a/mothstall/serving/frame_server.py
+++ b/mothstall/serving/frame_server.py
@@ -1,7 +1,7 @@
 """The frame connections of one process.
 
-`FrameServer` accepts connections of clients and makes those that the process dials itself, so that
-the bytes of both are counted in one place.
+`FrameServer` accepts connections of clients, and also creates the connections that the process
+dials, so that the bytes of both are counted in one place.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameIdentity:
-    """Who a process is to its peers.
+    """How a process identifies itself to its peers.
 
     Attributes:
-        cluster: Name of the cluster; a peer of another cluster is not greeted.
-        key: Shared key of the cluster; empty where there is none.
+        cluster: Name of the cluster; peers of other clusters are rejected.
+        key: Shared key of the cluster; empty without one.
         name: Name of this process in greetings.
         role: Role of this process in greetings.
     """
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenConfig:
-    """Where a process listens, and whom it admits.
+    """Where a process listens, and which peers it admits.
 
     Attributes:
         address: `HOST:PORT`; port 0 lets the kernel choose.
-        backlog: Connections that the kernel holds until they are accepted.
-        max_clients: Admitted connections at once; further ones are closed after their greeting.
+        backlog: Number of connections that the kernel queues until they are accepted.
+        max_clients: Maximum of admitted connections; further ones are closed after the greeting.
         client_roles: Roles that are admitted; None admits all.
     """
 
@@ -58,25 +58,25 @@
 
 
 class ConnectionHandler(Protocol):
-    """What a process does with the connections that its `FrameServer` accepted."""
+    """Callbacks of a process for the connections of its `FrameServer`."""
 
     def message_received(self, connection: FrameConnection, payload: bytes) -> None:
-        """Handle one payload of any connection, dialled ones included.
+        """Handle one payload of any connection, including dialled ones.
 
         Raises:
             ValueError: The payload cannot be read or must not be sent; the connection is closed.
         """
 
     def client_disconnected(self, connection: FrameConnection) -> None:
-        """An accepted connection is closed; called also for one that was never admitted."""
+        """Handle the end of an accepted connection, including one that was never admitted."""
 
 
 class FrameServer:
-    """Accepts frame connections and keeps count of all connections of the process.
+    """Accepts frame connections and counts the bytes of all connections of the process.
 
     Attributes:
-        port: The port that is listened on; 0 before `start`.
-        clients: Accepted connections that have greeted and were admitted.
+        port: The listening port; 0 before `start`.
+        clients: Accepted connections that were admitted after their greeting.
     """
 
     def __init__(
@@ -90,12 +90,12 @@
         """Prepare the server; nothing is bound before `start`.
 
         Args:
-            identity: Who this process is to its peers.
-            handler: Gets payloads and closed connections.
-            counts: Counters of the process; `bytes_in`, `bytes_out` and `frames_unreadable` are
-                kept here, and `links_turned_away` where the process has this counter.
+            identity: How this process identifies itself to its peers.
+            handler: Receives payloads and closed connections.
+            counts: Counters of the process; the server updates `bytes_in`, `bytes_out`,
+                `frames_unreadable`, and `links_turned_away` if the process has this counter.
             log: Logger of the process.
-            config: Where to listen, and whom to admit.
+            config: Where to listen, and which peers to admit.
         """
         self.port = 0
         self.clients: set[FrameConnection] = set()
@@ -104,7 +104,7 @@
         self._counts = counts
         self._log = log
         self._config = config
-        self._open: WeakSet[FrameConnection] = WeakSet()  # of either side, from the first byte on
+        self._open: WeakSet[FrameConnection] = WeakSet()  # accepted and dialled ones
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -121,12 +121,12 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def stop_listening(self) -> None:
-        """Accept no further connections; those that are open stay."""
+        """Accept no further connections; open connections stay open."""
         if self._server:
             self._server.close()
 
     def forget_client(self, connection: FrameConnection) -> None:
-        """Count an admitted connection no longer, before it is closed."""
+        """Remove an admitted connection from `clients` before it is closed."""
         self.clients.discard(connection)
 
     def close_clients(self, reason: str) -> None:
@@ -137,7 +137,7 @@
     def make_connection(
         self, *, is_dialer: bool, greeted: Greeted, closed: Closed
     ) -> FrameConnection:
-        """Make the protocol object of one connection, whose bytes are counted from now on."""
+        """Create the protocol object of a connection whose bytes are counted."""
 
         def count_and_close(connection: FrameConnection, reason: str) -> None:
             self._counts["bytes_in"] += connection.received_bytes
@@ -159,7 +159,7 @@
         return connection
 
     def counts_with_open_connections(self) -> dict[str, int]:
-        """Return the counters of the process, bytes of open connections included."""
+        """Return the counters of the process, including the bytes of open connections."""
         counts = dict(self._counts)
         for connection in self._open:
             counts["bytes_in"] += connection.received_bytes
@@ -200,9 +200,9 @@
             self._log.warning(
                 "payload rejected", extra={"kv": {"peer": connection.peer, "reason": error}}
             )
-            connection.close("a payload that cannot be read")
+            connection.close("the payload cannot be read")
 
 
 def send_message(connection: FrameConnection, message: Any) -> bool:
-    """Encode a message and send it; False where the connection takes nothing any more."""
+    """Encode and send a message; False if the connection did not accept it."""
     return connection.send(msgspec.msgpack.encode(message))
--- a/mothstall/serving/report_subscribers.py
+++ b/mothstall/serving/report_subscribers.py
@@ -1,4 +1,4 @@
-"""Connections that subscribed to proxies' reports, and the batches that are sent to them."""
+"""Sends batches of proxies' reports to the connections that subscribed to them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
 
 
 class ReportSubscribers:
-    """The subscribers of one process. A slow one misses reports, which come again in a second."""
+    """The subscribers of one process.
+
+    A slow subscriber misses reports; proxies send new ones every second.
+    """
 
     def __init__(self, max_unsent_bytes: int) -> None:
-        """Send nothing to a subscriber that has `max_unsent_bytes` or more in its send buffer."""
+        """Skip subscribers that have `max_unsent_bytes` or more in their send buffer."""
         self._max_unsent_bytes = max_unsent_bytes
         self._connections: set[FrameConnection] = set()
 
@@ -22,21 +25,21 @@
         return bool(self._connections)
 
     def set_subscribed(self, connection: FrameConnection, is_subscribed: bool) -> None:
-        """Follow a `SubscribeReports` of a client."""
+        """Apply a `SubscribeReports` message of a client."""
         if is_subscribed:
             self._connections.add(connection)
         else:
             self._connections.discard(connection)
 
     def discard(self, connection: FrameConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def send(self, reports: tuple[bytes, ...]) -> int:
         """Send one batch, encoded once, to all subscribers.
 
         Returns:
-            How many subscribers were left out because they do not take what was sent before.
+            The number of subscribers that were skipped because of a full send buffer.
         """
         frame = msgspec.msgpack.encode(keeper_messages.ReportBatch(reports))
         skipped = 0
--- a/mothstall/serving/run.py
+++ b/mothstall/serving/run.py
@@ -1,4 +1,4 @@
-"""One service in the foreground, until a signal or a defect of its own ends it."""
+"""Runs one service in the foreground until a signal or the service itself stops it."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 
 class Service(Protocol):
-    """A process's main object.
+    """The main object of a process.
 
     Attributes:
-        stop_requested: Set when the service is to end, by a signal or by itself.
+        name: Name of the service in the log.
+        stop_requested: Set by a signal, or by the service itself, to stop the service.
     """
 
     name: str
     stop_requested: asyncio.Event
 
     async def start(self) -> None:
-        """Bind the address and begin to work; OSError where it cannot."""
+        """Bind the address and start to serve; raises OSError if it cannot."""
 
     async def stop(self) -> None:
-        """End all work and close all connections."""
+        """Stop all tasks and close all connections."""
 
     def status(self) -> dict[str, Any]:
-        """Return what an operator is to know of this process."""
+        """Return the status of this process for operators."""
 
 
 async def run_until_stopped(service: Service, log: logging.Logger) -> None:
-    """Start a service, wait for SIGTERM, SIGINT or its own request to stop, and stop it.
+    """Start a service, wait until SIGTERM, SIGINT or the service requests a stop, and stop it.
 
     SIGUSR1 logs the status.
 
