--- a/mothstall/cli.py
+++ b/mothstall/cli.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class _Serve:
+class _DefaultArguments:
     """The arguments of an empty command line: run the proxy as the environment configures it."""
 
     command: str = "serve"
@@ -46,7 +46,7 @@
     log_level: str | None = None
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     import argparse
 
     parser = argparse.ArgumentParser(
@@ -87,9 +87,9 @@
     if words and words[0] != "serve":
         gc.enable()  # `python -m mothstall` disables it
     if words and words[0] in _GROUPS:
-        return _group(words)
+        return _run_group(words)
     # Without arguments argparse is not imported, so that restarted proxies are ready sooner.
-    args = _parser().parse_args(words) if words else _Serve()
+    args = _build_parser().parse_args(words) if words else _DefaultArguments()
     if args.command == "version":
         print(f"mothstall {__version__}")
         return 0
@@ -97,79 +97,81 @@
         # Guards against a SIGHUP before its handler is installed: it stays pending until then.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        operator = _operator(args.operator)
+        operator = _read_operator(args.operator)
         if args.command == "check-config":
             return _check_config(args.config, env, operator)
         config = load(args.config, env)
-        _attaches(operator)
-    except ConfigError as why:
-        print(f"mothstall: {why}", file=sys.stderr)
+        _check_observers(operator)
+    except ConfigError as error:
+        print(f"mothstall: {error}", file=sys.stderr)
         return 2
 
-    def reread() -> Config:
-        fresh = load(args.config, env, again=True)
+    def load_again() -> Config:
+        fresh = load(args.config, env, is_reload=True)
         return replace(fresh, log_level=args.log_level or fresh.log_level)
 
-    return _serve(replace(config, log_level=args.log_level or config.log_level), reread, operator)
+    return _serve(
+        replace(config, log_level=args.log_level or config.log_level), load_again, operator
+    )
 
 
 def _check_config(path: str | None, env: Mapping[str, str], operator: OperatorConfig | None) -> int:
     if operator and not (path or env.get("LB_CONFIG")):
         # A keeper's machine has an operator file and no proxy configuration.
-        print(_part_of(operator))
+        print(_fleet_summary(operator))
         return 0
     config = load(path, env)
-    _attaches(operator)
+    _check_observers(operator)
     class_count = len(config.settings.classes)
     print(f"mothstall: {config.name}: {class_count} classes, listens on {config.listen}")
     if operator:
-        print(_part_of(operator))
+        print(_fleet_summary(operator))
     return 0
 
 
-def _part_of(operator: OperatorConfig) -> str:
+def _fleet_summary(operator: OperatorConfig) -> str:
     return f"mothstall: takes part in {operator.cluster}, kept by {len(operator.keepers)} keepers"
 
 
-def _group(words: Sequence[str]) -> int:
+def _run_group(words: Sequence[str]) -> int:
     """Run a command of a group; its module and libraries are imported on demand."""
     import importlib
 
     name, libraries = _GROUPS[words[0]]
     try:
         main: Callable[[Sequence[str]], int] = importlib.import_module(name).main
-    except ModuleNotFoundError as why:
-        if (why.name or "").startswith("mothstall"):
+    except ModuleNotFoundError as error:
+        if (error.name or "").startswith("mothstall"):
             raise
         print(
-            f"mothstall: {words[0]} needs {why.name}: pip install -r {libraries}", file=sys.stderr
+            f"mothstall: {words[0]} needs {error.name}: pip install -r {libraries}", file=sys.stderr
         )
         return 2
     return main(words[1:] if words[0] == "lab" else words)
 
 
-def _operator(path: str | None) -> OperatorConfig | None:
+def _read_operator(path: str | None) -> OperatorConfig | None:
     """Read the operator file, if there is one; without it no module of the fleet is imported."""
     if path is None:
         return None
     try:
         from mothstall.fleet.errors import OperatorError
         from mothstall.fleet.operator_file import read_operator_file
-    except ModuleNotFoundError as why:
-        if (why.name or "").startswith("mothstall"):
+    except ModuleNotFoundError as error:
+        if (error.name or "").startswith("mothstall"):
             raise
         raise ConfigError(
-            f"--operator needs {why.name}: pip install -r requirements-fleet.txt"
-        ) from why
+            f"--operator needs {error.name}: pip install -r requirements-fleet.txt"
+        ) from error
     try:
         found = read_operator_file(path)
         found.key()
-    except OperatorError as why:
-        raise ConfigError(str(why)) from why
+    except OperatorError as error:
+        raise ConfigError(str(error)) from error
     return found
 
 
-def _attaches(operator: OperatorConfig | None) -> None:
+def _check_observers(operator: OperatorConfig | None) -> None:
     """Check that, if there are observers, one serves this proxy's zone or region.
 
     Raises:
@@ -182,8 +184,8 @@
 
     try:
         reachable_observers(operator)
-    except OperatorError as why:
-        raise ConfigError(str(why)) from why
+    except OperatorError as error:
+        raise ConfigError(str(error)) from error
 
 
 @contextlib.contextmanager
@@ -207,7 +209,7 @@
 
 
 def _serve(
-    config: Config, reread: Callable[[], Config], operator: OperatorConfig | None = None
+    config: Config, load_again: Callable[[], Config], operator: OperatorConfig | None = None
 ) -> int:
     with _without_certificates():
         from mothstall.net import logs
@@ -218,13 +220,13 @@
     gc.freeze()
     logs.configure_logging(config.log_level)
     try:
-        poll = TimedSelector()
-        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(poll)) as runner:
-            runner.run(run(config, reread, poll, operator))
-    except OSError as why:
-        print(f"mothstall: {why.strerror or why}", file=sys.stderr)
+        selector = TimedSelector()
+        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+            runner.run(run(config, load_again, selector, operator))
+    except OSError as error:
+        print(f"mothstall: {error.strerror or error}", file=sys.stderr)
         return 1
-    except ConfigError as why:
-        print(f"mothstall: {why}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"mothstall: {error}", file=sys.stderr)
         return 2
     return 0
--- a/mothstall/config.py
+++ b/mothstall/config.py
@@ -141,14 +141,14 @@
     return Address(host, int(port))
 
 
-def load(path: str | None, env: Mapping[str, str], *, again: bool = False) -> Config:
+def load(path: str | None, env: Mapping[str, str], *, is_reload: bool = False) -> Config:
     """Return the configuration in a file, with the overrides of the environment.
 
     Args:
         path: The file; None for the one that `LB_CONFIG` names.
         env: The environment.
-        again: A running proxy reloads the file: its `discovery` takes precedence over that of the
-            environment, and no listener is inherited.
+        is_reload: A running proxy reloads the file: the file's `discovery` takes precedence over
+            that of the environment, and no listener is inherited.
 
     Raises:
         ConfigError: The configuration is invalid.
@@ -157,15 +157,15 @@
     if not path:
         raise ConfigError("LB_CONFIG is not set and no --config was given")
     tree = _read_object(path)
-    overriding = ("name", "listen") if again else ("name", "listen", "discovery")
+    overriding = ("name", "listen") if is_reload else ("name", "listen", "discovery")
     for key in overriding:
         if env.get(f"LB_{key.upper()}"):
             tree[key] = env[f"LB_{key.upper()}"]
     if env.get("LB_ADMIN_ADDR"):
         tree["admin_addr"] = env["LB_ADMIN_ADDR"]
-    if again:
+    if is_reload:
         return from_tree(tree)
-    descriptor = inherited(env.get("LB_LISTEN_FD"))
+    descriptor = inherited_listener(env.get("LB_LISTEN_FD"))
     if descriptor is None:
         return from_tree(tree)
     return from_tree(tree, descriptor, env.get("TMPDIR") or None)
@@ -175,16 +175,16 @@
     """Return the JSON object in a file."""
     try:
         tree = json.loads(Path(path).read_bytes())
-    except OSError as why:
-        raise ConfigError(f"LB_CONFIG: cannot read {path}: {why.strerror}") from why
-    except (ValueError, RecursionError) as why:
-        raise ConfigError(f"LB_CONFIG: {path} is not JSON: {why}") from why
+    except OSError as error:
+        raise ConfigError(f"LB_CONFIG: cannot read {path}: {error.strerror}") from error
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"LB_CONFIG: {path} is not JSON: {error}") from error
     if not isinstance(tree, dict):
         raise ConfigError(f"LB_CONFIG: {path} does not contain a JSON object")
     return tree
 
 
-def inherited(text: str | None) -> int | None:
+def inherited_listener(text: str | None) -> int | None:
     """Return the descriptor in the text of `LB_LISTEN_FD`; None if that is unset or empty.
 
     Raises:
@@ -201,8 +201,8 @@
             listens = sock.type == socket.SOCK_STREAM and sock.getsockopt(
                 socket.SOL_SOCKET, socket.SO_ACCEPTCONN
             )
-    except OSError as why:
-        raise ConfigError(f"LB_LISTEN_FD: descriptor {number}: {why.strerror}") from why
+    except OSError as error:
+        raise ConfigError(f"LB_LISTEN_FD: descriptor {number}: {error.strerror}") from error
     if not listens:
         raise ConfigError(f"LB_LISTEN_FD: descriptor {number} is not a listening stream socket")
     return number
@@ -230,8 +230,8 @@
         slack_ns = settings.further_setting(
             raw, "contract.answer-slack-ns", DEFAULT_ANSWER_SLACK_NS
         )
-    except settings.SettingsError as why:
-        raise ConfigError(str(why)) from why
+    except settings.SettingsError as error:
+        raise ConfigError(str(error)) from error
     limits = _value(tree, "limits", dict, {})
     descriptors = _limit(limits, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS)
     memory_mb = _limit(limits, "memory_mb", DEFAULT_MEMORY_MB, 1)
@@ -263,10 +263,10 @@
     )
 
 
-def _limit(limits: Mapping[str, Any], key: str, default: int, least: int) -> int:
+def _limit(limits: Mapping[str, Any], key: str, default: int, minimum: int) -> int:
     value: int = _value(limits, key, int, default, "limits.")
-    if value < least:
-        raise ConfigError(f"limits.{key} must be {least} or more, not {value}")
+    if value < minimum:
+        raise ConfigError(f"limits.{key} must be {minimum} or more, not {value}")
     return value
 
 
@@ -274,8 +274,8 @@
     text = _value(tree, "seed", str, "0")
     try:
         return int(text, 16)
-    except ValueError as why:
-        raise ConfigError(f"seed must be a hexadecimal number, not {text[:60]!r}") from why
+    except ValueError as error:
+        raise ConfigError(f"seed must be a hexadecimal number, not {text[:60]!r}") from error
 
 
 def _cost_label(tree: Mapping[str, Any]) -> str:
@@ -354,8 +354,8 @@
         return parse_address(_value(tree, key, str))
     except ConfigError:
         raise
-    except ValueError as why:
-        raise ConfigError(f"{key}: {why}") from why
+    except ValueError as error:
+        raise ConfigError(f"{key}: {error}") from error
 
 
 def _names_of_objects(raw: Mapping[str, Any], key: str) -> tuple[str, ...]:
--- a/mothstall/net/actor.py
+++ b/mothstall/net/actor.py
@@ -45,14 +45,14 @@
         self._due = False
         try:
             self.receive(batch)
-        except Exception as why:  # an exception in one batch must not stop the actor
+        except Exception as error:  # an exception in one batch must not stop the actor
             self.counters.add("faults")
             log.exception("actor fault", extra={"kv": {"actor": self.name, "messages": len(batch)}})
-            self.recover(batch, why)
+            self.recover(batch, error)
 
     def receive(self, batch: list[M]) -> None:
         """Handle the queued messages in order of arrival."""
         raise NotImplementedError
 
-    def recover(self, batch: list[M], why: Exception) -> None:
-        """Finish the work that was open when `receive` raised `why`."""
+    def recover(self, batch: list[M], error: Exception) -> None:
+        """Finish the work that was open when `receive` raised `error`."""
--- a/mothstall/net/admin/server.py
+++ b/mothstall/net/admin/server.py
@@ -1,7 +1,7 @@
 """The admin server: a separate listener, one call per connection, a limited number of callers.
 
 It uses plain sockets whose descriptors come from the reserve, so that clients can't exhaust them.
-The `answer` callback executes the calls; this module only parses them and manages connections.
+The `handle_call` callback executes the calls; this module only parses them and manages connections.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 log = logging.getLogger("mothstall.admin")
 
 MAX_CALLERS = 16  # open connections, including those in a lingering close
-MAX_ACCEPT = 64  # connections accepted in one iteration of the event loop
-OWED_S = 5.0  # timeout of a complete call
+MAX_ACCEPTS_PER_ITERATION = 64  # connections accepted in one iteration of the event loop
+CALL_TIMEOUT_S = 5.0  # timeout of a complete call
 LINGER_S = 1.0  # a lingering close reads and discards input for this time
-MAX_CALL = 8 * 1024  # bytes of a head, and of a body
+MAX_CALL_BYTES = 8 * 1024  # bytes of a head, and of a body
 BACKLOG = 128  # connections queued by the kernel
 HTTP_VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 CALLS = {
@@ -42,14 +42,14 @@
     503: "Service Unavailable",
 }
 
-Answer = tuple[int, str]  # status and text of a response
+CallResult = tuple[int, str]  # status and text of a response
 
 
 class AdminCallError(ValueError):
     """A call is rejected with a response of `status`."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, message: str) -> None:
+        super().__init__(message)
         self.status = status
 
 
@@ -61,7 +61,7 @@
     """
     head, end, rest = received.partition(b"\r\n\r\n")
     if not end:
-        if len(received) > MAX_CALL:
+        if len(received) > MAX_CALL_BYTES:
             raise AdminCallError(413, "the call is too long")
         return None
     rows = head.split(b"\r\n")
@@ -69,7 +69,7 @@
     if len(request_line) != 3 or request_line[2] not in HTTP_VERSIONS:
         raise AdminCallError(400, "no call of HTTP/1.1")
     length = _content_length(rows[1:])
-    if length > MAX_CALL:
+    if length > MAX_CALL_BYTES:
         raise AdminCallError(413, "the call is too long")
     path = request_line[1].decode("ascii", "replace")
     if path not in CALLS:
@@ -102,11 +102,11 @@
     sock: socket.socket
     since: float  # on the loop's clock, s: when it connected, or when its response was sent
     received: bytes = b""
-    answered: bool = False
+    is_answered: bool = False
 
 
 class AdminServer:
-    """Accepts operators' calls and answers each with the result of `answer` for its path."""
+    """Accepts operators' calls and answers each with the result of `handle_call` for its path."""
 
     def __init__(
         self,
@@ -114,12 +114,12 @@
         *,
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
-        answer: Callable[[str], Answer],
+        handle_call: Callable[[str], CallResult],
     ) -> None:
         self._address = address
         self.loop = loop
         self.counters = counters
-        self._answer = answer
+        self._handle_call = handle_call
         self._listener: socket.socket | None = None
         self._callers: dict[_Caller, None] = {}  # without a complete call, oldest first
         self._lingering: dict[_Caller, None] = {}  # answered and not closed, oldest first
@@ -143,14 +143,14 @@
         if self._sweeper:
             self._sweeper.cancel()
         for caller in (*self._callers, *self._lingering):
-            self._end(caller)
+            self._close(caller)
         if self._listener:
             self.loop.remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
     def _accept(self) -> None:
-        for _ in range(MAX_ACCEPT):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if self._listener is None:
                 return
             try:
@@ -160,7 +160,7 @@
             if len(self._callers) + len(self._lingering) >= MAX_CALLERS:
                 # Guards against callers that keep their connections open, answered or without a
                 # complete call: the oldest one is closed.
-                self._end(next(iter(self._lingering or self._callers)))
+                self._close(next(iter(self._lingering or self._callers)))
             sock.setblocking(False)
             # Guards against a response that the kernel delays and a reset then discards.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -174,26 +174,26 @@
 
     def _read(self, caller: _Caller) -> None:
         try:
-            data = caller.sock.recv(MAX_CALL)
+            data = caller.sock.recv(MAX_CALL_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._end(caller)
+            self._close(caller)
             return
         if not data:
-            self._end(caller)
+            self._close(caller)
             return
-        if caller.answered:
+        if caller.is_answered:
             return
         caller.received += data
         try:
             path = read_call(caller.received)
             if path is None:
                 return
-            status, text = self._answer(path)
-        except AdminCallError as why:
-            status = why.status
-            text = f"{why}\n"
+            status, text = self._handle_call(path)
+        except AdminCallError as error:
+            status = error.status
+            text = f"{error}\n"
         except Exception:
             self.counters.add("faults")
             log.exception("call fault")
@@ -210,9 +210,9 @@
         )
         try:
             caller.sock.send(head.encode() + body)
-        except OSError as why:
-            log.info("answer not sent", extra={"kv": {"why": why}})
-            self._end(caller)
+        except OSError as error:
+            log.info("answer not sent", extra={"kv": {"why": error}})
+            self._close(caller)
             return
         self._linger(caller)
 
@@ -222,17 +222,17 @@
         Guards against closing with unread bytes after the call, which would reset the response.
         """
         self._callers.pop(caller, None)
-        caller.answered = True
+        caller.is_answered = True
         caller.received = b""
         caller.since = self.loop.time()
         try:
             caller.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._end(caller)
+            self._close(caller)
             return
         self._lingering[caller] = None
 
-    def _end(self, caller: _Caller) -> None:
+    def _close(self, caller: _Caller) -> None:
         self._callers.pop(caller, None)
         self._lingering.pop(caller, None)
         self.loop.remove_reader(caller.sock)
@@ -240,9 +240,9 @@
 
     def _sweep(self) -> None:
         now = self.loop.time()
-        for callers, max_age_s in ((self._callers, OWED_S), (self._lingering, LINGER_S)):
+        for callers, max_age_s in ((self._callers, CALL_TIMEOUT_S), (self._lingering, LINGER_S)):
             for caller in list(callers):
                 if now - caller.since < max_age_s:
                     break
-                self._end(caller)
+                self._close(caller)
         self._sweeper = self.loop.call_later(LINGER_S / 2, self._sweep)
--- a/mothstall/net/backend_side/backend.py
+++ b/mothstall/net/backend_side/backend.py
@@ -136,7 +136,7 @@
         self.address = command.address
         self.started_ns = command.started_ns
 
-    def recover(self, batch: list[BackendCommand], why: Exception) -> None:
+    def recover(self, batch: list[BackendCommand], error: Exception) -> None:
         """End the attempts of a batch that failed before it began them."""
         for command in batch:
             if (
--- a/mothstall/net/body_relay.py
+++ b/mothstall/net/body_relay.py
@@ -53,8 +53,8 @@
         max_streams: Maximum number of streams that hold a permit at once.
     """
 
-    def __init__(self, most: int) -> None:
-        self.max_streams = max(1, most)
+    def __init__(self, max_streams: int) -> None:
+        self.max_streams = max(1, max_streams)
         self._holders: set[Stream] = set()
         self._waiting: dict[Stream, None] = {}
 
--- a/mothstall/net/chunked_coding.py
+++ b/mothstall/net/chunked_coding.py
@@ -10,7 +10,7 @@
 MAX_SIZE_DIGITS = 15  # of a chunk size, which then fits into a signed 64-bit number
 HEX_DIGITS = b"0123456789abcdefABCDEF"
 # Expected next: a chunk size, chunk data, the line end after it, a trailer, nothing.
-SIZE, DATA, AFTER, TRAILER, END = range(5)
+SIZE, DATA, CHUNK_END, TRAILER, END = range(5)
 
 
 class ChunkedCodingError(NetError, ValueError):
@@ -22,7 +22,7 @@
     """The decoder state of one chunked body.
 
     Attributes:
-        phase: The expected element: SIZE, DATA, AFTER, TRAILER or END.
+        phase: The expected element: SIZE, DATA, CHUNK_END, TRAILER or END.
         remaining_bytes: Bytes of the current chunk that were not received yet.
         partial_line: The received part of an incomplete line.
     """
@@ -43,23 +43,23 @@
             ChunkedCodingError: The bytes are not a valid chunked body.
         """
         found: list[bytes] = []
-        at = 0
-        while at < len(raw) and self.phase != END:
+        position = 0
+        while position < len(raw) and self.phase != END:
             if self.phase == DATA:
-                part = raw[at : at + self.remaining_bytes]
+                part = raw[position : position + self.remaining_bytes]
                 found.append(part)
-                at += len(part)
+                position += len(part)
                 self.remaining_bytes -= len(part)
                 if not self.remaining_bytes:
-                    self.phase = AFTER
+                    self.phase = CHUNK_END
                 continue
-            end = raw.find(b"\n", at)
-            self.partial_line += raw[at:] if end < 0 else raw[at : end + 1]
+            end = raw.find(b"\n", position)
+            self.partial_line += raw[position:] if end < 0 else raw[position : end + 1]
             if len(self.partial_line) > MAX_LINE_BYTES:
                 raise ChunkedCodingError("a line is too long")
             if end < 0:
                 break
-            at = end + 1
+            position = end + 1
             line = self.partial_line
             self.partial_line = b""
             self._read_line(line.rstrip(b"\r\n"))
@@ -72,7 +72,7 @@
                 raise ChunkedCodingError("invalid chunk size")
             self.remaining_bytes = int(digits, 16)
             self.phase = DATA if self.remaining_bytes else TRAILER
-        elif self.phase == AFTER:
+        elif self.phase == CHUNK_END:
             if line:
                 raise ChunkedCodingError("chunk data is longer than its size")
             self.phase = SIZE
--- a/mothstall/net/client_side/frontend.py
+++ b/mothstall/net/client_side/frontend.py
@@ -161,11 +161,11 @@
 
     def takes_clients(self) -> bool:
         """Tell whether new clients are welcome."""
-        return self._ready() and self.acceptor.is_listening and self.phases.taking
+        return self._ready() and self.acceptor.is_listening and self.phases.accepts_clients
 
     def ends_connections(self) -> bool:
         """Tell whether a response is the last of its connection: at a drain, or to make room."""
-        return self.phases.closing or self.budget.is_under_pressure()
+        return self.phases.closes_connections or self.budget.is_under_pressure()
 
     def local_page(self, path: str) -> ClientResponse:
         """Return what the proxy says of itself at `path`."""
@@ -196,7 +196,7 @@
         request.received_ns = arrived_ns
         number = next(self._request_numbers)
         connection.open_exchange(OpenExchange(number, request), state)
-        latest = self.phases.latest(self.loop.time())
+        latest = self.phases.response_deadline(self.loop.time())
         latest_ns = None if latest is None else self.clock.unix_ns(latest)
         self._decide(RequestArrived(number, request, arrived_ns, connection.answer, latest_ns))
         return number
@@ -219,12 +219,12 @@
             self.handover.hand_over_idle()
             self.handover.hand_over_responses()
         is_drained = self.phases.tick(now) is Phase.DRAINED
-        is_overdue = is_drained and now >= (self.phases.latest(now) or now)
+        is_overdue = is_drained and now >= (self.phases.response_deadline(now) or now)
         for connection in list(self._accepted):
             if not isinstance(connection, Connection):
                 continue
             deadlines.check(connection, now)
-            if self.phases.too_late(now):
+            if self.phases.rejects_incomplete(now):
                 deadlines.check_at_process_end(connection)
             if is_drained:
                 deadlines.check_drained(connection, now, is_overdue)
--- a/mothstall/net/client_side/rejection.py
+++ b/mothstall/net/client_side/rejection.py
@@ -23,7 +23,7 @@
     if (
         not connection.body.is_complete()
         or not connection.keeps_alive
-        or frontend.phases.closing
+        or frontend.phases.closes_connections
         or connection.transport is None
     ):
         reject_and_close(connection, status, why)
--- a/mothstall/net/clock.py
+++ b/mothstall/net/clock.py
@@ -37,9 +37,9 @@
 class Clock:
     """Unix time at the start plus the monotonic time since then, which the event loop uses too."""
 
-    def __init__(self, poll: TimedSelector | None = None) -> None:
+    def __init__(self, selector: TimedSelector | None = None) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
-        self._poll = poll
+        self._selector = selector
 
     def now(self) -> int:
         """Return Unix time in nanoseconds."""
@@ -49,8 +49,8 @@
         """Return the earliest time at which data that is read now may have arrived."""
         return (
             self.now()
-            if self._poll is None
-            else int(self._poll.earliest_ready_s * 1e9) + self._offset
+            if self._selector is None
+            else int(self._selector.earliest_ready_s * 1e9) + self._offset
         )
 
     def unix_ns(self, at: float) -> int:
--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -108,7 +108,7 @@
         """Set the actor that polls and watches endpoints."""
         self._discovery = discovery
 
-    def memory(self) -> io.InheritedState:
+    def inherited_state(self) -> io.InheritedState:
         """Return the state that a successor process inherits."""
         return self._balancer.memory()
 
@@ -355,9 +355,9 @@
                 if entry is not None and not entry.is_answered:
                     self._fail(entry)
             else:
-                self._command_others(action)
+                self._execute_other(action)
 
-    def _command_others(
+    def _execute_other(
         self,
         action: io.ProbeLoad
         | io.CloseIdleConnections
@@ -397,9 +397,9 @@
         number = len(entry.attempts)
         actor = self._backends.get(action.backend)
         inbound = entry.arrived.client_request
-        late = now >= entry.deadline_ns and inbound.stream is None
-        gone = inbound.stream is not None and (inbound.stream.is_opened or entry.in_flight > 0)
-        if entry.is_answered or number >= self._config.settings.max_attempts or late or gone:
+        is_late = now >= entry.deadline_ns and inbound.stream is None
+        is_spent = inbound.stream is not None and (inbound.stream.is_opened or entry.in_flight > 0)
+        if entry.is_answered or number >= self._config.settings.max_attempts or is_late or is_spent:
             actor = None
         entry.attempts.append(actor)
         entry.in_flight += 1
@@ -478,7 +478,7 @@
             if entry.is_answered and not entry.in_flight and not entry.is_relaying:
                 self._pending.pop(entry.arrived.request, None)
 
-    def recover(self, batch: list[DeciderMessage], why: Exception) -> None:
+    def recover(self, batch: list[DeciderMessage], error: Exception) -> None:
         """Fail all open requests and create a new balancer: the old one's state may be corrupt."""
         self._restarts += 1
         for message in batch:
--- a/mothstall/net/discovery/discovery.py
+++ b/mothstall/net/discovery/discovery.py
@@ -24,26 +24,26 @@
 
 log = logging.getLogger("mothstall.discovery")
 
-WAIT_S = 5.0  # minimum time that one watch call waits for an event
+MIN_WAIT_S = 5.0  # minimum time that one watch call waits for an event
 MAX_WAIT_S = 60.0  # maximum time that one watch call waits for an event
 # Timeout of a call that does not wait. Discovery drops a call that has been queued for 2 s: the
 # timeout is longer, so that a call it began to serve just before that is not wasted.
-CALL_S = 2.25
+CALL_TIMEOUT_S = 2.25
 # Timeout of a call that waits, after its wait: its events count as delivered 2 s after the wait.
-GRACE_S = 1.2
-CONNECT_S = 1.0  # timeout of a connection to discovery
+WAIT_MARGIN_S = 1.2
+CONNECT_TIMEOUT_S = 1.0  # timeout of a connection to discovery
 MAX_LIST = 8 * 1024 * 1024  # bytes of one response
 HTTP_OK = 200
-MOVE_PAUSE_S = 0.1  # between calls at a new address that fail
-MOVE_TRY_S = 3.0  # after a change of address: failed calls are retried after MOVE_PAUSE_S
+ADDRESS_CHANGE_RETRY_S = 0.1  # between calls at a new address that fail
+ADDRESS_CHANGE_WINDOW_S = 3.0  # after a change of address: failed calls are retried soon
 # Where the list is pushed, a drain counts from when the agent has it: the two fractions below
 # derive time limits from the grace of a drain.
-CALL_PART = 0.5  # of the grace: time of a first call before the next one begins
-PAUSE_PART = 0.25  # of the grace: pause between calls from the second failure in a row on
-MIN_CALL_S = 0.2  # lower limit of the time of a first call
+FIRST_CALL_GRACE_FRACTION = 0.5  # of the grace: time of a first call before the next one begins
+PAUSE_GRACE_FRACTION = 0.25  # of the grace: pause between calls from the second failure in a row on
+MIN_FIRST_CALL_S = 0.2  # lower limit of the time of a first call
 MIN_PAUSE_S = 0.05  # guards against a busy loop where the grace is zero
 MAX_PAUSE_S = 1.0  # upper limit of the pause
-SPREAD_S = 0.01  # per proxy: spreads the calls of all proxies after an outage of discovery
+SPREAD_PER_PROXY_S = 0.01  # spreads the calls of all proxies after an outage of discovery
 MAX_SPREAD_S = 0.5  # upper limit of the spread over all proxies
 
 
@@ -135,7 +135,7 @@
 class SetWatching:
     """Start or end the watch."""
 
-    on: bool
+    is_on: bool
 
 
 @dataclass(slots=True)
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True)
-class DiscoveryMoved:
+class DiscoveryAddressChanged:
     """The address of discovery has changed."""
 
     address: Address
@@ -154,8 +154,8 @@
 class PollFailed:
     """A call that failed."""
 
-    silent: bool  # no byte was received before the timeout
-    since: float  # on the loop's clock, s: later events may have been missed
+    is_silent: bool  # no byte was received before the timeout
+    missed_since: float  # on the loop's clock, s: later events may have been missed
 
 
 @dataclass(slots=True)
@@ -181,14 +181,16 @@
     """Return the timing of one proxy's calls; the arguments are those of `Discovery`."""
     return CallTiming(
         # One discovery serves all proxies: together they end about one wait per second.
-        wait_s=min(MAX_WAIT_S, max(WAIT_S, float(proxies))),
-        first_s=min(CALL_S, max(MIN_CALL_S, CALL_PART * grace_s)) if push else CALL_S,
-        pause_s=min(MAX_PAUSE_S, max(MIN_PAUSE_S, PAUSE_PART * grace_s)),
-        spread_s=min(MAX_SPREAD_S, SPREAD_S * proxies) * (position % proxies) / proxies,
+        wait_s=min(MAX_WAIT_S, max(MIN_WAIT_S, float(proxies))),
+        first_s=min(CALL_TIMEOUT_S, max(MIN_FIRST_CALL_S, FIRST_CALL_GRACE_FRACTION * grace_s))
+        if push
+        else CALL_TIMEOUT_S,
+        pause_s=min(MAX_PAUSE_S, max(MIN_PAUSE_S, PAUSE_GRACE_FRACTION * grace_s)),
+        spread_s=min(MAX_SPREAD_S, SPREAD_PER_PROXY_S * proxies) * (position % proxies) / proxies,
     )
 
 
-class Discovery(Actor[SetWatching | PollOnce | DiscoveryMoved]):
+class Discovery(Actor[SetWatching | PollOnce | DiscoveryAddressChanged]):
     """Polls and watches discovery, and reports each update and each failure to `report`."""
 
     def __init__(
@@ -229,49 +231,49 @@
         self._session = make_session()
         self._watch: asyncio.Task[None] | None = None
         # The watch at the previous address: its call in flight may still bring an update.
-        self._former: asyncio.Task[None] | None = None
+        self._previous_watch: asyncio.Task[None] | None = None
         # A slow call that goes on while later calls are made.
-        self._late: asyncio.Task[protocol.ParsedUpdate | PollFailed] | None = None
+        self._slow_call: asyncio.Task[protocol.ParsedUpdate | PollFailed] | None = None
         self._epoch = 0  # of the address: watches of earlier epochs end
-        self._moved_until = 0.0  # on the loop's clock, s: failures are retried soon until then
+        self._retry_soon_until = 0.0  # on the loop's clock, s: failures are retried soon until then
         self._is_first_call_open = False  # a watch has started and has received no response yet
-        self._fetches: set[asyncio.Task[None]] = set()
+        self._polls: set[asyncio.Task[None]] = set()
 
-    def receive(self, batch: list[SetWatching | PollOnce | DiscoveryMoved]) -> None:
+    def receive(self, batch: list[SetWatching | PollOnce | DiscoveryAddressChanged]) -> None:
         """Handle the messages in order, without waiting for calls."""
         for message in batch:
-            if isinstance(message, DiscoveryMoved):
-                self._move(message.address)
+            if isinstance(message, DiscoveryAddressChanged):
+                self._change_address(message.address)
                 continue
             if isinstance(message, PollOnce):
-                task = self.loop.create_task(self._fetch())
-                self._fetches.add(task)
-                task.add_done_callback(self._fetches.discard)
+                task = self.loop.create_task(self._poll())
+                self._polls.add(task)
+                task.add_done_callback(self._polls.discard)
                 continue
             is_push_watched = self._push and self._watch and not self._watch.done()
-            if message.on and (self._is_first_call_open or is_push_watched):
+            if message.is_on and (self._is_first_call_open or is_push_watched):
                 # The call in flight serves this message too, or the running watch does.
                 continue
-            self._drop()
-            if message.on:
+            self._cancel_watch()
+            if message.is_on:
                 self._is_first_call_open = True
-                self._watch = self.loop.create_task(self._follow(self._epoch, self._address))
+                self._watch = self.loop.create_task(self._run_watch(self._epoch, self._address))
 
     def start(self) -> None:
         """Start the watch if updates are pushed."""
         if self._push:
             self.tell(SetWatching(True))
 
-    def _drop(self) -> None:
-        for task in (self._watch, self._former, self._late):
+    def _cancel_watch(self) -> None:
+        for task in (self._watch, self._previous_watch, self._slow_call):
             if task:
                 task.cancel()
         self._watch = None
-        self._former = None
-        self._late = None
+        self._previous_watch = None
+        self._slow_call = None
         self._is_first_call_open = False
 
-    def _move(self, address: Address) -> None:
+    def _change_address(self, address: Address) -> None:
         """Call the new address at once; the call in flight at the old one may bring an update.
 
         Guards against a gap: the old address may end its watches at any time, or stop responding.
@@ -279,21 +281,21 @@
         if address == self._address:
             return
         self._address = address
-        self._moved_until = self.loop.time() + MOVE_TRY_S
+        self._retry_soon_until = self.loop.time() + ADDRESS_CHANGE_WINDOW_S
         self._epoch += 1
-        if self._former:
-            self._former.cancel()
-        self._former = self._watch
+        if self._previous_watch:
+            self._previous_watch.cancel()
+        self._previous_watch = self._watch
         if self._watch is None or self._watch.done():
             self._is_first_call_open = True
         # A running watch goes on with a call that waits: a poll would bring nothing more.
         self._watch = self.loop.create_task(
-            self._follow(self._epoch, address, first=self._is_first_call_open)
+            self._run_watch(self._epoch, address, is_first=self._is_first_call_open)
         )
 
     async def stop(self) -> None:
         """Cancel all calls and close the connections."""
-        for task in (self._watch, self._former, self._late, *self._fetches):
+        for task in (self._watch, self._previous_watch, self._slow_call, *self._polls):
             if task:
                 task.cancel()
         await self._session.close()
@@ -303,39 +305,41 @@
         self._report(EndpointsUpdated(scope, update))
 
     def _report_failure(self, failure: PollFailed) -> None:
-        self._report(EndpointsUpdated(UpdateScope.FAILED, None, self.loop.time() - failure.since))
+        self._report(
+            EndpointsUpdated(UpdateScope.FAILED, None, self.loop.time() - failure.missed_since)
+        )
 
     async def _watch_call(
-        self, address: Address, first: bool
+        self, address: Address, is_first: bool
     ) -> protocol.ParsedUpdate | PollFailed:
         """Make the next call of a watch; the first one does not wait for an event."""
-        wait_ms = 1 if first else int(self._timing.wait_s * 1000)
+        wait_ms = 1 if is_first else int(self._timing.wait_s * 1000)
         query = f"?since={self._version}&timeout_ms={wait_ms}"
-        if first and self._timing.first_s < CALL_S:
-            return await self._call_briefly(address, query)
-        max_s = CALL_S if first else self._timing.wait_s + GRACE_S
-        return await self._call(address, query, max_s, waits=not first)
+        if is_first and self._timing.first_s < CALL_TIMEOUT_S:
+            return await self._make_first_call(address, query)
+        max_s = CALL_TIMEOUT_S if is_first else self._timing.wait_s + WAIT_MARGIN_S
+        return await self._call(address, query, max_s, waits=not is_first)
 
-    async def _follow(self, epoch: int, address: Address, first: bool = True) -> None:
+    async def _run_watch(self, epoch: int, address: Address, is_first: bool = True) -> None:
         """Run a watch: the first call polls missed changes, later calls wait for an event."""
         failures = 0  # in a row
         while epoch == self._epoch:
-            result = await self._watch_call(address, first)
+            result = await self._watch_call(address, is_first)
             update = None if isinstance(result, PollFailed) else result
             if epoch != self._epoch:
                 # The address has changed: only an update of this call counts, not a failure.
                 if update and (update.members or update.is_complete):
                     self._report_update(update)
                 return
-            if isinstance(result, PollFailed) and self.loop.time() < self._moved_until:
+            if isinstance(result, PollFailed) and self.loop.time() < self._retry_soon_until:
                 # Guards against a long wait for a service that is still starting.
-                first = True
-                await asyncio.sleep(MOVE_PAUSE_S)
+                is_first = True
+                await asyncio.sleep(ADDRESS_CHANGE_RETRY_S)
                 continue
-            if isinstance(result, PollFailed) and result.silent and not first:
+            if isinstance(result, PollFailed) and result.is_silent and not is_first:
                 # Guards against a longer pause after a silent watch: missed events count as
                 # delivered 2 s after the wait.
-                first = True
+                is_first = True
                 self._is_first_call_open = True
                 await asyncio.sleep(self._timing.spread_s)
                 continue
@@ -347,14 +351,14 @@
                 # Guards against a drain that this proxy does not read before its grace is over.
                 await asyncio.sleep(self._timing.pause_s if failures else 0.0)
                 failures += 1
-                first = True
+                is_first = True
                 continue
             failures = 0
-            if first or result.members or result.is_complete:
+            if is_first or result.members or result.is_complete:
                 self._report_update(result)
-            first = False
+            is_first = False
 
-    async def _call_briefly(
+    async def _make_first_call(
         self, address: Address, query: str
     ) -> protocol.ParsedUpdate | PollFailed:
         """Make a call that counts as failed after `first_s`, but may go on in the background.
@@ -363,51 +367,51 @@
         goes on in the background. Worst case: 2.25 s for that call, a pause of 1 s, and 2.25 s for
         the next one, less than 6 s in total.
         """
-        call = self.loop.create_task(self._call(address, query, CALL_S))
+        call = self.loop.create_task(self._call(address, query, CALL_TIMEOUT_S))
         began = self.loop.time()
-        late = self._late
+        slow_call = self._slow_call
         until = began + self._timing.first_s
         try:
             while not call.done():
                 left_s = until - self.loop.time()
                 if left_s <= 0:
                     break
-                if late and late.done():
-                    received = _update_of(late)
+                if slow_call and slow_call.done():
+                    received = _update_of(slow_call)
                     if received is not None:
                         return received  # the agent is reachable: continue with a watch
-                    late = None
+                    slow_call = None
                 await asyncio.wait(
-                    {call, late} if late else {call},
+                    {call, slow_call} if slow_call else {call},
                     timeout=left_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
             if call.done():
                 return call.result()
-            if self._late is None:
-                self._late = call
-                call.add_done_callback(self._received_late)
+            if self._slow_call is None:
+                self._slow_call = call
+                call.add_done_callback(self._on_slow_call_ended)
             self.counters.add("discovery_failures")
             return PollFailed(True, began)
         finally:
-            if call is not self._late:
+            if call is not self._slow_call:
                 call.cancel()
 
-    def _received_late(self, call: asyncio.Task[protocol.ParsedUpdate | PollFailed]) -> None:
+    def _on_slow_call_ended(self, call: asyncio.Task[protocol.ParsedUpdate | PollFailed]) -> None:
         """Report the update of the slow call now, not after a pause between later calls."""
-        if self._late is call:
-            self._late = None
+        if self._slow_call is call:
+            self._slow_call = None
         update = _update_of(call)
         if update is not None:
             self._report_update(update)
 
-    async def _fetch(self) -> None:
+    async def _poll(self) -> None:
         result: protocol.ParsedUpdate | PollFailed | None = None
         address = None
         # The address may have changed while a call failed.
         while not isinstance(result, protocol.ParsedUpdate) and address != self._address:
             address = self._address
-            result = await self._call(address, "", CALL_S)
+            result = await self._call(address, "", CALL_TIMEOUT_S)
         if isinstance(result, protocol.ParsedUpdate):
             self._report_update(result)
         elif result is not None:
@@ -418,7 +422,7 @@
     ) -> protocol.ParsedUpdate | PollFailed:
         """Make one call with a timeout of `max_s`; `waits`: the response waits for an event."""
         self.counters.add("discovery_calls")
-        why: object
+        reason: object
         began = self.loop.time()
         first_byte_at: float | None = None  # on the loop's clock, s
         silent = False
@@ -429,39 +433,39 @@
             nonlocal first_byte_at
             first_byte_at = self.loop.time()
             when = limit.when()
-            if when is not None and when > first_byte_at + CALL_S:
-                limit.reschedule(first_byte_at + CALL_S)
+            if when is not None and when > first_byte_at + CALL_TIMEOUT_S:
+                limit.reschedule(first_byte_at + CALL_TIMEOUT_S)
 
         _on_first_byte.set(on_first_byte if waits else None)
         try:
             async with limit:
                 status, body = await self._get(address, query)
                 if status == HTTP_OK:
-                    return self._accept(body)
-                why = f"status {status}"
-        except (protocol.UnreadableMessageError, ValueError) as err:
+                    return self._parse_update(body)
+                reason = f"status {status}"
+        except (protocol.UnreadableMessageError, ValueError) as error:
             self.counters.add("unreadable")
-            why = err
-        except (TimeoutError, aiohttp.ClientError, OSError) as err:
-            why = f"{type(err).__name__}: {err}"
+            reason = error
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            reason = f"{type(error).__name__}: {error}"
             silent = limit.expired() and first_byte_at is None
-        except Exception as err:
+        except Exception as error:
             # Guards against a watch that ends unnoticed: any exception is a failed call.
             self.counters.add("faults")
             log.exception("discovery fault")
-            why = err
-        return self._failed(why, silent, waits, began, first_byte_at)
+            reason = error
+        return self._record_failure(reason, silent, waits, began, first_byte_at)
 
-    def _failed(
-        self, why: object, silent: bool, waits: bool, began: float, first_byte_at: float | None
+    def _record_failure(
+        self, reason: object, silent: bool, waits: bool, began: float, first_byte_at: float | None
     ) -> PollFailed:
         """Count and log the failure of the call that the current task makes."""
-        if asyncio.current_task() is not self._late:  # counted when its time was up
+        if asyncio.current_task() is not self._slow_call:  # counted when its time was up
             self.counters.add("discovery_failures")
-        log.info("discovery call failed", extra={"kv": {"why": why}})
+        log.info("discovery call failed", extra={"kv": {"why": reason}})
         now = self.loop.time()
         # A wait that fails late was a watch until then; one that fails early may never have begun.
-        watched = waits and not silent and now - began > CALL_S + GRACE_S
+        watched = waits and not silent and now - began > CALL_TIMEOUT_S + WAIT_MARGIN_S
         watched_until = now if first_byte_at is None else first_byte_at
         return PollFailed(silent, watched_until if watched else began)
 
@@ -470,12 +474,12 @@
         async with self._session.get(
             URL(f"http://{address}{protocol.ENDPOINT_LIST_PATH}{query}", encoded=True),
             allow_redirects=False,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         ) as response:
             body = await read_complete(response, MAX_LIST)
         return response.status, body
 
-    def _accept(self, body: bytes) -> protocol.ParsedUpdate:
+    def _parse_update(self, body: bytes) -> protocol.ParsedUpdate:
         """Return the update in `body` and adopt its version, which never goes backward."""
         update = protocol.parse_endpoint_list(json.loads(body), self._names)
         if update.version < self._version:
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -56,8 +56,10 @@
         self._settings = settings
         self._clock = clock
         self._figures = figures
-        self._util = settings.load_names.index("util") if "util" in settings.load_names else -1
-        self._zones: dict[int, str] = {}  # by backend number, while listed
+        self._util_index = (
+            settings.load_names.index("util") if "util" in settings.load_names else -1
+        )
+        self._zone_by_backend: dict[int, str] = {}  # by backend number, while listed
         self._members: dict[str, protocol.ListedEndpoint] = {}
         self._reported_health: dict[str, Health] = {}
         self._version = 0
@@ -65,7 +67,7 @@
             operator,
             name,
             loop=loop,
-            on_change=self._changed,
+            on_change=self._on_agent_change,
             may_probe=settings.may_probe,
             proxy_traffic=self,
             classes=names.classes,
@@ -73,13 +75,13 @@
         )
         counters.extra = self.agent.metrics
 
-    def _zone(self, member: protocol.ListedEndpoint) -> str:
+    def _zone_name(self, member: protocol.ListedEndpoint) -> str:
         zones = self._names.zones
         return zones[member.endpoint.zone] if member.endpoint.zone < len(zones) else ""
 
-    def _merged(self, member: protocol.ListedEndpoint) -> protocol.ListedEndpoint:
+    def _apply_drains(self, member: protocol.ListedEndpoint) -> protocol.ListedEndpoint:
         health = self.agent.active_drains().effective_health(
-            member.id, self._zone(member), member.endpoint.health
+            member.id, self._zone_name(member), member.endpoint.health
         )
         self._reported_health[member.id] = health
         return replace(member, endpoint=replace(member.endpoint, health=health))
@@ -96,22 +98,26 @@
             self._reported_health = {}
         for member in update.members:
             self._members[member.id] = member
-        members = [self._merged(member) for member in update.members]
+        members = [self._apply_drains(member) for member in update.members]
         self._members = {k: m for k, m in self._members.items() if m.endpoint.health != Health.GONE}
         self.agent.backends = {
-            key: BackendEndpoint(m.address, self._zone(m)) for key, m in self._members.items()
+            key: BackendEndpoint(m.address, self._zone_name(m)) for key, m in self._members.items()
+        }
+        self._zone_by_backend = {
+            m.endpoint.backend: self._zone_name(m) for m in self._members.values()
         }
-        self._zones = {m.endpoint.backend: self._zone(m) for m in self._members.values()}
         self._report(EndpointsUpdated(message.scope, replace(update, members=members)))
 
-    def _changed(self) -> None:
+    def _on_agent_change(self) -> None:
         """Report backends whose drain state has changed, as a delta, and new health hints."""
         drained = self.agent.active_drains()
         rows = []
         for member in self._members.values():
-            health = drained.effective_health(member.id, self._zone(member), member.endpoint.health)
+            health = drained.effective_health(
+                member.id, self._zone_name(member), member.endpoint.health
+            )
             if health != self._reported_health.get(member.id):
-                rows.append(self._merged(member))
+                rows.append(self._apply_drains(member))
         if rows:
             self._report(
                 EndpointsUpdated(
@@ -126,14 +132,18 @@
 
     def attempt_ended(self, message: AttemptEnded, cls: int) -> None:
         """Record the end of an attempt in this proxy's statistics of zones."""
-        zone = self._zones.get(message.backend)
+        zone = self._zone_by_backend.get(message.backend)
         if zone and self.agent.failover:
-            util = message.load[self._util] if 0 <= self._util < len(message.load) else -1.0
+            util = (
+                message.load[self._util_index]
+                if 0 <= self._util_index < len(message.load)
+                else -1.0
+            )
             self.agent.failover.record_attempt(zone, cls, message.result, message.latency_ns, util)
 
     def warm_weights(self) -> Mapping[str, float]:
         """The total weight of each zone's ready backends, reduced for those that are warming up."""
-        weights = dict.fromkeys(self._zones.values(), 0.0)
+        weights = dict.fromkeys(self._zone_by_backend.values(), 0.0)
         settings = self._settings
         now = self._clock.now()
         for member in self._members.values():
@@ -145,7 +155,9 @@
                 warmth = min(1.0, age_ns / max(1, settings.slow_start_ns))
                 initial = settings.initial_warmth
                 part = initial + (1 - initial) * warmth if warmth < 1.0 else 1.0
-                weights[self._zone(member)] += part * (entry.weight if entry.weight > 0 else 1.0)
+                weights[self._zone_name(member)] += part * (
+                    entry.weight if entry.weight > 0 else 1.0
+                )
         return weights
 
     def request_totals(self) -> tuple[int, int]:
--- a/mothstall/net/handover/handover.py
+++ b/mothstall/net/handover/handover.py
@@ -20,7 +20,7 @@
 
 from mothstall.net.counters import Counters
 from mothstall.net.handover.messages import (
-    MAX_MESSAGE,
+    MAX_MESSAGE_BYTES,
     ClientHandover,
     HandoverMessageError,
     HandoverRequest,
@@ -33,11 +33,11 @@
 
 log = logging.getLogger("mothstall.handover")
 
-ANSWER_S = 0.5  # timeout for the old process's state
+STATE_TIMEOUT_S = 0.5  # timeout for the old process's state
 MAX_PEERS = 4  # connections of later processes at once
 READ_BATCH = 32  # messages read in one iteration of the event loop
 MAX_DESCRIPTORS = 4  # per message
-MAX_PATH = 100  # bytes that the address of a Unix socket holds on every platform
+MAX_ADDRESS_BYTES = 100  # bytes that the address of a Unix socket holds on every platform
 
 
 class PeerConnection:
@@ -79,7 +79,7 @@
             self.sock.close()
             self._on_close(self)
 
-    def finish(self) -> None:
+    def drain_and_close(self) -> None:
         """Receive what the peer has already sent, and close the connection.
 
         Guards against losing unread descriptors with this end of the connection: after the shutdown
@@ -99,14 +99,14 @@
                 return False
             try:
                 raw, fds, flags, _address = socket.recv_fds(
-                    self.sock, MAX_MESSAGE + 1, MAX_DESCRIPTORS
+                    self.sock, MAX_MESSAGE_BYTES + 1, MAX_DESCRIPTORS
                 )
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError:
                 self.close()
                 return False
-            if not raw or len(raw) > MAX_MESSAGE or flags & socket.MSG_TRUNC:
+            if not raw or len(raw) > MAX_MESSAGE_BYTES or flags & socket.MSG_TRUNC:
                 for fd in fds:
                     os.close(fd)
                 self.close()
@@ -158,12 +158,12 @@
         self.loop = loop
         self.counters = counters
         self._callbacks = callbacks
-        self._file = f"mothstall-{hashlib.blake2b(name.encode(), digest_size=6).hexdigest()}"
+        self._socket_name = f"mothstall-{hashlib.blake2b(name.encode(), digest_size=6).hexdigest()}"
         self._listener: socket.socket | None = None
         self._peers: set[PeerConnection] = set()  # accepted connections of later processes
         self._successor: PeerConnection | None = None
         self._predecessor: PeerConnection | None = None
-        self._answer: asyncio.Future[HandoverState] | None = None
+        self._state_received: asyncio.Future[HandoverState] | None = None
         self._own_inode = 0  # of the socket that this process has bound
 
     # The new process
@@ -172,49 +172,58 @@
         """Return the state of the previous process; None without one, or if the handover failed."""
         try:
             peer = self._connect()
-        except OSError as why:
-            log.debug("no previous process", extra={"kv": {"why": why}})
+        except OSError as error:
+            log.debug("no previous process", extra={"kv": {"why": error}})
             return None
-        answer: asyncio.Future[HandoverState] = self.loop.create_future()
+        state_received: asyncio.Future[HandoverState] = self.loop.create_future()
         self._predecessor = peer
-        self._answer = answer
+        self._state_received = state_received
         peer.send(encode(HandoverRequest(self._name)))
         try:
-            async with asyncio.timeout(ANSWER_S):
-                state = await answer
-        except (TimeoutError, HandoverMessageError) as why:
+            async with asyncio.timeout(STATE_TIMEOUT_S):
+                state = await state_received
+        except (TimeoutError, HandoverMessageError) as error:
             self.counters.add("handovers_failed")
-            log.warning("previous process unusable", extra={"kv": {"why": why or "silent"}})
+            log.warning("previous process unusable", extra={"kv": {"why": error or "silent"}})
             self._predecessor = None
             peer.close()
             return None
         finally:
-            self._answer = None
+            self._state_received = None
         self.counters.add("handovers")
-        log.info("took over", extra={"kv": {"clients": state.clients, "backends": state.backends}})
+        log.info(
+            "took over",
+            extra={
+                "kv": {"clients": state.client_connections, "backends": state.backend_connections}
+            },
+        )
         return state
 
     def _connect(self) -> PeerConnection:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
-            with self._address(self._file) as address:
+            with self._address(self._socket_name) as address:
                 sock.connect(address)
         except OSError:
             sock.close()
             raise
-        return PeerConnection(sock, self.loop, self._from_predecessor, self._predecessor_closed)
+        return PeerConnection(
+            sock, self.loop, self._on_predecessor_message, self._predecessor_closed
+        )
 
-    def _from_predecessor(self, peer: PeerConnection, raw: bytes, fds: list[int]) -> None:
+    def _on_predecessor_message(self, peer: PeerConnection, raw: bytes, fds: list[int]) -> None:
         """Handle a message of the previous process."""
         try:
             self._accept_message(decode(raw), fds)
-        except (HandoverMessageError, OSError) as why:
-            if self._answer is not None and not self._answer.done():
-                self._answer.set_exception(
-                    why if isinstance(why, HandoverMessageError) else HandoverMessageError(str(why))
+        except (HandoverMessageError, OSError) as error:
+            if self._state_received is not None and not self._state_received.done():
+                self._state_received.set_exception(
+                    error
+                    if isinstance(error, HandoverMessageError)
+                    else HandoverMessageError(str(error))
                 )
-            log.warning("malformed message of the previous process", extra={"kv": {"why": why}})
+            log.warning("malformed message of the previous process", extra={"kv": {"why": error}})
             peer.close()
         finally:
             for fd in fds:
@@ -223,20 +232,24 @@
     def _accept_message(self, message: Message, fds: list[int]) -> None:
         """Apply a message; the descriptors that it uses are removed from `fds`."""
         # The first client may arrive before the coroutine that awaits the state has resumed.
-        answered = self._answer is None or self._answer.done()
-        if isinstance(message, ClientHandover) and len(fds) == 1 and answered:
+        is_state_received = self._state_received is None or self._state_received.done()
+        if isinstance(message, ClientHandover) and len(fds) == 1 and is_state_received:
             self._callbacks.adopt_client(socket.socket(fileno=fds.pop()), message)
             self.counters.add("clients_adopted")
         elif (
             isinstance(message, StreamHandover)
-            and len(fds) == (1 if message.left == 0 else 2)
-            and answered
+            and len(fds) == (1 if message.remaining_bytes == 0 else 2)
+            and is_state_received
         ):
             backend = socket.socket(fileno=fds.pop()) if len(fds) == 2 else None
             self._callbacks.adopt_stream(socket.socket(fileno=fds.pop()), backend, message)
             self.counters.add("answers_adopted")
-        elif isinstance(message, HandoverState) and self._answer is not None and not answered:
-            self._answer.set_result(message)
+        elif (
+            isinstance(message, HandoverState)
+            and self._state_received is not None
+            and not is_state_received
+        ):
+            self._state_received.set_result(message)
         else:
             raise HandoverMessageError("an unexpected message")
 
@@ -247,11 +260,11 @@
         accepts, and the previous process waits until their connection is closed.
         """
         if self._predecessor is not None:
-            self._predecessor.finish()
+            self._predecessor.drain_and_close()
 
     def _predecessor_closed(self, peer: PeerConnection) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(HandoverMessageError("gone"))
+        if self._state_received is not None and not self._state_received.done():
+            self._state_received.set_exception(HandoverMessageError("gone"))
         if peer is self._predecessor:
             self._predecessor = None
             self._callbacks.on_predecessor_gone()
@@ -262,24 +275,24 @@
         """Accept handover requests of later processes; without a socket, none can take over."""
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        except OSError as why:  # a platform without such sockets must not fail the start
-            log.warning("no handover socket", extra={"kv": {"why": why}})
+        except OSError as error:  # a platform without such sockets must not fail the start
+            log.warning("no handover socket", extra={"kv": {"why": error}})
             return
-        name = f"{self._file}.{os.getpid()}"
+        name = f"{self._socket_name}.{os.getpid()}"
         try:
             sock.setblocking(False)
             # Guards against files left by processes that were killed between bind and rename.
-            for left in self._directory.glob(f"{self._file}.*"):
-                left.unlink(missing_ok=True)
+            for leftover in self._directory.glob(f"{self._socket_name}.*"):
+                leftover.unlink(missing_ok=True)
             with self._address(name) as address:
                 sock.bind(address)
             sock.listen(MAX_PEERS)
             path = self._directory / name
             path.chmod(0o600)
             self._own_inode = path.stat().st_ino
-            path.replace(self._directory / self._file)
-        except OSError as why:
-            log.warning("no handover socket", extra={"kv": {"why": why}})
+            path.replace(self._directory / self._socket_name)
+        except OSError as error:
+            log.warning("no handover socket", extra={"kv": {"why": error}})
             sock.close()
             return
         self._listener = sock
@@ -294,16 +307,16 @@
         if len(self._peers) >= MAX_PEERS:
             sock.close()
             return
-        self._peers.add(PeerConnection(sock, self.loop, self._from_peer, self._peer_closed))
+        self._peers.add(PeerConnection(sock, self.loop, self._on_peer_message, self._peer_closed))
 
-    def _from_peer(self, peer: PeerConnection, raw: bytes, fds: list[int]) -> None:
+    def _on_peer_message(self, peer: PeerConnection, raw: bytes, fds: list[int]) -> None:
         """Handle a message of a later process, of which only a request is valid."""
         for fd in fds:
             os.close(fd)
         try:
             self._check_request(decode(raw))
-        except HandoverMessageError as why:
-            log.warning("malformed message of a later process", extra={"kv": {"why": why}})
+        except HandoverMessageError as error:
+            log.warning("malformed message of a later process", extra={"kv": {"why": error}})
             peer.close()
             return
         self._successor = peer
@@ -324,17 +337,17 @@
             self._callbacks.resume()
 
     @property
-    def linked(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a later process is taking over the client connections of this one."""
         return self._successor is not None
 
-    def hand_over(self, fd: int, silent: bool, age_s: float) -> bool:
+    def hand_over_client(self, fd: int, is_silent: bool, age_s: float) -> bool:
         """Hand over a client's connection; False if it stays with this process."""
         return self._successor is not None and self._successor.send(
-            encode(ClientHandover(silent, age_s)), [fd]
+            encode(ClientHandover(is_silent, age_s)), [fd]
         )
 
-    def hand_over_answer(self, client: int, backend: int | None, stream: StreamHandover) -> bool:
+    def hand_over_response(self, client: int, backend: int | None, stream: StreamHandover) -> bool:
         """Hand over a long response in progress; False if it stays with this process."""
         fds = [client] if backend is None else [client, backend]
         return self._successor is not None and self._successor.send(encode(stream), fds)
@@ -350,8 +363,8 @@
             self._listener = None
             with contextlib.suppress(OSError):
                 # A later process may have replaced the file by its own socket.
-                if (self._directory / self._file).stat().st_ino == self._own_inode:
-                    (self._directory / self._file).unlink()
+                if (self._directory / self._socket_name).stat().st_ino == self._own_inode:
+                    (self._directory / self._socket_name).unlink()
         self._successor = None  # not lost: this process stops, and must not log a lost successor
         for peer in [*self._peers, self._predecessor]:
             if peer is not None:
@@ -364,7 +377,7 @@
         Guards against a directory whose path is longer than a Unix socket's address may be.
         """
         path = str(self._directory / name)
-        if len(os.fsencode(path)) <= MAX_PATH:
+        if len(os.fsencode(path)) <= MAX_ADDRESS_BYTES:
             yield path
             return
         fd = os.open(self._directory, os.O_RDONLY | os.O_DIRECTORY)
--- a/mothstall/net/handover/messages.py
+++ b/mothstall/net/handover/messages.py
@@ -17,8 +17,8 @@
 from mothstall.interface import InheritedBackend, InheritedState
 
 VERSION = 1
-MAX_MESSAGE = 192 * 1024  # bytes; a long response may include a stream's window and one read
-MAX_KNOWN = 600  # backends whose state the new process inherits
+MAX_MESSAGE_BYTES = 192 * 1024  # bytes; a long response may include a stream's window and one read
+MAX_INHERITED_BACKENDS = 600  # backends whose state the new process inherits
 
 
 class HandoverMessageError(ValueError):
@@ -36,16 +36,16 @@
 class HandoverState:
     """The number of open connections of the old process, and the state that it passes on."""
 
-    clients: int
-    backends: int  # connections to backends
-    memory: InheritedState
+    client_connections: int
+    backend_connections: int
+    inherited_state: InheritedState
 
 
 @dataclass(frozen=True, slots=True)
 class ClientHandover:
     """A client connection, whose descriptor is sent with the message."""
 
-    silent: bool  # nothing was received on the connection yet
+    is_silent: bool  # nothing was received on the connection yet
     age_s: float  # how long it has been silent or idle
 
 
@@ -54,15 +54,16 @@
     """A long response in progress.
 
     The descriptor of its client is sent with the message, and that of its backend unless the
-    response was received completely (`left` is 0).
+    response was received completely (`remaining_bytes` is 0).
     """
 
-    left: int | None  # bytes not received from the backend; None: unknown, or given by `coding`
+    # Bytes not received from the backend; None: unknown, or given by `coding`.
+    remaining_bytes: int | None
     # State of the `ChunkedDecoder` of its body: phase, remaining bytes, partial line.
     coding: tuple[int, int, bytes] | None
-    chunks: bool  # the client receives the chunked coding
-    raw: bytes  # encoded for the client, but not written to its socket
-    data: tuple[bytes, ...]  # received from the backend, not yet passed on to the client
+    is_chunked: bool  # the client receives the chunked coding
+    encoded: bytes  # encoded for the client, but not written to its socket
+    buffered: tuple[bytes, ...]  # received from the backend, not yet passed on to the client
 
 
 Message = HandoverRequest | HandoverState | ClientHandover | StreamHandover
@@ -89,7 +90,7 @@
     return {
         "v": VERSION,
         "say": "client",
-        "silent": message.silent,
+        "silent": message.is_silent,
         "age": round(message.age_s, 3),
     }
 
@@ -99,20 +100,20 @@
     return {
         "v": VERSION,
         "say": "onward",
-        "left": message.left,
+        "left": message.remaining_bytes,
         "coding": None if coding is None else [coding[0], coding[1], coding[2].hex()],
-        "chunks": message.chunks,
-        "raw": base64.b64encode(message.raw).decode(),
-        "data": [base64.b64encode(part).decode() for part in message.data],
+        "chunks": message.is_chunked,
+        "raw": base64.b64encode(message.encoded).decode(),
+        "data": [base64.b64encode(part).decode() for part in message.buffered],
     }
 
 
 def _state_tree(message: HandoverState) -> dict[str, Any]:
-    memory = message.memory
+    memory = message.inherited_state
     return {
         "v": VERSION,
         "say": "yours",
-        "held": [message.clients, message.backends],
+        "held": [message.client_connections, message.backend_connections],
         "sums": [
             memory.usual_latency_ns,
             memory.capacity,
@@ -129,7 +130,7 @@
                 backend.ejected_until_ns,
                 backend.ejection_ns,
             ]
-            for backend in memory.backends[:MAX_KNOWN]
+            for backend in memory.backends[:MAX_INHERITED_BACKENDS]
         ],
     }
 
@@ -144,8 +145,8 @@
         return _message(json.loads(received))
     except HandoverMessageError:
         raise
-    except (ValueError, KeyError, TypeError, RecursionError) as why:
-        raise HandoverMessageError(f"{type(why).__name__}: {str(why)[:60]}") from why
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        raise HandoverMessageError(f"{type(error).__name__}: {str(error)[:60]}") from error
 
 
 def _message(tree: Any) -> Message:
--- a/mothstall/net/handover/stream_takeover.py
+++ b/mothstall/net/handover/stream_takeover.py
@@ -33,7 +33,7 @@
         transport.max_size = MAX_READ_BYTES  # type: ignore[attr-defined]
 
 
-class _ToClient(_Side):
+class _ClientSide(_Side):
     """The connection to the client, a sink; it is closed at the end of the response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -43,24 +43,24 @@
         self.transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._takeover.over()
+        self._takeover.finish()
 
     def pause_writing(self) -> None:
         self._takeover.stream.sink_blocked()
 
     def resume_writing(self) -> None:
         # Guards against closing the transport within this callback: asyncio would close it twice.
-        asyncio.get_running_loop().call_soon(self._takeover.flow)
+        asyncio.get_running_loop().call_soon(self._takeover.on_client_ready)
 
     def write_body(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(
-                protocol.encode_chunk(data) if self._takeover.response.chunks else data
+                protocol.encode_chunk(data) if self._takeover.response.is_chunked else data
             )
 
     def end_body(self) -> None:
         if self.transport is not None:
-            if self._takeover.response.chunks:
+            if self._takeover.response.is_chunked:
                 self.transport.write(protocol.LAST_CHUNK)
             self._finish(self.transport)
 
@@ -71,7 +71,10 @@
         """
         if self.transport is None:
             return
-        if self._takeover.response.chunks or self._takeover.response.left is not None:
+        if (
+            self._takeover.response.is_chunked
+            or self._takeover.response.remaining_bytes is not None
+        ):
             self._finish(self.transport)
         else:
             self.abort()
@@ -87,12 +90,12 @@
         except OSError:
             transport.close()
             return
-        asyncio.get_running_loop().call_later(LINGER_S, self._lingered, transport)
+        asyncio.get_running_loop().call_later(LINGER_S, self._close_when_flushed, transport)
 
-    def _lingered(self, transport: asyncio.Transport) -> None:
+    def _close_when_flushed(self, transport: asyncio.Transport) -> None:
         if transport.get_write_buffer_size():
             # The client reads slowly.
-            asyncio.get_running_loop().call_later(LINGER_S, self._lingered, transport)
+            asyncio.get_running_loop().call_later(LINGER_S, self._close_when_flushed, transport)
         else:
             transport.abort()
 
@@ -103,14 +106,14 @@
             self.transport.abort()
 
 
-class _FromBackend(_Side):
+class _BackendSide(_Side):
     """The connection to the backend, a source."""
 
     def data_received(self, data: bytes) -> None:
-        self._takeover.received(data)
+        self._takeover.on_backend_data(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._takeover.ended(exc is None)
+        self._takeover.on_backend_closed(exc is None)
 
     def pause(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -133,13 +136,13 @@
     ) -> None:
         self.response = response
         self._loop = loop
-        self._left = response.left
-        self._chunks = ChunkedDecoder(*response.coding) if response.coding is not None else None
-        self._source = _FromBackend(self)
-        self._sink = _ToClient(self)
+        self._remaining_bytes = response.remaining_bytes
+        self._decoder = ChunkedDecoder(*response.coding) if response.coding is not None else None
+        self._source = _BackendSide(self)
+        self._sink = _ClientSide(self)
         self.stream = Stream(self._source, grants)
         self._stall_check: asyncio.TimerHandle | None = None
-        self._passed_before = -1  # bytes delivered at the last check
+        self._delivered_at_last_check = -1  # bytes delivered at the last check
         self._on_end: Callable[[StreamTakeover], None] | None = None
 
     async def run(
@@ -160,37 +163,37 @@
             client.close()
             if backend is not None:
                 backend.close()
-            self.over()
+            self.finish()
             return
         if self.stream.is_paused:
             self._source.pause()
-        if self.response.raw and self._sink.transport is not None:
-            self._sink.transport.write(self.response.raw)
-        for data in self.response.data:
+        if self.response.encoded and self._sink.transport is not None:
+            self._sink.transport.write(self.response.encoded)
+        for data in self.response.buffered:
             self.stream.feed(data)
         self.stream.open(self._sink)
-        if self._left == 0:
+        if self._remaining_bytes == 0:
             self._complete()
         self._stall_check = self._loop.call_later(STALL_S, self._check_progress)
 
-    def received(self, data: bytes) -> None:
+    def on_backend_data(self, data: bytes) -> None:
         """Relay bytes of the backend."""
-        if self._chunks is not None:
+        if self._decoder is not None:
             try:
-                parts = self._chunks.feed(data)
-            except ChunkedCodingError as why:
-                log.info("unreadable", extra={"kv": {"why": why}})
+                parts = self._decoder.feed(data)
+            except ChunkedCodingError as error:
+                log.info("unreadable", extra={"kv": {"why": error}})
                 self.stream.truncate()
                 self._source.sink_closed()
                 return
             self.stream.feed(b"".join(parts))  # one write: chunks may be one byte long
-            if self._chunks.has_ended:
+            if self._decoder.has_ended:
                 self._complete()
-        elif self._left is not None:
-            part = data[: self._left]
-            self._left -= len(part)
+        elif self._remaining_bytes is not None:
+            part = data[: self._remaining_bytes]
+            self._remaining_bytes -= len(part)
             self.stream.feed(part)
-            if not self._left:
+            if not self._remaining_bytes:
                 self._complete()
         else:
             self.stream.feed(data)
@@ -199,54 +202,56 @@
         self.stream.end()
         self._source.sink_closed()
 
-    def ended(self, orderly: bool) -> None:
+    def on_backend_closed(self, is_orderly: bool) -> None:
         """The backend's connection is closed."""
-        if orderly and self._left is None and self._chunks is None:
+        if is_orderly and self._remaining_bytes is None and self._decoder is None:
             self.stream.end()
         elif not self.stream.has_ended:
             self.stream.truncate()
 
-    def flow(self) -> None:
+    def on_client_ready(self) -> None:
         """The client's connection is ready for more data."""
         self.stream.sink_ready()
 
-    def hand_over(self, give: Callable[..., bool]) -> None:
-        """Hand the rest over to a later process through `give`, as the frontend does."""
+    def hand_over(self, hand_over_response: Callable[..., bool]) -> None:
+        """Hand the rest over to a later process with `hand_over_response`, as the frontend does."""
         client = self._sink.transport
         backend = self._source.transport
         if client is None:
             return
         self.stream.freeze()
-        raw = unsent_bytes(client)
-        if raw is None:
+        encoded = unsent_bytes(client)
+        if encoded is None:
             return
         if self.stream.is_truncated:
             self.stream.thaw()
             return
         is_encoded = self.stream.is_over  # the complete response is encoded already
-        ended = is_encoded or self.stream.has_ended or backend is None
-        coding = self._chunks and (
-            self._chunks.phase,
-            self._chunks.remaining_bytes,
-            self._chunks.partial_line,
+        on_backend_closed = is_encoded or self.stream.has_ended or backend is None
+        coding = self._decoder and (
+            self._decoder.phase,
+            self._decoder.remaining_bytes,
+            self._decoder.partial_line,
         )
-        given = give(
+        is_handed_over = hand_over_response(
             client.get_extra_info("socket").fileno(),
-            None if ended or backend is None else backend.get_extra_info("socket").fileno(),
-            0 if ended else self._left,
-            None if ended else coding,
-            self.response.chunks and not is_encoded,
-            raw,
+            None
+            if on_backend_closed or backend is None
+            else backend.get_extra_info("socket").fileno(),
+            0 if on_backend_closed else self._remaining_bytes,
+            None if on_backend_closed else coding,
+            self.response.is_chunked and not is_encoded,
+            encoded,
             self.stream.buffered,
         )
-        if not given:
+        if not is_handed_over:
             self.stream.thaw()
             return
         self.stream.abandon()
         self._source.sink_closed()
         client.abort()
 
-    def over(self) -> None:
+    def finish(self) -> None:
         """End both sides: the client's connection is closed, or could not be set up."""
         if self._stall_check is not None:
             self._stall_check.cancel()
@@ -260,8 +265,8 @@
     def _check_progress(self) -> None:
         """Abort the response if it made no progress: a peer has stopped reading or sending."""
         passed = self.stream.delivered_bytes
-        if passed == self._passed_before:
+        if passed == self._delivered_at_last_check:
             self._sink.abort()
             return
-        self._passed_before = passed
+        self._delivered_at_last_check = passed
         self._stall_check = self._loop.call_later(STALL_S, self._check_progress)
--- a/mothstall/net/lifecycle.py
+++ b/mothstall/net/lifecycle.py
@@ -7,13 +7,15 @@
 
 from enum import Enum
 
-IDLE_S = 1.9  # after the start of a drain: idle connections are kept open for new requests
-SILENT_S = 0.2  # after IDLE_S: connections that have received nothing are kept open
-# After the start of a drain: deadline for requests received after IDLE_S. An incomplete one is
+IDLE_DRAIN_S = 1.9  # after the start of a drain: idle connections are kept open for new requests
+SILENT_S = 0.2  # after IDLE_DRAIN_S: connections that have received nothing are kept open
+# After the start of a drain: deadline for requests received after IDLE_DRAIN_S; incomplete ones are
 # closed by then.
-LATEST_S = 3.6
-INCOMPLETE_S = 0.5  # before the longest deadline: incomplete requests are rejected from here on
-SPARE_S = 0.2  # after the longest deadline: all accepted requests are answered by then
+DRAIN_DEADLINE_S = 3.6
+INCOMPLETE_MARGIN_S = (
+    0.5  # before the longest deadline: incomplete requests are rejected from here on
+)
+ANSWER_MARGIN_S = 0.2  # after the longest deadline: all accepted requests are answered by then
 
 
 class Phase(Enum):
@@ -49,19 +51,19 @@
         self.phase = Phase.SERVING
         return True
 
-    def stop(self, now: float, longest_s: float) -> None:
+    def stop(self, now: float, longest_deadline_s: float) -> None:
         """Start to stop, from any phase; this is final.
 
-        All accepted requests are answered within `longest_s` plus `SPARE_S`, before the process may
-        be killed.
+        All accepted requests are answered within `longest_deadline_s` plus `ANSWER_MARGIN_S`,
+        before the process may be killed.
         """
         self.phase = Phase.STOPPING
-        self._complete_by_s = now + longest_s - INCOMPLETE_S
-        self._answered_by_s = now + longest_s + SPARE_S
+        self._complete_by_s = now + longest_deadline_s - INCOMPLETE_MARGIN_S
+        self._answered_by_s = now + longest_deadline_s + ANSWER_MARGIN_S
 
     def tick(self, now: float) -> Phase:
         """Apply the transition that is due at `now`, and return the phase."""
-        if self.phase is Phase.DRAINING and now - self._draining_since_s >= IDLE_S:
+        if self.phase is Phase.DRAINING and now - self._draining_since_s >= IDLE_DRAIN_S:
             self.phase = Phase.DRAINED
         return self.phase
 
@@ -74,25 +76,27 @@
         self.is_handing_over = False
 
     @property
-    def taking(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether clients are accepted."""
         return self.phase is Phase.SERVING and not self.is_handing_over
 
     @property
-    def closing(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether each response ends its connection."""
         return self.phase is not Phase.SERVING and not self.is_handing_over
 
-    def latest(self, now: float) -> float | None:
+    def response_deadline(self, now: float) -> float | None:
         """Time by which a request received now has to be answered, regardless of its own deadline.
 
         Guards against a request received late that is still open when the drain has to be finished.
         """
         if self.phase is Phase.STOPPING:
             return self._answered_by_s
-        return self._draining_since_s + LATEST_S if self.tick(now) is Phase.DRAINED else None
+        return (
+            self._draining_since_s + DRAIN_DEADLINE_S if self.tick(now) is Phase.DRAINED else None
+        )
 
-    def too_late(self, now: float) -> bool:
+    def rejects_incomplete(self, now: float) -> bool:
         """Whether an incomplete request is to be rejected.
 
         Guards against a request that becomes complete with no time left to answer it.
--- a/mothstall/net/listener.py
+++ b/mothstall/net/listener.py
@@ -36,11 +36,11 @@
         try:
             sock.bind((address.host, address.port))
             sock.listen(backlog)
-        except OSError as why:
+        except OSError as error:
             # Guards against an earlier process that has not released the address yet.
-            if why.errno != errno.EADDRINUSE or not left:
+            if error.errno != errno.EADDRINUSE or not left:
                 sock.close()
-                raise OSError(why.errno, f"{key} {address}: {why.strerror or why}") from why
+                raise OSError(error.errno, f"{key} {address}: {error.strerror or error}") from error
         else:
             return sock
         await asyncio.sleep(BIND_RETRY_S)
--- a/mothstall/net/protocol/requests.py
+++ b/mothstall/net/protocol/requests.py
@@ -87,14 +87,14 @@
 
 
 def parse_request(
-    method: str, target: str, came: Iterable[tuple[bytes, bytes]], body: bytes, names: Names
+    method: str, target: str, headers: Iterable[tuple[bytes, bytes]], body: bytes, names: Names
 ) -> ClientRequest:
     """Parse and check a client's request.
 
     Args:
         method: The request's method.
         target: The request's target.
-        came: The headers, in order.
+        headers: The headers, in order.
         body: The body, if it was received completely.
         names: The settings' classes, tenants and effects.
 
@@ -102,7 +102,7 @@
         UnreadableMessageError: The request is malformed.
     """
     line = f"{method} {target} HTTP/1.1\r\n".encode("utf-8", "surrogateescape")
-    forwarded, found = _forwarded_headers(came)
+    forwarded, found = _forwarded_headers(headers)
     # Guards against request smuggling: with two framings, another parser may see a further request
     # in the body.
     if CONTENT_LENGTH in found and TRANSFER_ENCODING in found:
@@ -127,13 +127,13 @@
 
 
 def _forwarded_headers(
-    came: Iterable[tuple[bytes, bytes]],
+    headers: Iterable[tuple[bytes, bytes]],
 ) -> tuple[list[bytes], dict[bytes, bytes]]:
     """Return the lines that are forwarded, and all headers by lower-case name."""
     lines: list[bytes] = []
     found: dict[bytes, bytes] = {}
     named: set[bytes] = set()
-    for name, value in came:
+    for name, value in headers:
         lower = name.lower()
         if lower in UNIQUE_HEADERS and lower in found:
             raise UnreadableMessageError(f"{lower.decode()} came twice")
--- a/mothstall/net/protocol/responses.py
+++ b/mothstall/net/protocol/responses.py
@@ -53,9 +53,9 @@
     return AttemptResult.ERROR
 
 
-def forwarded_headers(came: Iterable[tuple[bytes, bytes]]) -> bytes:
+def forwarded_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     """Return the headers of a backend's response that are forwarded to the client."""
-    rows = [(name.lower(), name, value) for name, value in came]
+    rows = [(name.lower(), name, value) for name, value in headers]
     named: set[bytes] = set()
     for lower, _, value in rows:
         if lower == CONNECTION:
--- a/mothstall/net/proxy.py
+++ b/mothstall/net/proxy.py
@@ -25,7 +25,7 @@
 from mothstall.net.counters import Counters
 from mothstall.net.decider import Decider
 from mothstall.net.decider_messages import PeerProcessEvent
-from mothstall.net.discovery.discovery import Discovery, DiscoveryMoved, EndpointsUpdated
+from mothstall.net.discovery.discovery import Discovery, DiscoveryAddressChanged, EndpointsUpdated
 from mothstall.net.lifecycle import Lifecycle, Phase
 from mothstall.net.metrics import RequestMetrics
 
@@ -39,20 +39,19 @@
 
 log = logging.getLogger("mothstall.proxy")
 
-RESERVE = (
-    32  # descriptors kept free of traffic: for the listener, discovery, logs and the event loop
-)
-BACKEND_PART = 0.3  # of the remaining descriptors
-PIPELINED_PART = 1 / 16  # of the memory limit, for pipelined requests
-TIDY_S = 2.0  # between two garbage collections
+# Not available to traffic: for the listener, discovery, logs and the event loop.
+RESERVED_DESCRIPTORS = 32
+BACKEND_DESCRIPTORS_FRACTION = 0.3  # of the remaining descriptors
+PIPELINED_MEMORY_FRACTION = 1 / 16  # of the memory limit, for pipelined requests
+GC_INTERVAL_S = 2.0  # between two garbage collections
 # Objects are frozen again after so many new endpoint rows: a row that is not frozen adds about 3 us
 # to each collection.
-FROZEN_ROWS = 2_000
-LISTED_S = 4.0  # a new process waits for an endpoint list before it takes clients over
+MIN_ROWS_TO_FREEZE = 2_000
+ENDPOINTS_TIMEOUT_S = 4.0  # a new process waits for an endpoint list before it takes clients over
 # Upper limit for the longest deadline at shutdown: a process may be killed 0.7 s after it.
-MAX_LONGEST_S = 3.0
-END_S = 0.3  # after that deadline all connections are closed
-DRAIN_S = 0.5  # new connections are still accepted after the signal to stop
+MAX_DEADLINE_S = 3.0
+CLOSE_AFTER_DEADLINE_S = 0.3  # after that deadline all connections are closed
+ACCEPT_AFTER_STOP_S = 0.5  # new connections are still accepted after the signal to stop
 
 
 def retry_after_ns(settings: Settings) -> int:
@@ -68,14 +67,14 @@
     def __init__(
         self,
         config: Config,
-        poll: TimedSelector | None = None,
+        selector: TimedSelector | None = None,
         operator: OperatorConfig | None = None,
     ) -> None:
         """Creates all actors; nothing listens or connects before `start`.
 
         Args:
             config: the checked configuration.
-            poll: the event loop's selector, if it measures how long events had to wait.
+            selector: the event loop's selector, if it measures how long events had to wait.
             operator: the operator file; with one the proxy takes part in its fleet.
 
         Raises:
@@ -85,9 +84,12 @@
         self.config = config
         self.counters = Counters()
         self.loop = asyncio.get_running_loop()
-        self._clock = Clock(poll)
-        free = min(config.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - RESERVE
-        self._max_backend_connections = int(free * BACKEND_PART)
+        self._clock = Clock(selector)
+        free = (
+            min(config.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+            - RESERVED_DESCRIPTORS
+        )
+        self._max_backend_connections = int(free * BACKEND_DESCRIPTORS_FRACTION)
         max_streams = max_streams_for(config.memory_bytes)
         self._pool = ConnectionPool(
             IDLE_PART * config.idle_ns / NS,
@@ -105,12 +107,12 @@
             counters=self.counters,
             clock=self._clock,
             figures=self.figures,
-            make_backend=self._backend,
+            make_backend=self._make_backend,
         )
         self._fleet: FleetIntegration | None = None
         on_update: Callable[[EndpointsUpdated], None] = self._decider.tell
         if operator is not None:
-            on_update = self._join(operator)
+            on_update = self._join_fleet(operator)
         cached = self._cached_list()
         self._discovery = self._make_discovery(cached.version, on_update)
         self._decider.set_discovery(self._discovery)
@@ -119,7 +121,7 @@
         self._handover: Handover | None = None
         # Relays of responses that the predecessor began.
         self._stream_takeovers: set[StreamTakeover] = set()
-        self._starting: set[asyncio.Task[None]] = set()
+        self._takeover_tasks: set[asyncio.Task[None]] = set()
         self._admin_server: AdminServer | None = None
 
     def _make_discovery(
@@ -145,7 +147,7 @@
             ClientLimits(
                 max_connections=max_connections,
                 max_body_bytes=self.config.max_body_bytes,
-                max_pipelined_bytes=int(self.config.memory_bytes * PIPELINED_PART),
+                max_pipelined_bytes=int(self.config.memory_bytes * PIPELINED_MEMORY_FRACTION),
                 retry_after_ns=retry_after_ns(self.config.settings),
             ),
             loop=self.loop,
@@ -156,10 +158,10 @@
             phases=self._lifecycle,
             grants=BufferGrants(max_streams),
             listen_fd=self.config.listen_fd,
-            handover_target=HandoverTarget(self._hand_over, self._hand_over_answer),
+            handover_target=HandoverTarget(self._hand_over_client, self._hand_over_response),
         )
 
-    def _join(self, operator: OperatorConfig) -> Callable[[EndpointsUpdated], None]:
+    def _join_fleet(self, operator: OperatorConfig) -> Callable[[EndpointsUpdated], None]:
         """Create the fleet integration, whose modules are imported only with an operator file."""
         from mothstall.net.fleet_integration import FleetIntegration
 
@@ -175,8 +177,8 @@
                 figures=self.figures,
                 report=self._decider.tell,
             )
-        except ValueError as why:
-            raise ConfigError(f"operator file: $.agent.data: {why}") from why
+        except ValueError as error:
+            raise ConfigError(f"operator file: $.agent.data: {error}") from error
         if self._fleet.agent.failover:
             self._decider.on_attempt_ended = self._fleet.attempt_ended
         return self._fleet.endpoints_updated
@@ -191,11 +193,11 @@
             return protocol.ParsedUpdate(0, True, [])
         try:
             return protocol.parse_endpoint_list(self.config.known, self.config.names)
-        except protocol.UnreadableMessageError as why:
-            log.warning("cached list unreadable", extra={"kv": {"why": why}})
+        except protocol.UnreadableMessageError as error:
+            log.warning("cached list unreadable", extra={"kv": {"why": error}})
             return protocol.ParsedUpdate(0, True, [])
 
-    def _backend(self, number: int, member: protocol.ListedEndpoint) -> Backend:
+    def _make_backend(self, number: int, member: protocol.ListedEndpoint) -> Backend:
         return Backend(
             number,
             member.id,
@@ -211,16 +213,18 @@
             report=self._decider.tell,
         )
 
-    def rows_taken(self) -> int:
+    def endpoint_rows_received(self) -> int:
         """Number of rows of endpoint lists and deltas received so far."""
         return self._decider.endpoint_rows_received
 
-    def note_fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Exception handler of the event loop: logs and counts the exception."""
         self.counters.add("faults")
-        why = context.get("exception")
+        error = context.get("exception")
         log.error(
-            "fault", extra={"kv": {"where": context.get("message"), "why": repr(why)}}, exc_info=why
+            "fault",
+            extra={"kv": {"where": context.get("message"), "why": repr(error)}},
+            exc_info=error,
         )
 
     async def start(self) -> None:
@@ -251,14 +255,14 @@
         from mothstall.net.admin.server import AdminServer
 
         self._admin_server = AdminServer(
-            address, loop=self.loop, counters=self.counters, answer=self.handle_admin_call
+            address, loop=self.loop, counters=self.counters, handle_call=self.handle_admin_call
         )
         await self._admin_server.start()
 
     # Handover between processes
 
     async def _take_over(self, directory: str) -> None:
-        """Take clients over from the predecessor, once there is a list or after LISTED_S."""
+        """Take clients over from the predecessor, once there is an endpoint list."""
         from mothstall.net.handover.handover import Handover, HandoverCallbacks
 
         self._handover = Handover(
@@ -268,23 +272,24 @@
             counters=self.counters,
             callbacks=HandoverCallbacks(
                 hand_over_listening=self._hand_over_listening,
-                resume=self._resume,
+                resume=self._resume_accepting,
                 adopt_client=lambda sock, client: self._frontend.acceptor.adopt(
-                    sock, client.silent, client.age_s
+                    sock, client.is_silent, client.age_s
                 ),
                 adopt_stream=self._adopt_stream,
                 on_predecessor_gone=self._predecessor_gone,
             ),
         )
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LISTED_S):
+            async with asyncio.timeout(ENDPOINTS_TIMEOUT_S):
                 await self._decider.endpoints_known.wait()
         state = await self._handover.take_over()
         if state is not None:
-            self._decider.tell(PeerProcessEvent(state.memory))
+            self._decider.tell(PeerProcessEvent(state.inherited_state))
             # The predecessor's connections count against this process's limit until it exits.
             self._pool.max_connections = max(
-                self._pool.max_connections // 2, self._pool.max_connections - state.backends
+                self._pool.max_connections // 2,
+                self._pool.max_connections - state.backend_connections,
             )
 
     def _hand_over_listening(self) -> HandoverState:
@@ -293,13 +298,13 @@
 
         self._lifecycle.hand_over()
         self._frontend.acceptor.pause()
-        memory = self._decider.memory()
+        inherited_state = self._decider.inherited_state()
         self._decider.tell(PeerProcessEvent(SuccessorChanged(True)))
         self._pool.close_idle()
         self.loop.call_soon(self._frontend.handover.hand_over_idle)
-        return HandoverState(self._frontend.count, self._pool.open_count, memory)
+        return HandoverState(self._frontend.count, self._pool.open_count, inherited_state)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         """Accept clients again, unless stopping: the successor process is gone."""
         self._lifecycle.resume()
         self._frontend.handover.thaw_responses()
@@ -310,24 +315,24 @@
     def _predecessor_gone(self) -> None:
         self._pool.max_connections = self._max_backend_connections
 
-    def _hand_over(self, fd: int, silent: bool, age_s: float) -> bool:
-        return self._handover is not None and self._handover.hand_over(fd, silent, age_s)
+    def _hand_over_client(self, fd: int, is_silent: bool, age_s: float) -> bool:
+        return self._handover is not None and self._handover.hand_over_client(fd, is_silent, age_s)
 
-    def _hand_over_answer(
+    def _hand_over_response(
         self,
         client: int,
         backend: int | None,
-        left: int | None,
+        remaining_bytes: int | None,
         coding: tuple[int, int, bytes] | None,
-        chunks: bool,
-        raw: bytes,
-        held: list[bytes],
+        is_chunked: bool,
+        encoded: bytes,
+        buffered: list[bytes],
     ) -> bool:
         from mothstall.net.handover.messages import StreamHandover
 
-        stream = StreamHandover(left, coding, chunks, raw, tuple(held))
-        return self._handover is not None and self._handover.hand_over_answer(
-            client, backend if left != 0 else None, stream
+        stream = StreamHandover(remaining_bytes, coding, is_chunked, encoded, tuple(buffered))
+        return self._handover is not None and self._handover.hand_over_response(
+            client, backend if remaining_bytes != 0 else None, stream
         )
 
     def _adopt_stream(
@@ -338,8 +343,8 @@
         takeover = StreamTakeover(stream, self._pool.buffer_grants, self.loop)
         task = self.loop.create_task(takeover.run(client, backend, self._stream_takeovers.discard))
         self._stream_takeovers.add(takeover)
-        self._starting.add(task)
-        task.add_done_callback(self._starting.discard)
+        self._takeover_tasks.add(task)
+        task.add_done_callback(self._takeover_tasks.discard)
 
     @property
     def admin_port(self) -> int:
@@ -370,37 +375,39 @@
     def reload(self, fresh: Config) -> None:
         """Apply the keys that can change at run time, and log changed keys that need a restart."""
         self.counters.add("reloads")
-        self._discovery.tell(DiscoveryMoved(fresh.discovery))
-        unchanged_keys = ",".join(keys_that_need_restart(self.config, fresh))
+        self._discovery.tell(DiscoveryAddressChanged(fresh.discovery))
+        changed_keys = ",".join(keys_that_need_restart(self.config, fresh))
         log.info("reloaded", extra={"kv": {"discovery": fresh.discovery}})
-        if unchanged_keys:
-            log.warning("changed keys need a restart", extra={"kv": {"keys": unchanged_keys}})
+        if changed_keys:
+            log.warning("changed keys need a restart", extra={"kv": {"keys": changed_keys}})
         self.config = replace(self.config, discovery=fresh.discovery, log_level=fresh.log_level)
 
-    async def stop(self, drain_s: float = DRAIN_S) -> None:
+    async def stop(self, drain_s: float = ACCEPT_AFTER_STOP_S) -> None:
         """Stop in order: accept requests for `drain_s`, answer all, close everything."""
         began = self.loop.time()
         # Guards against a kill before the longest deadline of a class or of a client.
-        longest = min(MAX_LONGEST_S, max(c.deadline_ns for c in self.config.settings.classes) / NS)
+        longest = min(MAX_DEADLINE_S, max(c.deadline_ns for c in self.config.settings.classes) / NS)
         self._lifecycle.stop(began, longest)
-        self._decider.stop_by(self._clock.unix_ns(self._lifecycle.latest(began) or began))
+        self._decider.stop_by(
+            self._clock.unix_ns(self._lifecycle.response_deadline(began) or began)
+        )
         if self._handover is not None:
             self._handover.release_predecessor()
         # Other processes hold an inherited socket and accept its connections from now on.
         await asyncio.sleep(0.0 if self.config.listen_fd is not None else drain_s)
         await self._frontend.close()
-        end = began + longest + END_S
+        end = began + longest + CLOSE_AFTER_DEADLINE_S
         while (self._frontend.close_idle() or self._stream_takeovers) and self.loop.time() < end:
             if self._lifecycle.is_handing_over:
                 for takeover in list(self._stream_takeovers):
-                    takeover.hand_over(self._hand_over_answer)
+                    takeover.hand_over(self._hand_over_response)
             await asyncio.sleep(0.01)
         if self.loop.time() >= end:
-            left = {
+            still_open = {
                 "stream_takeovers": len(self._stream_takeovers),
                 **self._frontend.open_by_state(),
             }
-            log.warning("shutdown timed out", extra={"kv": left})
+            log.warning("shutdown timed out", extra={"kv": still_open})
         await self._frontend.stop()
         if self._admin_server:
             self._admin_server.stop()
@@ -414,31 +421,31 @@
 
 async def run(
     config: Config,
-    reread: Callable[[], Config],
-    poll: TimedSelector | None = None,
+    load_again: Callable[[], Config],
+    selector: TimedSelector | None = None,
     operator: OperatorConfig | None = None,
 ) -> None:
     """Serve until SIGTERM or SIGINT, then drain. SIGHUP reloads, SIGUSR1 logs the counters.
 
     The cached endpoint list of the configuration (`known`) is cleared once it was read.
     """
-    proxy = Proxy(config, poll, operator)
+    proxy = Proxy(config, selector, operator)
     if isinstance(config.known, dict):
         # Guards against holding a second copy of the list, as JSON, for the life of the process.
         config.known.clear()
-    proxy.loop.set_exception_handler(proxy.note_fault)
+    proxy.loop.set_exception_handler(proxy.on_loop_exception)
     stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         proxy.loop.add_signal_handler(number, stopped.set)
     proxy.loop.add_signal_handler(signal.SIGUSR1, lambda: print_counters(proxy, "counters"))
-    proxy.loop.add_signal_handler(signal.SIGHUP, reload_config, proxy, reread)
+    proxy.loop.add_signal_handler(signal.SIGHUP, reload_config, proxy, load_again)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await proxy.start()
     await asyncio.sleep(0)  # the initial list is applied first, so that it is frozen with the rest
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)  # requests create no reference cycles
     gc.enable()
-    tidy(proxy.loop, proxy.rows_taken, proxy.rows_taken())
+    collect_garbage(proxy.loop, proxy.endpoint_rows_received, proxy.endpoint_rows_received())
     await stopped.wait()
     log.info("draining")
     await proxy.stop()
@@ -449,7 +456,7 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-def tidy(
+def collect_garbage(
     loop: asyncio.AbstractEventLoop, rows: Callable[[], int] = lambda: 0, frozen: int = 0
 ) -> None:
     """Collect garbage periodically.
@@ -465,22 +472,22 @@
             in each collection; frozen garbage is freed at the next freeze.
     """
     received = rows()
-    must_freeze = received - frozen >= FROZEN_ROWS
+    must_freeze = received - frozen >= MIN_ROWS_TO_FREEZE
     if must_freeze:
         gc.unfreeze()
     gc.collect()
     if must_freeze:
         gc.freeze()
-    loop.call_later(TIDY_S, tidy, loop, rows, received if must_freeze else frozen)
+    loop.call_later(GC_INTERVAL_S, collect_garbage, loop, rows, received if must_freeze else frozen)
 
 
-def reload_config(proxy: Proxy, reread: Callable[[], Config]) -> None:
+def reload_config(proxy: Proxy, load_again: Callable[[], Config]) -> None:
     """Read and check the configuration again; an invalid one changes nothing."""
     try:
-        fresh = reread()
-    except ConfigError as why:
+        fresh = load_again()
+    except ConfigError as error:
         proxy.counters.add("reloads_failed")
-        log.error("configuration rejected", extra={"kv": {"why": why}})  # noqa: TRY400 - one line
+        log.error("configuration rejected", extra={"kv": {"why": error}})  # noqa: TRY400 - one line
         return
     logging.getLogger().setLevel(fresh.log_level.upper())
     proxy.reload(fresh)
--- a/tests/commands/test_observer_commands.py
+++ b/tests/commands/test_observer_commands.py
@@ -123,8 +123,8 @@
     elsewhere = tmp_path / "elsewhere.toml"
     elsewhere.write_text(file.read_text().replace('zone = "z1"', 'zone = "z7"', 1))
     with pytest.raises(ConfigError, match=r"\$\.observers: none stands in 'z7' or its region"):
-        cli._attaches(cli._operator(str(elsewhere)))
-    cli._attaches(cli._operator(str(file)))
+        cli._check_observers(cli._read_operator(str(elsewhere)))
+    cli._check_observers(cli._read_operator(str(file)))
 
 
 def test_proxy_without_observers_loads_no_module_of_them(tmp_path: Path) -> None:
@@ -151,8 +151,8 @@
 _LOADED_MODULES = """
 import asyncio, json, sys
 from mothstall import cli
-operator = cli._operator(sys.argv[1])
-cli._attaches(operator)
+operator = cli._read_operator(sys.argv[1])
+cli._check_observers(operator)
 from mothstall.net import fleet_integration  # what `serve` loads with an operator file
 from mothstall.fleet.agent.agent import Agent
 async def main():
--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -65,21 +65,31 @@
 
 def test_phases_change_by_command_and_by_time() -> None:
     p = Lifecycle()
-    assert p.taking and p.rejoin() and p.latest(9.0) is None  # a rejoin of one that never drained
-    assert p.evacuate(10.0) and not p.taking
+    assert (
+        p.accepts_clients and p.rejoin() and p.response_deadline(9.0) is None
+    )  # a rejoin of one that never drained
+    assert p.evacuate(10.0) and not p.accepts_clients
     assert p.evacuate(11.0)  # told twice: the first word counts
-    assert p.tick(10.0 + lifecycle.IDLE_S - 0.1) is Phase.DRAINING and p.latest(10.5) is None
     assert (
-        p.tick(10.0 + lifecycle.IDLE_S) is Phase.DRAINED
-        and p.latest(12.5) == 10.0 + lifecycle.LATEST_S
+        p.tick(10.0 + lifecycle.IDLE_DRAIN_S - 0.1) is Phase.DRAINING
+        and p.response_deadline(10.5) is None
+    )
+    assert (
+        p.tick(10.0 + lifecycle.IDLE_DRAIN_S) is Phase.DRAINED
+        and p.response_deadline(12.5) == 10.0 + lifecycle.DRAIN_DEADLINE_S
     )
-    assert p.rejoin() and p.taking and p.tick(20.0) is Phase.SERVING
+    assert p.rejoin() and p.accepts_clients and p.tick(20.0) is Phase.SERVING
     assert p.evacuate(30.0) and p.rejoin() and p.tick(40.0) is Phase.SERVING  # in mid-drain
     assert p.evacuate(50.0)
     p.stop(52.0, 3.0)
     assert not p.rejoin() and not p.evacuate(53.0)
-    assert p.tick(60.0) is Phase.STOPPING and p.latest(53.0) == 55.0 + lifecycle.SPARE_S
-    assert not p.too_late(54.0) and p.too_late(55.0 - lifecycle.INCOMPLETE_S)
+    assert (
+        p.tick(60.0) is Phase.STOPPING
+        and p.response_deadline(53.0) == 55.0 + lifecycle.ANSWER_MARGIN_S
+    )
+    assert not p.rejects_incomplete(54.0) and p.rejects_incomplete(
+        55.0 - lifecycle.INCOMPLETE_MARGIN_S
+    )
 
 
 def test_metrics_add_up_and_no_more_requests_may_end_than_were_accepted() -> None:
@@ -172,8 +182,8 @@
 def test_a_drain_closes_idle_connections_late_and_a_rejoin_accepts_clients_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "IDLE_S", 0.5)
-    monkeypatch.setattr(lifecycle, "LATEST_S", 1.2)
+    monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.5)
+    monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 1.2)
 
     async def run() -> None:
         async with rig(serves, operators=DOOR) as r:
@@ -209,7 +219,7 @@
 def test_pipelined_requests_in_a_drain_are_served_at_most_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "IDLE_S", 0.4)
+    monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.4)
 
     async def run() -> None:
         async with rig(slowly, operators=DOOR) as r:
@@ -263,8 +273,8 @@
 def test_a_request_received_late_in_a_drain_is_answered_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "IDLE_S", 0.0)
-    monkeypatch.setattr(lifecycle, "LATEST_S", 0.4)
+    monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.0)
+    monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 0.4)
 
     async def run() -> None:
         async with rig(silent, operators=DOOR) as r:
@@ -280,7 +290,7 @@
 def test_a_shutdown_does_not_wait_for_a_deadline_after_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(proxy, "MAX_LONGEST_S", 0.3)
+    monkeypatch.setattr(proxy, "MAX_DEADLINE_S", 0.3)
 
     async def run() -> None:
         async with rig(silent) as r:
@@ -437,7 +447,7 @@
 
 def test_an_inherited_listener_is_checked_by_type() -> None:
     with socket.socket() as quiet, socket.create_server(("127.0.0.1", 0)) as loud:
-        assert config.inherited(str(loud.fileno())) == loud.fileno()
+        assert config.inherited_listener(str(loud.fileno())) == loud.fileno()
         with pytest.raises(config.ConfigError, match="LB_LISTEN_FD"):
-            config.inherited(str(quiet.fileno()))
-    assert config.inherited(None) is None and config.inherited("") is None
+            config.inherited_listener(str(quiet.fileno()))
+    assert config.inherited_listener(None) is None and config.inherited_listener("") is None
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -16,7 +16,7 @@
 from mothstall.net.client_side.connection import Connection
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.client_side.load_shedding import SHED_IDLE_S
-from mothstall.net.proxy import RESERVE
+from mothstall.net.proxy import RESERVED_DESCRIPTORS
 from tests.net.client_side.test_net_shutdown import configuration
 from tests.net.test_process import MAIN, ROOT
 from tests.peers import (
@@ -235,7 +235,7 @@
 def test_reserved_descriptors_cover_their_uses() -> None:
     """Listeners, the event loop's own, standard streams, the operators' callers, and calls to discovery."""
     listeners, loop, streams, calls = 2, 3, 3, 4
-    assert listeners + loop + streams + MAX_CALLERS + calls <= RESERVE
+    assert listeners + loop + streams + MAX_CALLERS + calls <= RESERVED_DESCRIPTORS
 
 
 def test_answered_and_pending_admin_calls_share_their_descriptors() -> None:
--- a/tests/net/discovery/test_retry_schedule.py
+++ b/tests/net/discovery/test_retry_schedule.py
@@ -11,10 +11,10 @@
 from mothstall import config
 from mothstall.interface import NS, UpdateScope
 from mothstall.net.discovery import discovery
-from mothstall.net.discovery.discovery import DiscoveryMoved
+from mothstall.net.discovery.discovery import DiscoveryAddressChanged
 from tests.given_clock import FAILURES, Asker, Call, Queue, Service, orders, run
 
-TOLD_S, ANSWER_S, MARGIN_S = 6.0, discovery.CALL_S, 0.4
+TOLD_S, ANSWER_S, MARGIN_S = 6.0, discovery.CALL_TIMEOUT_S, 0.4
 MAX_DEAF_S = TOLD_S - ANSWER_S - MARGIN_S  # from when news could be missed to the next call's begin
 FLEETS = [(1, 0), (5, 3), (30, 17), (220, 131)]
 
@@ -102,7 +102,7 @@
         service = Service(lambda number, _: "good" if number == 0 else order[number % len(order)])
         asker = Asker(service, **fleet(220, 131))
         await asyncio.sleep(at_s)
-        asker.discovery.tell(DiscoveryMoved(config.Address("127.0.0.1", 8)))
+        asker.discovery.tell(DiscoveryAddressChanged(config.Address("127.0.0.1", 8)))
         await asyncio.sleep(asker.discovery._timing.wait_s + 30.0)
         await asker.stop()
         assert asker.told[-1][0] > asyncio.get_running_loop().time() - 10.0  # it has not given up
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -42,8 +42,8 @@
     monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
     """What it missed counts as told 2 s after its wait: no pause of a failed call may come on top."""
-    monkeypatch.setattr(discovery, "WAIT_S", 0.2)
-    monkeypatch.setattr(discovery, "GRACE_S", 0.3)
+    monkeypatch.setattr(discovery, "MIN_WAIT_S", 0.2)
+    monkeypatch.setattr(discovery, "WAIT_MARGIN_S", 0.3)
 
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
@@ -86,7 +86,7 @@
     monkeypatch: pytest.MonkeyPatch, mode: str, begun: bytes
 ) -> None:
     """From the first byte on an answer has as long as one that need not wait."""
-    monkeypatch.setattr(discovery, "WAIT_S", 60.0)
+    monkeypatch.setattr(discovery, "MIN_WAIT_S", 60.0)
 
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
@@ -104,7 +104,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """While it is down the agent is silent; what it has at its return binds at once."""
-    monkeypatch.setattr(discovery, "CALL_S", 60.0)  # no call into the silence may last so long
+    monkeypatch.setattr(
+        discovery, "CALL_TIMEOUT_S", 60.0
+    )  # no call into the silence may last so long
 
     async def run() -> None:
         async with rig(serves, serves, discovery="push") as r:
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -28,7 +28,7 @@
 from mothstall.net.counters import Counters
 from mothstall.net.handover import handover
 from mothstall.net.handover.messages import (
-    MAX_MESSAGE,
+    MAX_MESSAGE_BYTES,
     ClientHandover,
     HandoverMessageError,
     HandoverRequest,
@@ -65,7 +65,7 @@
     ):
         assert decode(encode(message)) == message
     many = replace(MEMORY, backends=MEMORY.backends * 5000)
-    assert len(encode(HandoverState(1, 1, many))) < MAX_MESSAGE
+    assert len(encode(HandoverState(1, 1, many))) < MAX_MESSAGE_BYTES
 
 
 @given(
@@ -457,7 +457,7 @@
                 on_predecessor_gone=lambda: alone.append(None),
             ),
         )
-        with pretender(tmp_path / new._file) as sock:
+        with pretender(tmp_path / new._socket_name) as sock:
             taking = asyncio.create_task(new.take_over())
             await asyncio.sleep(0.05)
             other, _ = sock.accept()
@@ -531,7 +531,7 @@
 
         def connect() -> socket.socket:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            with old._address(old._file) as address:
+            with old._address(old._socket_name) as address:
                 sock.connect(address)
             return sock
 
@@ -539,16 +539,16 @@
         links[0].send(b"\x00noise")
         links[1].send(encode(HandoverRequest("another")))
         await asyncio.sleep(0.05)
-        assert ways == [] and not old.linked
+        assert ways == [] and not old.has_successor
         links[2].send(encode(HandoverRequest("n0")))
         await asyncio.sleep(0.05)
         late = connect()
         late.send(encode(HandoverRequest("n0")))
         await asyncio.sleep(0.05)
-        assert ways == ["away"] and old.linked
+        assert ways == ["away"] and old.has_successor
         links[2].close()
         await asyncio.sleep(0.05)
-        assert ways == ["away", "back"] and not old.linked
+        assert ways == ["away", "back"] and not old.has_successor
         old.close()
         for sock in (*links, late):
             sock.close()
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -324,7 +324,7 @@
     import weakref
 
     from mothstall.net.client_side.connection import Connection
-    from mothstall.net.proxy import tidy
+    from mothstall.net.proxy import collect_garbage
     from tests.peers import rig
 
     async def run() -> None:
@@ -340,7 +340,7 @@
             await asyncio.sleep(0.05)
             # No collection is needed for what is ours.
             assert not [o for o in gc.get_objects() if isinstance(o, Connection)]
-            tidy(r.proxy.loop)
+            collect_garbage(r.proxy.loop)
             assert transport() is None
             assert not any(r.proxy._frontend.table.by_state) and not r.proxy._frontend._open_ids
             assert not r.proxy._decider._pending and not r.proxy._decider._balancer.requests.open
@@ -373,7 +373,7 @@
             self.next = (call, *words)
 
     rows, loop = [0], Loop()
-    proxy.tidy(loop, lambda: rows[0], 0)  # type: ignore[arg-type]
+    proxy.collect_garbage(loop, lambda: rows[0], 0)  # type: ignore[arg-type]
 
     def again() -> None:
         call, *words = loop.next
@@ -381,7 +381,7 @@
 
     try:
         before = gc.get_freeze_count()
-        rows[0] = proxy.FROZEN_ROWS - 1
+        rows[0] = proxy.MIN_ROWS_TO_FREEZE - 1
         again()
         assert gc.get_freeze_count() <= before
         node = Node()
@@ -393,7 +393,7 @@
         del node
         again()
         assert gone() is not None and gc.get_freeze_count() <= held
-        rows[0] += proxy.FROZEN_ROWS
+        rows[0] += proxy.MIN_ROWS_TO_FREEZE
         again()
         assert gone() is None
     finally:
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -167,5 +167,5 @@
     path.write_text(json.dumps(tree_of(Directory([]), []) | {"discovery": "127.0.0.1:7"}))
     env = {"LB_DISCOVERY": "127.0.0.1:6", "LB_NAME": "n9"}
     assert config.load(str(path), env).discovery.port == 6
-    again = config.load(str(path), env, again=True)
-    assert (again.discovery.port, again.name) == (7, "n9")
+    reloaded = config.load(str(path), env, is_reload=True)
+    assert (reloaded.discovery.port, reloaded.name) == (7, "n9")
