--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin API, metrics, drain and rejoin, and the listening socket that a process inherits."""
+"""The admin API, metrics, drain and rejoin, and inherited listening sockets."""
 
 from __future__ import annotations
 
@@ -67,9 +67,9 @@
     p = Lifecycle()
     assert (
         p.accepts_clients and p.rejoin() and p.response_deadline(9.0) is None
-    )  # a rejoin of one that never drained
+    )  # a rejoin without a drain
     assert p.evacuate(10.0) and not p.accepts_clients
-    assert p.evacuate(11.0)  # told twice: the first word counts
+    assert p.evacuate(11.0)  # the first call counts
     assert (
         p.tick(10.0 + lifecycle.IDLE_DRAIN_S - 0.1) is Phase.DRAINING
         and p.response_deadline(10.5) is None
@@ -79,7 +79,7 @@
         and p.response_deadline(12.5) == 10.0 + lifecycle.DRAIN_DEADLINE_S
     )
     assert p.rejoin() and p.accepts_clients and p.tick(20.0) is Phase.SERVING
-    assert p.evacuate(30.0) and p.rejoin() and p.tick(40.0) is Phase.SERVING  # in mid-drain
+    assert p.evacuate(30.0) and p.rejoin() and p.tick(40.0) is Phase.SERVING  # during the drain
     assert p.evacuate(50.0)
     p.stop(52.0, 3.0)
     assert not p.rejoin() and not p.evacuate(53.0)
@@ -197,12 +197,12 @@
             front = await r.client()
             front.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await front.read()).status == 503
-            reply = await asks.ask()  # a request on an open connection is served, and is its last
+            reply = await asks.ask()  # served, and the connection is closed
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert not await idle.closed(0.2)
             assert await idle.closed(2)
             assert (await half.read()).status == 408
-            late = await r.ask()  # too late to be held: answered all the same
+            late = await r.ask()  # too late in the drain for a full deadline, but still answered
             assert late.status in (200, 503)
             known = r.proxy._decider._balancer
             assert (await r.call("/api/rejoin")).status == 200
@@ -233,7 +233,7 @@
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert (
                 await client.closed()
-            )  # what stood behind it never ran: its client may ask elsewhere
+            )  # the requests behind it were not executed: the client may retry elsewhere
             await asyncio.sleep(0.3)
             assert len(r.backends[0].seen) == 1
             await r.call("/api/rejoin")
@@ -304,9 +304,9 @@
             assert (await client.read()).status in (502, 504)
             assert (
                 await slow.read()
-            ).status == 503  # half a request is refused while there is time
+            ).status == 503  # an incomplete request is rejected while there is time
             await ending
-            assert loop.time() - began < 1.5  # and not 3.9
+            assert loop.time() - began < 1.5  # not the 3.9 s that the client would wait
 
     asyncio.run(run())
 
@@ -352,7 +352,7 @@
 
 
 class Platform:
-    """Holds the clients' socket, and starts processes that inherit it as descriptor 3."""
+    """Holds the listening socket, and starts proxies that inherit it as descriptor 3."""
 
     def __init__(self, tmp_path: Path, stand_in: StandIn, directory: Directory) -> None:
         self.path, self.stand_in, self.directory = tmp_path, stand_in, directory
@@ -361,7 +361,7 @@
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> tuple[asyncio.subprocess.Process, int]:
-        """A process, and the operators' port of it, once it says that it takes clients."""
+        """Start a process; returns it and its admin port once it reports itself ready."""
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             door: int = free.getsockname()[1]
@@ -390,7 +390,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def counters(self) -> dict[str, int]:
-        """Of whichever process takes clients now."""
+        """The counters of the process that currently accepts clients."""
         client = await self.client()
         client.writer.write(b"GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")
         rows = (row.split() for row in (await client.read()).body.decode().splitlines())
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""Holds every client connection of the tests of the proxy to the table of transitions."""
+"""Checks every client connection in the proxy's tests against the table of state transitions."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @pytest.fixture(autouse=True)
 def state_changes(monkeypatch: pytest.MonkeyPatch) -> Generator[list[Edge], None, None]:
-    """Record each change of a connection's state; fail the test if one is not in the table.
+    """Record each state change of a connection; fail the test if one is not in the table.
 
-    So does a change that leaves a request open in a state that has none.
+    Also fail the test if a change keeps a request open in a state without an open request.
     """
     seen: list[Edge] = []
     left_open: list[ConnectionState] = []
--- a/tests/net/discovery/test_retry_schedule.py
+++ b/tests/net/discovery/test_retry_schedule.py
@@ -1,4 +1,4 @@
-"""A change is delivered 6 s after discovery had it and was reachable, whatever calls failed."""
+"""A change is delivered within 6 s once discovery is reachable, whichever calls failed before."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 from tests.given_clock import FAILURES, Asker, Call, Queue, Service, orders, run
 
 TOLD_S, ANSWER_S, MARGIN_S = 6.0, discovery.CALL_TIMEOUT_S, 0.4
-MAX_DEAF_S = TOLD_S - ANSWER_S - MARGIN_S  # from when news could be missed to the next call's begin
+MAX_DEAF_S = (
+    TOLD_S - ANSWER_S - MARGIN_S
+)  # from when events may be missed to the start of the next call
 FLEETS = [(1, 0), (5, 3), (30, 17), (220, 131)]
 
 
 def deaf_spans(calls: list[Call], wait_s: float) -> list[tuple[float, Call]]:
-    """From when each call could miss news to the next one's begin, less what a silent wait is granted."""
+    """Times from when a call may miss events to the next call, less the wait of a silent watch."""
     spans = []
     for call, follower in pairwise(calls):
         silent = call.waits and call.how == "no answer"
@@ -31,7 +33,7 @@
 async def play(
     order: tuple[str, ...], *, good_first: bool, seconds: float = 40.0, **changes: Any
 ) -> None:
-    """The calls fail in this order, over and over; before that a watch may have been on."""
+    """Let calls fail in a repeated order, optionally after one good call."""
 
     def how(number: int, waits: bool) -> str:
         if good_first and number == 0:
@@ -68,7 +70,7 @@
 
 @pytest.mark.parametrize("grace_ms", [0, 200, 500, 2_000, 4_000, 20_000])
 def test_every_order_of_failures_where_the_list_is_pushed(grace_ms: int) -> None:
-    """What the agent has is heard by a call that had its whole time: a slow agent needs it."""
+    """A change is delivered by a call that has its full timeout, which a slow agent needs."""
 
     async def push(order: tuple[str, ...]) -> None:
         service = Service(lambda number, _: order[number % len(order)])
@@ -84,7 +86,7 @@
             if scope in (UpdateScope.FULL, UpdateScope.DELTA)
         ]
         assert heard, (order, grace_ms)
-        # Watches that end bring nothing old back.
+        # Watches that are reset must not report stale updates.
         service.how, service.after = (lambda number, waits: "reset late" if waits else "good"), 0.01
         await asyncio.sleep(10.0)
         await asker.stop()
@@ -96,7 +98,7 @@
 
 @pytest.mark.parametrize("at_s", [0.5, 1.0, 2.5, 7.0])
 def test_every_order_of_failures_around_a_move(at_s: float) -> None:
-    """The service moves in the middle of them, and the new address begins with failures as well."""
+    """The address of discovery changes between failures, and calls to the new one fail at first."""
 
     async def moves(order: tuple[str, ...]) -> None:
         service = Service(lambda number, _: "good" if number == 0 else order[number % len(order)])
@@ -105,7 +107,7 @@
         asker.discovery.tell(DiscoveryAddressChanged(config.Address("127.0.0.1", 8)))
         await asyncio.sleep(asker.discovery._timing.wait_s + 30.0)
         await asker.stop()
-        assert asker.told[-1][0] > asyncio.get_running_loop().time() - 10.0  # it has not given up
+        assert asker.told[-1][0] > asyncio.get_running_loop().time() - 10.0  # calls go on
         spans = deaf_spans(service.calls, asker.discovery._timing.wait_s)
         longest, call = max(spans, key=lambda row: row[0])
         assert longest <= MAX_DEAF_S, (order, longest, call)
@@ -137,7 +139,7 @@
 
 @pytest.mark.parametrize("proxies", [30, 220])
 def test_polls_of_the_fleet_interleave_when_discovery_returns(proxies: int) -> None:
-    """Whenever each one's calls failed: no tenth of a second gets more than half as much again."""
+    """No tenth of a second gets more than 1.5 times the mean number of calls."""
 
     async def back() -> None:
         service = Service(lambda number, _: "no answer")
@@ -162,7 +164,7 @@
 
 @pytest.mark.parametrize("a_second", [25.0, 40.0, 60.0, 1000.0])
 def test_a_queue_of_220_calls_is_served_as_fast_as_discovery_can(a_second: float) -> None:
-    """No call that it takes up is given up by its caller before the answer, or the queue would never end."""
+    """Guards against callers that time out while their call is served: the queue would never drain."""
 
     async def back() -> None:
         loop, proxies = asyncio.get_running_loop(), 220
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent, are reset or truncated, just before a backend drains."""
+"""Watches that stop responding, are reset or truncated just before a backend drains."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def note_scopes(r: Rig) -> list[UpdateScope]:
-    """What the decider is told from now on."""
+    """Record the scopes of updates that the decider receives from now on."""
     scopes: list[UpdateScope] = []
     report = r.proxy._discovery._report
 
@@ -33,7 +33,7 @@
 
 
 async def watched(r: Rig, words: int = 2) -> None:
-    """The watch is on: its second call waits for news."""
+    """Wait until the watch is established: its second call waits for an event."""
     await r.until(lambda: r.count("list_updates") >= words and len(r.directory.calls) >= 2)
 
 
@@ -41,14 +41,14 @@
 def test_a_silent_watch_is_reopened_without_a_pause(
     monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
-    """What it missed counts as told 2 s after its wait: no pause of a failed call may come on top."""
+    """Missed events count as delivered 2 s after the wait: no pause may follow the failed call."""
     monkeypatch.setattr(discovery, "MIN_WAIT_S", 0.2)
     monkeypatch.setattr(discovery, "WAIT_MARGIN_S", 0.3)
 
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
             await watched(r)
-            held = r.directory.held = asyncio.Event()  # the next wait is never answered
+            held = r.directory.held = asyncio.Event()  # the next watch call is never answered
             calls = len(r.directory.calls)
             await r.until(lambda: len(r.directory.calls) > calls)
             scopes = note_scopes(r)
@@ -69,7 +69,8 @@
         async with rig(serves, serves, discovery=mode) as r:
             await watched(r)
             if mode == "push":
-                # The drain binds whether or not anybody watches: no pause, nor the module's own check.
+                # The drain counts even without a watch: the watch has to be reopened without a pause,
+                # and without the balancer's own check.
                 monkeypatch.setattr(r.proxy._discovery._timing, "pause_s", 60.0)
                 polling = r.proxy._decider._balancer.polling
                 monkeypatch.setattr(polling, "_check", lambda: None)
@@ -85,7 +86,7 @@
 def test_a_response_that_trickles_is_polled_again_long_before_the_wait_is_over(
     monkeypatch: pytest.MonkeyPatch, mode: str, begun: bytes
 ) -> None:
-    """From the first byte on an answer has as long as one that need not wait."""
+    """After its first byte a response has the timeout of a call that does not wait."""
     monkeypatch.setattr(discovery, "MIN_WAIT_S", 60.0)
 
     async def run() -> None:
@@ -94,7 +95,7 @@
             r.directory.revision += 1
             r.directory.changes[r.directory.revision] = [r.backends[0].row("DRAINING")]
             for writer in r.directory.writers:
-                writer.write(begun)  # and nothing more: no news is told on this watch
+                writer.write(begun)  # and nothing more: this watch delivers no event
             await r.until(lambda: drains(r), 12.0)
 
     asyncio.run(run())
@@ -103,10 +104,10 @@
 def test_a_pushed_list_that_is_down_is_polled_often_enough_for_a_drains_grace(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """While it is down the agent is silent; what it has at its return binds at once."""
+    """A drain that the agent has when it responds again counts at once, despite the outage."""
     monkeypatch.setattr(
         discovery, "CALL_TIMEOUT_S", 60.0
-    )  # no call into the silence may last so long
+    )  # a call during the outage must end sooner
 
     async def run() -> None:
         async with rig(serves, serves, discovery="push") as r:
@@ -115,7 +116,7 @@
             r.directory.cut()
             await r.until(lambda: r.count("discovery_failures") >= 4)
             r.directory.tell(r.backends[0].row("DRAINING"))
-            r.directory.held = None  # it is back; what it was asked before is never answered
+            r.directory.held = None  # the agent is back; earlier calls are never answered
             await r.until(lambda: drains(r))
             held.set()
 
@@ -165,7 +166,7 @@
             await r.directory.stop()
             r.directory.cut()
             await r.until(lambda: r.count("discovery_failures") >= 1)
-            assert (await r.ask()).status == 200  # by the list that it has
+            assert (await r.ask()).status == 200  # with the list from before the outage
             r.directory.tell(r.backends[0].row("DRAINING"))
             await r.directory.start()
             await r.until(lambda: drains(r), 8.0)
@@ -212,7 +213,7 @@
 
 
 def test_a_slow_response_of_the_agent_is_received_in_the_end() -> None:
-    """Its answers take longer than the short calls of a drain's grace."""
+    """The agent takes longer to respond than a first call lasts, which a drain's grace limits."""
 
     async def run() -> None:
         async with rig(serves, serves, listed=False, discovery="push") as r:
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -1,4 +1,4 @@
-"""Watches: drains, new and restarted backends, and a discovery that fails."""
+"""Watches: drains, new and restarted backends, and failures of discovery."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
         async with rig(serves) as r:
             old = r.backends[0]
             assert (await r.ask()).status == 200
-            await r.until(lambda: len(r.directory.calls) >= 2)  # what was missed, then the wait
+            await r.until(
+                lambda: len(r.directory.calls) >= 2
+            )  # the poll of missed changes, then the watch
             new = StandIn(serves, "s-new")
             await new.start()
             r.backends.append(new)
@@ -25,7 +27,7 @@
             r.directory.tell(new.row(), old.row("DRAINING"))
             await r.until(lambda: r.count("list_updates") > words, 0.1)
             await asyncio.sleep(0.02)
-            assert old.ended == old.opened == 1  # its idle connection is let go
+            assert old.ended == old.opened == 1  # its idle connection is closed
             for lane in ("search", "pay", "order"):
                 assert (await r.ask(lane)).status == 200
             assert len(old.seen) == 1 and len(new.seen) == 3
@@ -50,7 +52,7 @@
             gate.set()
             reply = await asked
             assert (reply.status, reply.body) == (200, b"done")
-            assert (await r.ask()).status == 503  # nobody is left
+            assert (await r.ask()).status == 503  # no backend is left
 
     asyncio.run(run())
 
@@ -78,7 +80,9 @@
             r.backends.append(again)
             now_ms = r.proxy._clock.now() // 1_000_000
             r.directory.tell(again.row(started=now_ms))
-            await r.until(lambda: r.backends[0].ended == 1)  # connections of its earlier life
+            await r.until(
+                lambda: r.backends[0].ended == 1
+            )  # connections of its earlier incarnation
             (balanced,) = r.proxy._decider._balancer.endpoints.by_id.values()
             assert balanced.started_ns == now_ms * 1_000_000
             assert r.proxy._decider._balancer.slow_start.warmth(balanced) < 0.3
@@ -162,7 +166,7 @@
             r.directory.calls.clear()
             await r.until(lambda: len(r.directory.calls) >= 1)
             r.directory.hangs = (
-                False  # that call is never answered; the next one, which comes at once, is
+                False  # that call is never answered; the next one, made at once, is answered
             )
             words = r.count("list_updates")
             await r.until(lambda: r.count("discovery_failures") >= 1, 8.0)
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one proxy: messages, connections handed over, peers that fail."""
+"""Handover between two processes of one proxy: messages, connections, and faulty peers."""
 
 from __future__ import annotations
 
@@ -152,11 +152,11 @@
     old.handle(now + NS, [io.SuccessorChanged(False)])
     b = old.endpoints.by_id[cold]
     b.slow_start.refilled_at_ns, old.slow_start.warm_rate = now, 50.0
-    assert old.slow_start.has_token(b, 1.0)  # the other one is gone
+    assert old.slow_start.has_token(b, 1.0)  # the successor is gone
 
 
 def test_two_processes_send_a_cold_backend_no_more_than_one_may() -> None:
-    """One proxy's requests, to the old module, to both while it makes way, then to the new one."""
+    """Requests go to the old balancer, then to both during the handover, then to the new one."""
     cfg = settings(slow_start_ns=20 * NS, initial_warmth=0.1)
     began = now = 100 * NS
     sent: dict[int, list[int]] = {}
@@ -178,14 +178,15 @@
                 module.handle(now + NS // 200, [end])
     warm = (
         sum(len(at) for b, at in sent.items() if b != 1) / 5 / 10
-    )  # of a warm backend, in a second
+    )  # requests per second of a warm backend
     for second in range(10):
         here = sum(second * NS < at - began <= (second + 1) * NS for at in sent[1])
         warmth = (
             cfg.initial_warmth + (1 - cfg.initial_warmth) * (second + 1) * NS / cfg.slow_start_ns
         )
         assert here <= OVERLOAD_PART * cfg.overload_multiple * warm * warmth + 1, (second, here)
-    # Found by this test: the new process took its idle seconds for what a warm one does, and sent 6 in all.
+    # Guards against a new process that takes its idle seconds for the rate of a warm backend: it sent
+    # 6 in total.
     assert sum(at > began + 5 * NS for at in sent[1]) >= 25
 
 
@@ -217,7 +218,9 @@
             for client in kept:
                 assert (await client.ask("order")).status == 200
             p.stand_in.behave = slowly
-            kept[0].writer.write(request_bytes("order", remaining="990m"))  # open all through it
+            kept[0].writer.write(
+                request_bytes("order", remaining="990m")
+            )  # open during the whole handover
             while not any(b"order" in s.line and s.connection for s in p.stand_in.seen[8:]):
                 await asyncio.sleep(0.01)
             p.stand_in.behave = serves
@@ -228,7 +231,7 @@
                 while not over.is_set():
                     reply = await client.ask("order")  # type: ignore[attr-defined]
                     assert reply.status in (200, 503) and "connection" not in reply.headers
-                    asked += reply.status == 200  # the others were refused for want of room
+                    asked += reply.status == 200  # the others were rejected for lack of capacity
                     await asyncio.sleep(0.003)
                 return asked
 
@@ -242,10 +245,8 @@
             over.set()
             asked = sum(await asyncio.gather(*asking))
             assert (await kept[0].ask("order")).status == 200
-            assert (
-                await silent.ask("order")
-            ).status == 200  # not even its first request has come before
-            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + asked  # none lost, none twice
+            assert (await silent.ask("order")).status == 200  # its first request on this connection
+            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + asked  # none is lost or sent twice
             told = await p.counters()
             assert told["handovers"] == 1 and told["clients_adopted"] >= 8
             assert (await call(door, "/api/ready")).status == 200 and new.returncode is None
@@ -256,12 +257,12 @@
 def test_process_that_ends_right_after_it_took_over_leaves_new_clients_to_the_one_before(
     tmp_path: Path,
 ) -> None:
-    """An upgrade that is called off: the new process is told to end, the old one still runs.
+    """An upgrade is aborted: the new process is stopped while the old one still runs.
 
-    The new one left the listener to others, and the old one waited until the new one was gone, up
-    to its longest deadline later: nobody accepted. Found by `mothstall lab soak --first 9`: seven
-    requests with 0.3 s left were answered 0.8 to 1.0 s after they were sent, all at the instant of
-    the old one's `the process that took over is gone`.
+    Guards against new connections that no process accepts: the stopping process no longer accepted,
+    and the old one waited until it was gone, up to the longest deadline. In
+    `mothstall lab soak --first 9` seven requests with 0.3 s left were answered only after 0.8 to
+    1.0 s, when the old process logged `the process that took over is gone`.
     """
 
     async def run() -> None:
@@ -279,7 +280,7 @@
             late = await p.client()
             reply = await asyncio.wait_for(late.ask("search"), 0.4)
             assert reply.status == 200
-            assert new.returncode is None  # it still has a request open
+            assert new.returncode is None  # it still has an open request
             assert old.returncode is None
             assert (await busy.read()).body == b"late"
             assert await asyncio.wait_for(new.wait(), 5) == 0
@@ -309,7 +310,7 @@
             client.writer.write(request_bytes("search"))
             head = await client.reader.readuntil(b"\r\n\r\n")
             first = await client.reader.readexactly(1000)
-            for _ in range(2):  # and the one after it
+            for _ in range(2):  # two handovers in a row
                 new, _ = await p.start()
                 old.terminate()
                 assert await asyncio.wait_for(old.wait(), 5) == 0
@@ -327,7 +328,7 @@
 def test_the_last_bytes_for_a_slow_reader_are_not_lost_with_the_old_process(
     tmp_path: Path, size: int, chunked: bool
 ) -> None:
-    """At some of these sizes the backend has given all, and the old process still holds a part of it."""
+    """At some of these sizes the old process still buffers a part when the backend has sent all."""
 
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
         body = BODY[:size]
@@ -374,7 +375,7 @@
         found += b"".join(decoder.feed(raw[at : at + size]))
         decoder = ChunkedDecoder(
             decoder.phase, decoder.remaining_bytes, decoder.partial_line
-        )  # another process goes on
+        )  # another process continues
         at, turn = at + size, turn + 1
     assert decoder.has_ended and found == b"".join(parts)
     assert decoder.feed(b"behind") == []
@@ -411,13 +412,13 @@
             second, _ = await asyncio.wait_for(p.start(), 5)
             hung.kill()
             assert (await p.counters())["handovers_failed"] == 1
-            second.kill()  # leaves its socket's name behind
+            second.kill()  # leaves its socket's file behind
             await second.wait()
             third, _ = await asyncio.wait_for(p.start(), 5)
             assert (await (await p.client()).ask()).status == 200
             third.terminate()
             await third.wait()
-            assert not list(tmp_path.glob("mothstall-*"))  # what is left there is cleared up
+            assert not list(tmp_path.glob("mothstall-*"))  # leftover files were removed
 
     asyncio.run(run())
 
--- a/tests/net/protocol/test_net_protocol.py
+++ b/tests/net/protocol/test_net_protocol.py
@@ -1,4 +1,4 @@
-"""Words on the wire to the interface's terms, without sockets."""
+"""Parsing and encoding of headers, durations and endpoint lists, without sockets."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     )
     assert read(X_Remaining="1500.5u").remaining_ns == 1_500_500
     assert not read(X_Resent="0").is_retry
-    assert read(X_Org="nobody").tenant_index == len(NAMES.tenants)  # none of those in the settings
+    assert read(X_Org="nobody").tenant_index == len(NAMES.tenants)  # not in the settings
     assert b"\r\nX-Labels: a=1,b=2\r\n" in read(X_Labels="a=1,b=2").head
 
 
@@ -138,15 +138,15 @@
 
 
 class Unsearched(tuple[str, ...]):
-    """Names that nobody may look through."""
+    """A tuple of names that fails when it is searched."""
 
     __slots__ = ()
 
     def __contains__(self, item: object) -> bool:
-        raise AssertionError("looked through")
+        raise AssertionError("names were searched")
 
     def index(self, *_: Any) -> int:
-        raise AssertionError("looked through")
+        raise AssertionError("names were searched")
 
 
 def test_parsing_a_request_does_not_scan_classes_and_tenants() -> None:
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -1,4 +1,4 @@
-"""Long bodies: the stream by itself over any cutting, both directions through a proxy, slow and broken."""
+"""Long bodies: `Stream` alone, and both directions through a proxy, also slow or truncated."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Ends:
-    """A source and a sink that write down what is said to them."""
+    """A source and sink that records the calls it receives."""
 
     def __init__(self) -> None:
         self.paused = self.was_dropped = self.is_done = self.is_broken = False
@@ -87,17 +87,18 @@
 
 
 class EmptyEnds(Ends):
-    """Counts as false, as a backend's connection does: aiohttp's `DataQueue` has a length."""
+    """Is falsy, as a backend's connection may be: aiohttp's `DataQueue` has a length."""
 
     def __len__(self) -> int:
         return 0
 
 
 def test_abort_reaches_a_sink_that_counts_as_false() -> None:
-    """A client's upload that broke off never reached the backend, whose connection stayed open.
+    """Guards against a backend connection that stays open after a client's upload was truncated.
 
-    `Stream.abort` asked for the truth of its sink; the sink of an upload is a connection to a
-    backend, and an empty `DataQueue` is false. Only the descriptors of the process showed it.
+    The sink of an upload is a connection to a backend, which is falsy while its `DataQueue` is
+    empty. `Stream.abort` tested the truth of its sink and left such a connection open; the leak was
+    visible only in the process's descriptors.
     """
     source, sink = Ends(), EmptyEnds()
     stream = Stream(source, BufferGrants(1))
@@ -131,7 +132,7 @@
     sources = [Ends() for _ in range(4)]
     streams = [Stream(source, grants) for source in sources]
     assert [s.paused for s in sources] == [False, False, True, True]
-    streams[2].drop()  # gives up its place in the line
+    streams[2].drop()  # leaves the queue
     streams[0].abort()
     assert [s.paused for s in sources[1:]] == [False, True, False]
     assert (
@@ -141,7 +142,7 @@
 
 
 async def read_long(client: Client, pause_s: float = 0.0) -> tuple[bytes, bytes]:
-    """Head and body of an answer by its own framing; IncompleteReadError if it was cut."""
+    """Read head and body of a response by its framing; IncompleteReadError if it is truncated."""
     head = await client.reader.readuntil(b"\r\n\r\n")
     body = bytearray()
     if b"chunked" in head:
@@ -194,20 +195,20 @@
     async def run() -> None:
         async with rig(behave, operators="127.0.0.1:0") as r:
             client = await r.client()
-            for _ in range(2):  # the connection stays good
+            for _ in range(2):  # the connection is reusable
                 client.writer.write(request_bytes("search"))
                 _, body = await asyncio.wait_for(read_long(client), 10)
                 assert body == BODY
             told = await r.figures()
             assert (told["fulfilled.search"], told["open_requests"]) == (2, 0)
             if how == "length":
-                assert r.backends[0].opened == 1  # the backend's connection is used again
+                assert r.backends[0].opened == 1  # the backend connection is reused
 
     asyncio.run(run())
 
 
 def resident_kib(pid: int) -> int:
-    """The most that a process ever held in memory."""
+    """Peak resident memory of a process."""
     rows = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(row.split()[1]) for row in rows if row.startswith("VmHWM:"))
 
@@ -232,7 +233,7 @@
             async def reads() -> None:
                 client = await proxy.client()
                 status = b"503"
-                while status == b"503":  # refused for want of room: asked again
+                while status == b"503":  # rejected for lack of capacity: retried
                     client.writer.write(request_bytes("search"))
                     head = await client.reader.readuntil(b"\r\n\r\n")
                     status = head.split()[1]
@@ -242,13 +243,15 @@
                 left = size
                 while left:
                     data = await client.reader.read(min(left, 400_000))
-                    assert data, "the answer was cut"
+                    assert data, "the response was truncated"
                     left -= len(data)
                     await asyncio.sleep(0.01)
                 client.close()
 
             await asyncio.gather(*(reads() for _ in range(readers)))
-            assert resident_kib(proxy.process.pid) - before < 16 * 1024  # of 320 MB
+            assert (
+                resident_kib(proxy.process.pid) - before < 16 * 1024
+            )  # the responses have 320 MB in total
         await stand_in.stop()
 
     asyncio.run(run())
@@ -299,7 +302,7 @@
             client.writer.write(request_bytes("search"))
             await asyncio.sleep(
                 0.3
-            )  # the break is known to the proxy, or waits behind what its reader owes
+            )  # the proxy has seen the truncation, or still relays what precedes it
             head = await client.reader.readuntil(b"\r\n\r\n")
             got = b""
             while data := await client.reader.read(20_000):
@@ -352,7 +355,7 @@
 
 
 class Swallows(StandIn):
-    """Reads long requests by their own framing and keeps a digest of each."""
+    """A backend that reads long requests by their framing and records a digest of each."""
 
     def __init__(self) -> None:
         super().__init__(serves)
@@ -423,7 +426,7 @@
             client.writer.write(head)
             for at in range(
                 0, len(BODY), 300_000
-            ):  # for longer than the client waits after its end
+            ):  # takes longer than the remaining time, which counts from the end of the body
                 part = BODY[at : at + 300_000]
                 client.writer.write(
                     part if how == "length" else b"%x\r\n%b\r\n" % (len(part), part)
@@ -463,8 +466,8 @@
 
             sending = asyncio.create_task(sends())
             reply = await client.read()
-            assert reply.status == 503  # harmless to ask again: nothing of it ran
-            await asyncio.wait_for(sending, 5)  # what came behind was read and thrown away
+            assert reply.status == 503  # safe to retry: the request was not executed
+            await asyncio.wait_for(sending, 5)  # the rest of the body was read and discarded
             told = await r.figures()
             assert (told["relayed"], told["throttled.order"], told["open_requests"]) == (0, 1, 0)
             taker.stuck = False
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -1,4 +1,4 @@
-"""Other customers' settings: the proxy serves, refuses and ends under any that are well-formed."""
+"""The proxy serves, rejects and stops under any valid settings of other deployments."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 EFFECTS = ["pure", "token", "side_effect"]
 
-# What other deployments set, from the least to the most.
+# Settings of other deployments, from minimal to extensive.
 SITES: dict[str, dict[str, Any]] = {
     "one class, no tenants, no zones": {
         "classes": [cls("search", "pure", 60, 400)],
@@ -123,7 +123,7 @@
                 if lane == "order" and trouble != "turns away":
                     assert (
                         sent == 1 and reply.status != 503
-                    )  # it may have run: not again, and no refusal
+                    )  # the request may have executed: neither a retry nor a rejection
                 if SITES[site].get("limits--max_attempts") == 1:
                     assert sent == 1
             assert r.count("faults") == r.count("checks_broken") == 0
@@ -132,7 +132,7 @@
 
 
 def test_deadline_shorter_than_a_connect_is_met() -> None:
-    """60 ms in all: what never ran is refused, harmless to try again, and the loop is not kept busy."""
+    """A request with a deadline of 60 ms is answered in time, without a busy event loop."""
 
     async def run() -> None:
         rows = [cls("search", "pure", 25, 60), cls("order", "side_effect", 25, 60)]
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -1,4 +1,4 @@
-"""The program as operators start it: command line, configuration, signals."""
+"""The proxy as a process: command line, configuration and signals."""
 
 from __future__ import annotations
 
@@ -102,11 +102,11 @@
             stand_in.behave = serves
             proxy.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
-            late = await proxy.client()  # new connections go on coming for a while
+            late = await proxy.client()  # new connections are still accepted for a while
             reply = await late.ask("search")
             assert reply.status == 200 and reply.headers["connection"] == "close"
             assert await late.closed()
-            assert await idle.closed(1.0)  # before the busy one has its answer
+            assert await idle.closed(1.0)  # before the open request is answered
             reply = await busy.read()
             assert (reply.status, reply.body) == (200, b"late but whole")
             assert reply.headers["connection"] == "close"
@@ -114,7 +114,7 @@
             assert proxy.process.stderr
             end = (await proxy.process.stderr.read()).decode().splitlines()[-1]
             assert "event=end" in end and "requests=2" in end and "answers_ok=2" in end
-        # A new one comes up on the same address at once.
+        # A new process can listen on the same address at once.
         async with started(tmp_path, stand_in, proxy.port) as again:
             assert (await (await again.client()).ask("search")).status == 200
         await stand_in.stop()
@@ -338,7 +338,7 @@
             await r.until(lambda: not r.proxy._frontend._accepted)
             del connection
             await asyncio.sleep(0.05)
-            # No collection is needed for what is ours.
+            # The proxy's own objects are freed without a garbage collection.
             assert not [o for o in gc.get_objects() if isinstance(o, Connection)]
             collect_garbage(r.proxy.loop)
             assert transport() is None
@@ -353,14 +353,14 @@
 
 
 def test_garbage_collections_skip_a_long_list_once_it_is_received() -> None:
-    """Guards against each of them going through all that was listed after the start."""
+    """Guards against traversing all endpoints received after the start in each collection."""
     import gc
     import weakref
 
     from mothstall.net import proxy
 
     class Node:
-        """Rubbish that only a collection takes away."""
+        """A reference cycle that only a garbage collection frees."""
 
         def __init__(self) -> None:
             self.itself = self
@@ -411,7 +411,7 @@
         "def told():\n"
         "    calls.append(sum(isinstance(o, backend.Backend) for o in gc.get_objects()))\n"
         "    freeze()\n"
-        "    if len(calls) == 2:  # the first is that of all that is loaded, before anything listens\n"
+        "    if len(calls) == 2:  # the first call is before the proxy listens\n"
         "        print(calls[1], flush=True)\n"
         "        os.kill(os.getpid(), signal.SIGTERM)\n"
         "gc.freeze = told\n"
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while the proxy runs."""
+"""Reloading the configuration of a running proxy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def moved(r: Rig) -> Directory:
-    """Another address of the same service, and the proxy told of it."""
+    """Start discovery at a second address, and reload the proxy with that address."""
     other = Directory(r.directory.members)
     other.revision, other.changes = r.directory.revision, r.directory.changes
     await other.start()
@@ -30,11 +30,11 @@
     async def run() -> None:
         async with rig(serves, discovery=mode) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            await r.directory.stop()  # takes no new connection, holds those that are open
+            await r.directory.stop()  # refuses new connections, keeps open ones
             other = await moved(r)
             await r.until(lambda: len(other.calls) == 1, 0.5)
-            assert "timeout_ms=1&" not in other.calls[0] + "&"  # it waits for news from the first
-            # What the old address still tells counts, and asks for nothing more there.
+            assert "timeout_ms=1&" not in other.calls[0] + "&"  # the first call waits for an event
+            # An update from the old address is applied, and no further call is made there.
             new = StandIn(serves, "s-new")
             await new.start()
             r.backends.append(new)
@@ -44,7 +44,7 @@
             r.directory.cut()
             await asyncio.sleep(0.05)
             assert len(r.directory.calls) == before
-            # The list held stays, and news of the new address come at once.
+            # The list is kept, and updates from the new address are applied at once.
             other.revision, words = r.directory.revision, r.count("list_updates")
             other.tell(r.backends[0].row("DRAINING"))
             await r.until(lambda: r.count("list_updates") > words, 0.5)
@@ -63,7 +63,7 @@
             await r.until(lambda: len(r.directory.calls) >= 2)
             second = await moved(r)
             third = await moved(r)
-            # Back to the first: its watch that is still out must not go on beside the new one.
+            # Back to the first address: its watch in flight must not go on beside the new one.
             r.proxy.reload(
                 replace(r.proxy.config, discovery=config.Address("127.0.0.1", r.directory.port))
             )
@@ -112,7 +112,7 @@
         for directory in (old, new):
             directory.members = [stand_in.row()]
             await directory.start()
-        # The address in the environment is as old as the process: the file's goes before it.
+        # On a reload the address in the file takes precedence over that in the environment.
         async with started(tmp_path, stand_in, LB_DISCOVERY=f"127.0.0.1:{old.port}") as proxy:
             assert proxy.process.stderr
             path = tmp_path / "config.json"
@@ -151,7 +151,7 @@
             assert b"reloads_failed 2\n" in counted
             reply = await busy.read()
             assert (reply.status, reply.body) == (200, b"late but whole")
-            # And while it drains.
+            # A SIGHUP during the drain does not end the process either.
             proxy.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.05)
             proxy.process.send_signal(signal.SIGHUP)
--- a/tests/net/test_startup.py
+++ b/tests/net/test_startup.py
@@ -1,4 +1,4 @@
-"""What a start imports, and that many proxies started at once become ready."""
+"""The modules that a start imports, and the readiness of many proxies that start at once."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 ROOT = Path(__file__).parents[2]
 MANY = 20
-LIMIT_S = 60.0  # for a state to come about, on a busy machine
-SLOW_S = 1.5  # what a slow discovery takes to answer, in the 2 s that a call may take
+LIMIT_S = 60.0  # timeout of a test on a busy machine
+SLOW_S = 1.5  # response time of a slow discovery; a call may take 2 s
 PORT = re.compile(rb"event=listening .*port=(\d+)")
-# A certificate that the system is told to trust: of nobody, its key is not kept.
+# A CA certificate that OpenSSL is configured to trust; its key was discarded.
 TRUSTED = """-----BEGIN CERTIFICATE-----
 MIIBeTCCAR+gAwIBAgIUXV9Ij0EWe55sG1o4kZB1CkbGSeEwCgYIKoZIzj0EAwIw
 ETEPMA0GA1UEAwwGbm9ib2R5MCAXDTI2MTIwMjA0MjMyMVoYDzIxMjYxMTA4MDQy
@@ -35,8 +35,8 @@
 rR/r4sNnNw8rvzECIHCBKsE98Vivib0OoTVjZu7hOPLFIftS34vZYfO4WRVk
 -----END CERTIFICATE-----
 """
-# The program, in a process that tells on standard output what it loaded: by the time that it was ready (asked
-# over the address that it is told on standard input), and from then on.
+# Runs the proxy in a process that prints which modules it had loaded when it was ready (a line on
+# standard input marks that), and which it imported later.
 TELLS = """
 import json, os, runpy, sys, threading
 loaded, late = [], []
@@ -60,7 +60,7 @@
         "file": os.environ.get("SSL_CERT_FILE"), "dir": os.environ.get("SSL_CERT_DIR"),
     }))
 """
-# Not before a proxy is ready, nor in its requests: what it never uses, and what only some of them use.
+# Modules that a proxy must not import by default: unused ones, and those of optional features.
 NEEDLESS = {
     "argparse",
     "aiohttp.web",
@@ -97,7 +97,7 @@
 
 
 class Process:
-    """The program, started; `tells`: in the way of TELLS."""
+    """A proxy process; `tells`: it reports its loaded modules, see TELLS."""
 
     def __init__(self, config: Path, tells: bool = False, **env: str) -> None:
         self._words = ("-c", TELLS) if tells else ("-m", "mothstall")
@@ -131,7 +131,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def ready(self) -> bool:
-        """Whether it answers that it is; False also as long as it does not listen."""
+        """Whether the proxy reports itself ready; False while it does not listen."""
         if not self.port:
             return False
         client = await self.client()
@@ -153,7 +153,7 @@
 
 
 class Whole(Directory):
-    """Tells whoever has nothing yet the whole list; `delay_s`: how long it takes to answer."""
+    """Sends the full list to callers without a list; `delay_s`: response time."""
 
     delay_s = 0.0
 
@@ -168,7 +168,7 @@
 async def many(
     folder: Path, directory: Directory, known: bool, mode: str
 ) -> AsyncIterator[list[Process]]:
-    """Twenty proxies of one fleet, started at once."""
+    """Start MANY proxies of one fleet at once."""
     processes = []
     for position in range(MANY):
         tree = tree_of(
@@ -291,7 +291,7 @@
                 await process.until_ready()
                 assert process.process.stdin and process.process.stdout
                 process.process.stdin.write(b"ready\n")
-                await asyncio.sleep(0.3)  # its thread looks at what is loaded
+                await asyncio.sleep(0.3)  # the reporting thread records the loaded modules
                 client = await process.client()
                 assert (await client.ask()).status == 200
                 assert (await client.ask("order", body=b"a body")).status == 200
@@ -307,8 +307,8 @@
     told = asyncio.run(run())
     assert "mothstall.net.client_side.frontend" in told["loaded"]
     assert sorted(NEEDLESS & set(told["loaded"])) == []
-    assert told["late"] == []  # a first request waits for no import
-    assert told["trusted"] == 0  # no certificate of the system's was read
+    assert told["late"] == []  # the first request imports nothing
+    assert told["trusted"] == 0  # the system's certificates were not read
     assert told["collects"] and told["frozen"] > 10_000
 
 
--- a/tests/serving/test_frame_server.py
+++ b/tests/serving/test_frame_server.py
@@ -1,4 +1,4 @@
-"""Which connections a process admits, and what it counts of them."""
+"""Admission of frame connections, and their counters."""
 
 from __future__ import annotations
 
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -25,7 +25,7 @@
 )
 TOP_FOLDERS = ("mothstall/", "tests/", "docs/", "deploy/")
 FILE_SUFFIXES = (".py", ".md", ".toml")
-MIN_SYMBOLS = 60  # a page whose markup the patterns below no longer match would name none
+MIN_SYMBOLS = 60  # guards against a page whose markup the patterns below no longer match
 MIN_PATHS = 20
 
 _CODE = re.compile(r"`([^`]+)`")
@@ -34,7 +34,7 @@
 
 
 def code_spans(page: Path = PAGE) -> list[str]:
-    """Everything that a page sets in code font, without duplicates."""
+    """All code spans of a page, without duplicates."""
     return list(dict.fromkeys(_CODE.findall(page.read_text(encoding="utf-8"))))
 
 
@@ -110,7 +110,7 @@
 
 
 def logged_events() -> list[str]:
-    """The log lines of now in the on-call page's table of former log lines."""
+    """The current log events in the on-call page's table of former log lines."""
     page = (ROOT / "docs" / "oncall.md").read_text(encoding="utf-8")
     table = page.partition("### Log lines by their former names")[2]
     rows = [line.split("|") for line in table.splitlines() if line.startswith("| ")]
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names what decides and what serves; operators' tools read it."""
+"""The deploy file, read by operators' tools, lists the files of the policy and of the proxy."""
 
 from __future__ import annotations
 
--- a/tests/test_net_move.py
+++ b/tests/test_net_move.py
@@ -1,4 +1,4 @@
-"""The settings of the move on sockets: told costs, probes, sizes in the list; all off by default."""
+"""Optional settings over sockets, off by default: declared costs and load probes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def tells(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """A backend that tells its load to probes alone."""
+    """A backend that reports its load only in responses to probes."""
     if b"/status/load" in seen.line:
         writer.write(answer(b"qps=5,queue=0\n"))
     else:
