--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -33,11 +33,11 @@
     tree_of,
 )
 
-DOOR = "127.0.0.1:0"
+ADMIN_ADDRESS = "127.0.0.1:0"
 
 
 @pytest.mark.parametrize(
-    ("raw", "told"),
+    ("raw", "expected"),
     [
         (b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n", "/api/ready"),
         (b"POST /api/rejoin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", "/api/rejoin"),
@@ -54,13 +54,13 @@
         (b"x" * 9000, 413),
     ],
 )
-def test_a_call_is_read_completely_or_rejected(raw: bytes, told: str | int | None) -> None:
-    if isinstance(told, int):
+def test_a_call_is_read_completely_or_rejected(raw: bytes, expected: str | int | None) -> None:
+    if isinstance(expected, int):
         with pytest.raises(AdminCallError) as caught:
             read_call(raw)
-        assert caught.value.status == told
+        assert caught.value.status == expected
     else:
-        assert read_call(raw) == told
+        assert read_call(raw) == expected
 
 
 def test_phases_change_by_command_and_by_time() -> None:
@@ -115,7 +115,7 @@
 
 def test_metrics_equal_what_clients_and_backends_counted() -> None:
     async def run() -> None:
-        async with rig(serves, operators=DOOR, limits__max_attempts=1) as r:
+        async with rig(serves, operators=ADMIN_ADDRESS, limits__max_attempts=1) as r:
             assert (await r.ask("search")).status == 200
             assert (await r.ask("pay", body=b"x" * 60_000)).status == 200
             r.backends[0].behave = says(answer(b"no", 500))
@@ -125,15 +125,15 @@
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await r.until(lambda: len(r.backends[0].seen) == 4)
-            told = await r.figures()
-            assert told["open_requests"] == 1 and told["relayed"] == 4
+            metrics = await r.figures()
+            assert metrics["open_requests"] == 1 and metrics["relayed"] == 4
             client.close()
             await r.until(lambda: r.count("requests_left") == 1)
-            told = await r.figures()
-            assert [told[f"fulfilled.{c}"] for c in ("search", "pay", "order")] == [1, 1, 0]
-            assert [told[f"faulted.{c}"] for c in ("search", "pay", "order")] == [0, 0, 1]
-            assert told["open_requests"] == 0 and told["registry_entries"] == 1
-            assert sum(n for name, n in told.items() if name.startswith("throttled")) == 0
+            metrics = await r.figures()
+            assert [metrics[f"fulfilled.{c}"] for c in ("search", "pay", "order")] == [1, 1, 0]
+            assert [metrics[f"faulted.{c}"] for c in ("search", "pay", "order")] == [0, 0, 1]
+            assert metrics["open_requests"] == 0 and metrics["registry_entries"] == 1
+            assert sum(n for name, n in metrics.items() if name.startswith("throttled")) == 0
             r.directory.tell(r.backends[0].row("DRAINING"))
             async with asyncio.timeout(3):
                 while (await r.figures())["out_of_rotation"] != 1:
@@ -144,7 +144,7 @@
 
 def test_an_ejected_backend_is_out_of_rotation_until_it_serves() -> None:
     async def run() -> None:
-        async with rig(serves, serves, operators=DOOR) as r:
+        async with rig(serves, serves, operators=ADMIN_ADDRESS) as r:
             for _ in range(6):
                 await r.ask()
             assert (await r.figures())["out_of_rotation"] == 0
@@ -156,9 +156,9 @@
     asyncio.run(run())
 
 
-def test_callers_that_hold_connections_are_closed_and_calls_are_answered() -> None:
+def test_idle_callers_are_closed_and_calls_are_answered() -> None:
     async def run() -> None:
-        async with rig(serves, operators=DOOR) as r:
+        async with rig(serves, operators=ADMIN_ADDRESS) as r:
             held = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
@@ -186,7 +186,7 @@
     monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 1.2)
 
     async def run() -> None:
-        async with rig(serves, operators=DOOR) as r:
+        async with rig(serves, operators=ADMIN_ADDRESS) as r:
             asks, idle, half = await r.client(), await r.client(), await r.client()
             for client in (asks, idle):
                 assert (await client.ask()).status == 200
@@ -222,7 +222,7 @@
     monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.4)
 
     async def run() -> None:
-        async with rig(slowly, operators=DOOR) as r:
+        async with rig(serve_after_200_ms, operators=ADMIN_ADDRESS) as r:
             client = await r.client()
             client.writer.write(
                 request_bytes("order") + request_bytes("order") + request_bytes("order")
@@ -244,15 +244,15 @@
 
 def test_operators_are_answered_in_time_under_client_load() -> None:
     async def run() -> None:
-        async with rig(serves, serves, operators=DOOR) as r:
-            over = asyncio.Event()
+        async with rig(serves, serves, operators=ADMIN_ADDRESS) as r:
+            stopped = asyncio.Event()
 
-            async def ask_along() -> None:
+            async def send_requests() -> None:
                 client = await r.client()
-                while not over.is_set():
+                while not stopped.is_set():
                     await client.ask()
 
-            asking = [asyncio.create_task(ask_along()) for _ in range(60)]
+            asking = [asyncio.create_task(send_requests()) for _ in range(60)]
             held = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
@@ -261,7 +261,7 @@
                 began = loop.time()
                 assert (await r.call(path)).status == 200
                 worst = max(worst, loop.time() - began)
-            over.set()
+            stopped.set()
             await asyncio.gather(*asking)
             for _, writer in held:
                 writer.close()
@@ -277,7 +277,7 @@
     monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 0.4)
 
     async def run() -> None:
-        async with rig(silent, operators=DOOR) as r:
+        async with rig(silent, operators=ADMIN_ADDRESS) as r:
             await r.call("/api/evacuate")
             began = asyncio.get_running_loop().time()
             reply = await r.ask("order", remaining="990m")
@@ -312,7 +312,7 @@
 
 
 @pytest.mark.parametrize(
-    ("env", "said"),
+    ("env", "named_key"),
     [
         ({"LB_ADMIN_ADDR": "nowhere"}, "admin_addr"),
         ({"LB_ADMIN_ADDR": "127.0.0.1:7001", "LB_LISTEN": "127.0.0.1:7001"}, "admin_addr"),
@@ -322,13 +322,13 @@
     ],
 )
 def test_faulty_addresses_and_descriptors_exit_with_2_and_the_key(
-    tmp_path: Path, env: dict[str, str], said: str
+    tmp_path: Path, env: dict[str, str], named_key: str
 ) -> None:
     path = tmp_path / "config.json"
     directory = Directory([])
     path.write_text(json.dumps(tree_of(directory, [])))
     done = run_main("check-config", "--config", str(path), **env)
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and named_key in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_an_admin_address_in_use_exits_with_1_and_the_key(tmp_path: Path) -> None:
@@ -346,7 +346,7 @@
     )
 
 
-async def slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serve_after_200_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.2)
     await serves(seen, writer)
 
@@ -364,8 +364,8 @@
         """Start a process; returns it and its admin port once it reports itself ready."""
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            door: int = free.getsockname()[1]
-        tree = tree_of(self.directory, [self.stand_in.row()], operators=f"127.0.0.1:{door}")
+            port: int = free.getsockname()[1]
+        tree = tree_of(self.directory, [self.stand_in.row()], operators=f"127.0.0.1:{port}")
         tree["listen"] = f"127.0.0.1:{self.port}"
         path = self.path / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(tree))
@@ -382,8 +382,8 @@
         async with asyncio.timeout(10):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await call(door, "/api/ready")).status == 200:
-                        return process, door
+                    if (await call(port, "/api/ready")).status == 200:
+                        return process, port
                 await asyncio.sleep(0.02)
 
     async def client(self) -> Client:
@@ -414,28 +414,28 @@
         directory = Directory([stand_in.row()])
         await directory.start()
         platform = Platform(tmp_path, stand_in, directory)
-        asked, over = 0, asyncio.Event()
+        request_count, stopped = 0, asyncio.Event()
 
-        async def ask_along() -> None:
-            nonlocal asked
-            while not over.is_set():
+        async def send_requests() -> None:
+            nonlocal request_count
+            while not stopped.is_set():
                 client = await platform.client()
                 assert (await client.ask("order")).status == 200
-                asked += 1
+                request_count += 1
                 client.close()
                 await asyncio.sleep(0.002)
 
         try:
             old, _ = await platform.start()
-            askers = [asyncio.create_task(ask_along()) for _ in range(3)]
+            clients = [asyncio.create_task(send_requests()) for _ in range(3)]
             new, _ = await platform.start()
             old.terminate()
             assert await asyncio.wait_for(old.wait(), 5) == 0
-            before = asked
+            before = request_count
             await asyncio.sleep(0.3)
-            over.set()
-            await asyncio.gather(*askers)
-            assert asked > before and len(stand_in.seen) == asked
+            stopped.set()
+            await asyncio.gather(*clients)
+            assert request_count > before and len(stand_in.seen) == request_count
             assert new.returncode is None
         finally:
             await platform.end()
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -22,8 +22,8 @@
 
 from mothstall.net.backend_side.connection import BackendConnection
 from tests.net.client_side.test_net_leaving import given_back
-from tests.net.test_net_body_relay import Swallows, swallowing
-from tests.net.test_process import started
+from tests.net.test_net_body_relay import UploadBackend, rig_with_upload_backend
+from tests.net.test_process import start_proxy
 from tests.peers import Client, Rig, StandIn, request_bytes, rig
 
 LONG_BODY = b"u" * 200_000  # over what is buffered completely
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("at_once", [True, False], ids=["at once", "in two parts"])
 def test_upload_that_breaks_leaves_nothing_open(name: str, at_once: bool) -> None:
     async def run() -> None:
-        async with swallowing() as (r, taker):
+        async with rig_with_upload_backend() as (r, taker):
             raw = MALFORMED_CHUNKS[name]
             if at_once:
                 client = await r.client()
@@ -112,7 +112,7 @@
     """All in one read: the end of the body, and what is malformed."""
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
+        async with rig_with_upload_backend() as (r, taker):
             body = chunk(LONG_BODY) if chunked else LONG_BODY
             client = await send_upload(r, body[:-10], chunked)
             end = body[-10:] + (b"0\r\n\r\n" if chunked else b"")
@@ -134,8 +134,8 @@
     """A backend may answer before it has the whole body; the client goes on sending."""
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
-            taker.stuck = True
+        async with rig_with_upload_backend() as (r, taker):
+            taker.is_stalled = True
             client = await send_upload(r, chunk(LONG_BODY))
             await r.until(lambda: len(taker.framings) == 1)
             for writer in list(taker.writers):
@@ -146,7 +146,7 @@
             assert await client.closed()
             client.close()
             await r.until(lambda: nothing_open(r))
-            taker.stuck = False
+            taker.is_stalled = False
 
     asyncio.run(run())
 
@@ -159,8 +159,8 @@
     """
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
-            taker.stuck = True
+        async with rig_with_upload_backend() as (r, taker):
+            taker.is_stalled = True
             client = await send_upload(r, chunk(LONG_BODY))
             await r.until(lambda: len(taker.framings) == 1)
             size = 200_000
@@ -173,7 +173,7 @@
             client.close()
             await r.until(lambda: nothing_open(r))
             await r.until(lambda: r.proxy._pool.open_count == 0)
-            taker.stuck = False
+            taker.is_stalled = False
 
     asyncio.run(run())
 
@@ -231,9 +231,9 @@
     )
 
     async def run() -> None:
-        taker = Swallows()
+        taker = UploadBackend()
         await taker.start()
-        async with started(tmp_path, taker) as proxy:
+        async with start_proxy(tmp_path, taker) as proxy:
             descriptors = Path(f"/proc/{proxy.process.pid}/fd")
             before = len(list(descriptors.iterdir()))
             for _ in range(25):
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -22,7 +22,7 @@
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.listener import CHECK_CLIENT_AFTER_NS, has_peer_hung_up
 from tests.net.client_side.test_net_leaving import ENDS, LONG, connections, given_back, nothing_owed
-from tests.net.test_net_body_relay import swallowing
+from tests.net.test_net_body_relay import rig_with_upload_backend
 from tests.peers import (
     MS,
     Gate,
@@ -303,7 +303,7 @@
     """All of it was sent, and then the client closed: the end comes with the last byte, if no sooner."""
 
     async def run() -> None:
-        async with swallowing(**SLOW_DIAL) as (r, taker):
+        async with rig_with_upload_backend(**SLOW_DIAL) as (r, taker):
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(taker)
             if hidden:
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.net.discovery.test_watch_recovery import MODES, watched
+from tests.net.discovery.test_watch_recovery import MODES, wait_until_watching
 from tests.peers import Client, Seen, answer, request_bytes, rig, serves, serves_after
 
 
@@ -20,7 +20,7 @@
         go = asyncio.Event()
         async with rig(serves_after(go), serves, discovery=mode) as r:
             left, stays = r.backends
-            await watched(r)
+            await wait_until_watching(r)
             client, asked = await r.client(), None
             while not left.seen:  # until one is out there
                 asked = asyncio.create_task(client.ask(remaining="3900m"))
@@ -98,7 +98,7 @@
 ) -> None:
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
-            await watched(r)
+            await wait_until_watching(r)
             plain = r.directory._list
 
             def framed(full: bool, rows: list[dict[str, Any]]) -> bytes:
--- a/tests/net/discovery/test_retry_schedule.py
+++ b/tests/net/discovery/test_retry_schedule.py
@@ -14,23 +14,22 @@
 from mothstall.net.discovery.discovery import DiscoveryAddressChanged
 from tests.given_clock import FAILURES, Asker, Call, Queue, Service, orders, run
 
-TOLD_S, ANSWER_S, MARGIN_S = 6.0, discovery.CALL_TIMEOUT_S, 0.4
-MAX_DEAF_S = (
-    TOLD_S - ANSWER_S - MARGIN_S
-)  # from when events may be missed to the start of the next call
+MAX_DELIVERY_S, RESPONSE_S, MARGIN_S = 6.0, discovery.CALL_TIMEOUT_S, 0.4
+# From when events may be missed to the start of the next call.
+MAX_GAP_S = MAX_DELIVERY_S - RESPONSE_S - MARGIN_S
 FLEETS = [(1, 0), (5, 3), (30, 17), (220, 131)]
 
 
-def deaf_spans(calls: list[Call], wait_s: float) -> list[tuple[float, Call]]:
+def watch_gaps(calls: list[Call], wait_s: float) -> list[tuple[float, Call]]:
     """Times from when a call may miss events to the next call, less the wait of a silent watch."""
-    spans = []
-    for call, follower in pairwise(calls):
+    gaps = []
+    for call, next_call in pairwise(calls):
         silent = call.waits and call.how == "no answer"
-        spans.append((follower.began - call.deaf - (wait_s if silent else 0.0), call))
-    return spans
+        gaps.append((next_call.began - call.deaf - (wait_s if silent else 0.0), call))
+    return gaps
 
 
-async def play(
+async def fail_in_order(
     order: tuple[str, ...], *, good_first: bool, seconds: float = 40.0, **changes: Any
 ) -> None:
     """Let calls fail in a repeated order, optionally after one good call."""
@@ -45,10 +44,10 @@
     wait_s = asker.discovery._timing.wait_s
     await asyncio.sleep(seconds + (wait_s if good_first else 0.0))
     await asker.stop()
-    spans = deaf_spans(service.calls, wait_s)
-    assert len(spans) >= 6
-    longest, call = max(spans, key=lambda row: row[0])
-    assert longest <= MAX_DEAF_S, (order, good_first, changes, longest, call)
+    gaps = watch_gaps(service.calls, wait_s)
+    assert len(gaps) >= 6
+    longest, call = max(gaps, key=lambda row: row[0])
+    assert longest <= MAX_GAP_S, (order, good_first, changes, longest, call)
 
 
 def fleet(proxies: int, position: int) -> dict[str, Any]:
@@ -57,35 +56,39 @@
 
 @pytest.mark.parametrize("good_first", [False, True])
 @pytest.mark.parametrize(("proxies", "position"), FLEETS)
-def test_every_order_of_two_failures(proxies: int, position: int, good_first: bool) -> None:
+def test_changes_are_delivered_in_time_after_every_order_of_two_failures(
+    proxies: int, position: int, good_first: bool
+) -> None:
     for order in orders(FAILURES, 2):
-        run(play(order, good_first=good_first, **fleet(proxies, position)))
+        run(fail_in_order(order, good_first=good_first, **fleet(proxies, position)))
 
 
 @pytest.mark.parametrize("good_first", [False, True])
-def test_every_order_of_three_failures(good_first: bool) -> None:
+def test_changes_are_delivered_in_time_after_every_order_of_three_failures(
+    good_first: bool,
+) -> None:
     for order in orders(FAILURES, 3):
-        run(play(order, good_first=good_first, seconds=25.0, **fleet(220, 87)))
+        run(fail_in_order(order, good_first=good_first, seconds=25.0, **fleet(220, 87)))
 
 
 @pytest.mark.parametrize("grace_ms", [0, 200, 500, 2_000, 4_000, 20_000])
-def test_every_order_of_failures_where_the_list_is_pushed(grace_ms: int) -> None:
+def test_pushed_changes_are_delivered_in_time_after_every_order_of_failures(grace_ms: int) -> None:
     """A change is delivered by a call that has its full timeout, which a slow agent needs."""
 
-    async def push(order: tuple[str, ...]) -> None:
+    async def poll_pushed_list(order: tuple[str, ...]) -> None:
         service = Service(lambda number, _: order[number % len(order)])
         changes = fleet(30, 17) | {"contract--stop_sending_within_ns": grace_ms * NS // 1000}
         asker = Asker(service, discovery="push", **changes)
         await asyncio.sleep(15.0)
         service.how, service.after = (lambda number, waits: "good"), 2.2
-        back, told = asyncio.get_running_loop().time(), len(asker.told)
-        await asyncio.sleep(TOLD_S - MARGIN_S)
-        heard = [
-            at - back
+        returned_at, told = asyncio.get_running_loop().time(), len(asker.told)
+        await asyncio.sleep(MAX_DELIVERY_S - MARGIN_S)
+        delivered = [
+            at - returned_at
             for at, scope in asker.told[told:]
             if scope in (UpdateScope.FULL, UpdateScope.DELTA)
         ]
-        assert heard, (order, grace_ms)
+        assert delivered, (order, grace_ms)
         # Watches that are reset must not report stale updates.
         service.how, service.after = (lambda number, waits: "reset late" if waits else "good"), 0.01
         await asyncio.sleep(10.0)
@@ -93,14 +96,14 @@
         assert asker.decider.counters.values["faults"] == 0
 
     for order in orders(FAILURES, 2):
-        run(push(order))
+        run(poll_pushed_list(order))
 
 
 @pytest.mark.parametrize("at_s", [0.5, 1.0, 2.5, 7.0])
-def test_every_order_of_failures_around_a_move(at_s: float) -> None:
+def test_changes_are_delivered_in_time_after_failures_around_an_address_change(at_s: float) -> None:
     """The address of discovery changes between failures, and calls to the new one fail at first."""
 
-    async def moves(order: tuple[str, ...]) -> None:
+    async def change_address(order: tuple[str, ...]) -> None:
         service = Service(lambda number, _: "good" if number == 0 else order[number % len(order)])
         asker = Asker(service, **fleet(220, 131))
         await asyncio.sleep(at_s)
@@ -108,49 +111,49 @@
         await asyncio.sleep(asker.discovery._timing.wait_s + 30.0)
         await asker.stop()
         assert asker.told[-1][0] > asyncio.get_running_loop().time() - 10.0  # calls go on
-        spans = deaf_spans(service.calls, asker.discovery._timing.wait_s)
-        longest, call = max(spans, key=lambda row: row[0])
-        assert longest <= MAX_DEAF_S, (order, longest, call)
+        gaps = watch_gaps(service.calls, asker.discovery._timing.wait_s)
+        longest, call = max(gaps, key=lambda row: row[0])
+        assert longest <= MAX_GAP_S, (order, longest, call)
 
     for order in orders(FAILURES, 2):
-        run(moves(order))
+        run(change_address(order))
 
 
-@pytest.mark.parametrize(("known", "most_s"), [(True, 5.25), (False, 1.0)])
+@pytest.mark.parametrize(("known", "max_delay_s"), [(True, 5.25), (False, 1.0)])
 @pytest.mark.parametrize(("proxies", "position"), FLEETS)
-def test_a_start_polls_soon_and_goes_on_while_discovery_is_down(
-    proxies: int, position: int, known: bool, most_s: float
+def test_a_start_polls_soon_and_retries_while_discovery_is_down(
+    proxies: int, position: int, known: bool, max_delay_s: float
 ) -> None:
-    async def start(how: str) -> None:
+    async def start_with_failures(how: str) -> None:
         service = Service(lambda number, _: how if number < 4 else "good")
         began = asyncio.get_running_loop().time()
         asker = Asker(service, known=known, **fleet(proxies, position))
         await asyncio.sleep(30.0)
         await asker.stop()
-        assert service.calls[0].began - began <= most_s
-        spans = deaf_spans(service.calls[:5], 0.0)
-        assert max(spans, key=lambda row: row[0])[0] <= MAX_DEAF_S
+        assert service.calls[0].began - began <= max_delay_s
+        gaps = watch_gaps(service.calls[:5], 0.0)
+        assert max(gaps, key=lambda row: row[0])[0] <= MAX_GAP_S
         assert asker.told[-1][1] == UpdateScope.FULL and asker.decider.endpoints_known.is_set()
 
     for how in FAILURES:
         if how != "older" or known:
-            run(start(how))
+            run(start_with_failures(how))
 
 
 @pytest.mark.parametrize("proxies", [30, 220])
 def test_polls_of_the_fleet_interleave_when_discovery_returns(proxies: int) -> None:
     """No tenth of a second gets more than 1.5 times the mean number of calls."""
 
-    async def back() -> None:
+    async def run_outage() -> None:
         service = Service(lambda number, _: "no answer")
-        asked = []
+        askers = []
         for position in range(proxies):
-            asked.append(Asker(service, **fleet(proxies, position)))
+            askers.append(Asker(service, **fleet(proxies, position)))
             if position % 7 == 0:
                 await asyncio.sleep(0.013)
         await asyncio.sleep(20.0)
         now = asyncio.get_running_loop().time()
-        for asker in asked:
+        for asker in askers:
             await asker.stop()
         times = [call.began for call in service.calls if call.began > now - 9.0]
         tenths = [0] * 90
@@ -159,17 +162,17 @@
         assert sum(tenths) >= 2 * proxies
         assert max(tenths) <= 1.5 * (sum(tenths) / 90 + 1)
 
-    run(back())
+    run(run_outage())
 
 
-@pytest.mark.parametrize("a_second", [25.0, 40.0, 60.0, 1000.0])
-def test_a_queue_of_220_calls_is_served_as_fast_as_discovery_can(a_second: float) -> None:
+@pytest.mark.parametrize("calls_per_s", [25.0, 40.0, 60.0, 1000.0])
+def test_a_queue_of_220_calls_is_served_as_fast_as_discovery_can(calls_per_s: float) -> None:
     """Guards against callers that time out while their call is served: the queue would never drain."""
 
-    async def back() -> None:
+    async def run_outage() -> None:
         loop, proxies = asyncio.get_running_loop(), 220
-        service = Queue(lambda number, _: "good", a_second=a_second)
-        asked = [Asker(service, **fleet(proxies, position)) for position in range(proxies)]
+        service = Queue(lambda number, _: "good", a_second=calls_per_s)
+        askers = [Asker(service, **fleet(proxies, position)) for position in range(proxies)]
         await asyncio.sleep(9.0)
         service.back, returned = True, loop.time()
         await asyncio.sleep(20.0)
@@ -182,10 +185,10 @@
                 ),
                 default=1e9,
             )
-            for asker in asked
+            for asker in askers
         ]
-        for asker in asked:
+        for asker in askers:
             await asker.stop()
-        assert max(first) - returned <= max(MAX_DEAF_S, 1.1 * proxies / a_second)
+        assert max(first) - returned <= max(MAX_GAP_S, 1.1 * proxies / calls_per_s)
 
-    run(back())
+    run(run_outage())
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -20,21 +20,21 @@
     scopes: list[UpdateScope] = []
     report = r.proxy._discovery._report
 
-    def noted(told: EndpointsUpdated) -> None:
-        scopes.append(told.scope)
-        report(told)
+    def record_and_report(update: EndpointsUpdated) -> None:
+        scopes.append(update.scope)
+        report(update)
 
-    r.proxy._discovery._report = noted
+    r.proxy._discovery._report = record_and_report
     return scopes
 
 
-def drains(r: Rig) -> bool:
+def has_drained(r: Rig) -> bool:
     return r.proxy._decider.out_of_rotation_count() == 1
 
 
-async def watched(r: Rig, words: int = 2) -> None:
+async def wait_until_watching(r: Rig, min_updates: int = 2) -> None:
     """Wait until the watch is established: its second call waits for an event."""
-    await r.until(lambda: r.count("list_updates") >= words and len(r.directory.calls) >= 2)
+    await r.until(lambda: r.count("list_updates") >= min_updates and len(r.directory.calls) >= 2)
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -47,16 +47,16 @@
 
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
-            await watched(r)
-            held = r.directory.held = asyncio.Event()  # the next watch call is never answered
+            await wait_until_watching(r)
+            release = r.directory.held = asyncio.Event()  # the next watch call is never answered
             calls = len(r.directory.calls)
             await r.until(lambda: len(r.directory.calls) > calls)
             scopes = note_scopes(r)
             r.directory.tell(r.backends[0].row("DRAINING"))
             r.directory.held = None
-            await r.until(lambda: drains(r))
+            await r.until(lambda: has_drained(r))
             assert scopes == [UpdateScope.DELTA]
-            held.set()
+            release.set()
 
     asyncio.run(run())
 
@@ -67,7 +67,7 @@
 ) -> None:
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
-            await watched(r)
+            await wait_until_watching(r)
             if mode == "push":
                 # The drain counts even without a watch: the watch has to be reopened without a pause,
                 # and without the balancer's own check.
@@ -76,27 +76,29 @@
                 monkeypatch.setattr(polling, "_check", lambda: None)
             r.directory.cut()
             r.directory.tell(r.backends[0].row("DRAINING"))
-            await r.until(lambda: drains(r))
+            await r.until(lambda: has_drained(r))
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("begun", [b"H", b"HTTP/1.1 200 OK\r\nContent-", answer(b"{" * 90)[:-80]])
-def test_a_response_that_trickles_is_polled_again_long_before_the_wait_is_over(
-    monkeypatch: pytest.MonkeyPatch, mode: str, begun: bytes
+@pytest.mark.parametrize(
+    "first_bytes", [b"H", b"HTTP/1.1 200 OK\r\nContent-", answer(b"{" * 90)[:-80]]
+)
+def test_a_slowly_sent_response_is_retried_long_before_the_wait_is_over(
+    monkeypatch: pytest.MonkeyPatch, mode: str, first_bytes: bytes
 ) -> None:
     """After its first byte a response has the timeout of a call that does not wait."""
     monkeypatch.setattr(discovery, "MIN_WAIT_S", 60.0)
 
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
-            await watched(r)
+            await wait_until_watching(r)
             r.directory.revision += 1
             r.directory.changes[r.directory.revision] = [r.backends[0].row("DRAINING")]
             for writer in r.directory.writers:
-                writer.write(begun)  # and nothing more: this watch delivers no event
-            await r.until(lambda: drains(r), 12.0)
+                writer.write(first_bytes)  # and nothing more: this watch delivers no event
+            await r.until(lambda: has_drained(r), 12.0)
 
     asyncio.run(run())
 
@@ -111,32 +113,32 @@
 
     async def run() -> None:
         async with rig(serves, serves, discovery="push") as r:
-            await watched(r)
-            held = r.directory.held = asyncio.Event()
+            await wait_until_watching(r)
+            release = r.directory.held = asyncio.Event()
             r.directory.cut()
             await r.until(lambda: r.count("discovery_failures") >= 4)
             r.directory.tell(r.backends[0].row("DRAINING"))
             r.directory.held = None  # the agent is back; earlier calls are never answered
-            await r.until(lambda: drains(r))
-            held.set()
+            await r.until(lambda: has_drained(r))
+            release.set()
 
     asyncio.run(run())
 
 
 def test_a_start_with_a_pushed_list_waits_for_the_agents_list() -> None:
     async def run() -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
         changes: dict[str, Any] = {
             "discovery": "push",
             "contract--stop_sending_within_ns": 20_000 * MS,
         }
-        async with rig(serves, serves, held=held, **changes) as r:
+        async with rig(serves, serves, held=release, **changes) as r:
             await r.until(lambda: len(r.directory.calls) == 1)
             client = await r.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.read()).status == 503
             r.directory.tell(r.backends[0].row("DELETED"))
-            held.set()
+            release.set()
             await r.until(r.proxy._frontend.takes_clients)
             for _ in range(6):
                 assert (await r.ask()).status == 200
@@ -148,28 +150,28 @@
 
 def test_a_start_with_a_silent_agent_uses_the_cached_list_after_a_bounded_time() -> None:
     async def run() -> None:
-        held = asyncio.Event()
-        async with rig(serves, held=held, discovery="push") as r:
+        release = asyncio.Event()
+        async with rig(serves, held=release, discovery="push") as r:
             await r.until(r.proxy._frontend.takes_clients, 4.0)
             assert r.count("discovery_failures") >= 1
             assert (await r.ask()).status == 200
-            held.set()
+            release.set()
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_discovery_down_and_back_with_a_drain(mode: str) -> None:
+def test_a_drain_during_an_outage_of_discovery_is_delivered_after_it(mode: str) -> None:
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
-            await watched(r)
+            await wait_until_watching(r)
             await r.directory.stop()
             r.directory.cut()
             await r.until(lambda: r.count("discovery_failures") >= 1)
             assert (await r.ask()).status == 200  # with the list from before the outage
             r.directory.tell(r.backends[0].row("DRAINING"))
             await r.directory.start()
-            await r.until(lambda: drains(r), 8.0)
+            await r.until(lambda: has_drained(r), 8.0)
 
     asyncio.run(run())
 
@@ -178,7 +180,7 @@
 def test_an_unusable_response_changes_nothing_and_the_next_one_counts(how: str) -> None:
     async def run() -> None:
         async with rig(serves, serves) as r:
-            await watched(r)
+            await wait_until_watching(r)
             old = b'{"revision": 0, "complete": true, "members": []}'
             r.directory.raw = {
                 "cut short": answer(b'{"revision": 9, "complete": true, "members": []}')[:-9],
@@ -195,24 +197,24 @@
             assert r.proxy._decider.listed_count() == 2
             r.directory.raw = None
             r.directory.tell(r.backends[0].row("DRAINING"))
-            await r.until(lambda: drains(r), 5.0)
+            await r.until(lambda: has_drained(r), 5.0)
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_list_may_be_indented(mode: str) -> None:
+def test_an_indented_endpoint_list_is_parsed(mode: str) -> None:
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
             r.directory.indent = 4
-            await watched(r)
+            await wait_until_watching(r)
             r.directory.tell(r.backends[0].row("DRAINING"))
-            await r.until(lambda: drains(r))
+            await r.until(lambda: has_drained(r))
 
     asyncio.run(run())
 
 
-def test_a_slow_response_of_the_agent_is_received_in_the_end() -> None:
+def test_a_response_slower_than_the_first_call_limit_is_still_received() -> None:
     """The agent takes longer to respond than a first call lasts, which a drain's grace limits."""
 
     async def run() -> None:
@@ -234,7 +236,7 @@
     async def run() -> None:
         changes: dict[str, Any] = {"discovery": "push", "contract--stop_sending_within_ns": 0}
         async with rig(serves, **changes) as r:
-            await watched(r)
+            await wait_until_watching(r)
             await r.directory.stop()
             r.directory.cut()
             await r.until(lambda: r.count("discovery_failures") >= 2)
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -23,9 +23,9 @@
             new = StandIn(serves, "s-new")
             await new.start()
             r.backends.append(new)
-            words = r.count("list_updates")
+            updates_before = r.count("list_updates")
             r.directory.tell(new.row(), old.row("DRAINING"))
-            await r.until(lambda: r.count("list_updates") > words, 0.1)
+            await r.until(lambda: r.count("list_updates") > updates_before, 0.1)
             await asyncio.sleep(0.02)
             assert old.ended == old.opened == 1  # its idle connection is closed
             for lane in ("search", "pay", "order"):
@@ -35,22 +35,22 @@
     asyncio.run(run())
 
 
-def test_an_attempt_on_a_backend_removed_from_the_list_goes_on_to_its_end() -> None:
+def test_an_attempt_in_flight_on_a_removed_backend_is_completed() -> None:
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond_after_gate(seen: Any, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.write(answer(b"done"))
 
-        async with rig(waits) as r:
+        async with rig(respond_after_gate) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            asked = asyncio.create_task(r.ask("order"))
+            request = asyncio.create_task(r.ask("order"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
             r.directory.tell({"id": "s-0", "phase": "DELETED"})
             await asyncio.sleep(0.05)
             gate.set()
-            reply = await asked
+            reply = await request
             assert (reply.status, reply.body) == (200, b"done")
             assert (await r.ask()).status == 503  # no backend is left
 
@@ -75,11 +75,11 @@
         async with rig(serves) as r:
             await r.ask()
             await r.until(lambda: len(r.directory.calls) >= 2)
-            again = StandIn(serves, "s-0")
-            await again.start()
-            r.backends.append(again)
+            restarted = StandIn(serves, "s-0")
+            await restarted.start()
+            r.backends.append(restarted)
             now_ms = r.proxy._clock.now() // 1_000_000
-            r.directory.tell(again.row(started=now_ms))
+            r.directory.tell(restarted.row(started=now_ms))
             await r.until(
                 lambda: r.backends[0].ended == 1
             )  # connections of its earlier incarnation
@@ -168,34 +168,34 @@
             r.directory.hangs = (
                 False  # that call is never answered; the next one, made at once, is answered
             )
-            words = r.count("list_updates")
+            updates_before = r.count("list_updates")
             await r.until(lambda: r.count("discovery_failures") >= 1, 8.0)
             wait_s = r.proxy._discovery._timing.wait_s
             assert asyncio.get_running_loop().time() - silent_since < wait_s + 2.0
-            await r.until(lambda: r.count("list_updates") > words, 2.0)
+            await r.until(lambda: r.count("list_updates") > updates_before, 2.0)
 
     asyncio.run(run())
 
 
-def test_a_poll_during_a_call_in_flight_is_one_call_and_one_response() -> None:
+def test_watch_requests_during_a_call_in_flight_share_its_response() -> None:
     async def run() -> None:
         async with rig(serves) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            told: list[EndpointsUpdated] = []
-            r.proxy._discovery._report = told.append
+            updates: list[EndpointsUpdated] = []
+            r.proxy._discovery._report = updates.append
             r.directory.calls.clear()
             r.directory.hangs = True
             for _ in range(3):
                 r.proxy._discovery.tell(SetWatching(True))
                 await asyncio.sleep(0.02)
             assert len(r.directory.calls) == 1
-            await r.until(lambda: len(told) > 0)
-            assert [t.scope for t in told] == [UpdateScope.FAILED]
+            await r.until(lambda: len(updates) > 0)
+            assert [t.scope for t in updates] == [UpdateScope.FAILED]
 
     asyncio.run(run())
 
 
-def test_where_the_list_is_pushed_the_proxy_watches_by_itself() -> None:
+def test_the_proxy_watches_from_the_start_where_the_list_is_pushed() -> None:
     async def run() -> None:
         async with rig(serves, listed=False, discovery="push") as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -40,7 +40,7 @@
 from mothstall.policy import Balancer
 from mothstall.policy.slow_start import OVERLOAD_PART
 from tests.net.admin.test_admin_server import Platform
-from tests.net.test_net_body_relay import BODY, long_answer, read_long
+from tests.net.test_net_body_relay import BODY, long_response, read_long
 from tests.peers import Client as Reader
 from tests.peers import Directory, Seen, StandIn, answer, call, request_bytes, serves
 from tests.policy.harness import settings
@@ -77,9 +77,9 @@
     raw: bytes, data: st.DataObject
 ) -> None:
     at = data.draw(st.integers(0, len(raw)))
-    spoilt = raw[:at] + data.draw(st.binary(max_size=4)) + raw[at + 1 :]
+    damaged = raw[:at] + data.draw(st.binary(max_size=4)) + raw[at + 1 :]
     with contextlib.suppress(HandoverMessageError):
-        decode(spoilt)
+        decode(damaged)
 
 
 @pytest.mark.parametrize(
@@ -128,8 +128,8 @@
         module.handle(now, [io.EndpointUpdate(UpdateScope.FULL, 1, fleet(4, cold=2, now=now))])
     old.latency.usual_ns, old.limits.capacity, old.slow_start.warm_rate = 5e6, 40.0, 50.0
     old.outliers.count_failure(old.endpoints.by_id[4], 2.0)
-    told = old.memory()
-    new.handle(now, [told])
+    inherited_state = old.memory()
+    new.handle(now, [inherited_state])
     old.handle(now, [io.SuccessorChanged(True)])
     assert (new.latency.usual_ns, new.limits.capacity, new.slow_start.warm_rate) == (
         5e6,
@@ -191,7 +191,7 @@
 
 
 @contextlib.asynccontextmanager
-async def platform(tmp_path: Path, stand_in: StandIn) -> AsyncIterator[Platform]:
+async def start_platform(tmp_path: Path, stand_in: StandIn) -> AsyncIterator[Platform]:
     await stand_in.start()
     directory = Directory([stand_in.row()])
     await directory.start()
@@ -204,57 +204,61 @@
         await stand_in.stop()
 
 
-async def slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_after_300_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.3)
     writer.write(answer(b"late"))
 
 
 def test_idle_connections_survive_an_upgrade_without_closing_on_a_request(tmp_path: Path) -> None:
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(serves)) as p:
             old, _ = await p.start()
-            kept = [await p.client() for _ in range(8)]
+            clients = [await p.client() for _ in range(8)]
             silent = await p.client()
-            for client in kept:
+            for client in clients:
                 assert (await client.ask("order")).status == 200
-            p.stand_in.behave = slowly
-            kept[0].writer.write(
+            p.stand_in.behave = respond_after_300_ms
+            clients[0].writer.write(
                 request_bytes("order", remaining="990m")
             )  # open during the whole handover
             while not any(b"order" in s.line and s.connection for s in p.stand_in.seen[8:]):
                 await asyncio.sleep(0.01)
             p.stand_in.behave = serves
-            over = asyncio.Event()
+            stopped = asyncio.Event()
 
-            async def ask_along(client: object) -> int:
-                asked = 0
-                while not over.is_set():
+            async def send_requests(client: object) -> int:
+                request_count = 0
+                while not stopped.is_set():
                     reply = await client.ask("order")  # type: ignore[attr-defined]
                     assert reply.status in (200, 503) and "connection" not in reply.headers
-                    asked += reply.status == 200  # the others were rejected for lack of capacity
+                    request_count += (
+                        reply.status == 200
+                    )  # the others were rejected for lack of capacity
                     await asyncio.sleep(0.003)
-                return asked
+                return request_count
 
-            asking = [asyncio.create_task(ask_along(client)) for client in kept[1:]]
-            new, door = await p.start()
+            senders = [asyncio.create_task(send_requests(client)) for client in clients[1:]]
+            new, admin_port = await p.start()
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), 5) == 0
-            reply = await kept[0].read()
+            reply = await clients[0].read()
             assert reply.body == b"late" and "connection" not in reply.headers
             await asyncio.sleep(0.2)
-            over.set()
-            asked = sum(await asyncio.gather(*asking))
-            assert (await kept[0].ask("order")).status == 200
+            stopped.set()
+            request_count = sum(await asyncio.gather(*senders))
+            assert (await clients[0].ask("order")).status == 200
             assert (await silent.ask("order")).status == 200  # its first request on this connection
-            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + asked  # none is lost or sent twice
-            told = await p.counters()
-            assert told["handovers"] == 1 and told["clients_adopted"] >= 8
-            assert (await call(door, "/api/ready")).status == 200 and new.returncode is None
+            assert (
+                len(p.stand_in.seen) == 8 + 1 + 1 + 1 + request_count
+            )  # none is lost or sent twice
+            counters = await p.counters()
+            assert counters["handovers"] == 1 and counters["clients_adopted"] >= 8
+            assert (await call(admin_port, "/api/ready")).status == 200 and new.returncode is None
 
     asyncio.run(run())
 
 
-def test_process_that_ends_right_after_it_took_over_leaves_new_clients_to_the_one_before(
+def test_the_old_process_accepts_clients_while_the_new_one_stops(
     tmp_path: Path,
 ) -> None:
     """An upgrade is aborted: the new process is stopped while the old one still runs.
@@ -266,10 +270,10 @@
     """
 
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(serves)) as p:
             old, _ = await p.start()
             new, _ = await p.start()
-            p.stand_in.behave = too_slowly
+            p.stand_in.behave = respond_after_800_ms
             busy = await p.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
             while not p.stand_in.seen:
@@ -288,7 +292,7 @@
     asyncio.run(run())
 
 
-async def too_slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_after_800_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.8)
     writer.write(answer(b"late"))
 
@@ -296,7 +300,7 @@
 @pytest.mark.parametrize("how", ["length", "chunked", "close"])
 def test_a_long_response_outlives_the_process_that_began_it(tmp_path: Path, how: str) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        raw = long_answer(how)
+        raw = long_response(how)
         for at in range(0, len(raw), 50_000):
             writer.write(raw[at : at + 50_000])
             await writer.drain()
@@ -304,7 +308,7 @@
             writer.close()
 
     async def run() -> None:
-        async with platform(tmp_path, StandIn(behave)) as p:
+        async with start_platform(tmp_path, StandIn(behave)) as p:
             old, _ = await p.start()
             client = await p.client()
             client.writer.write(request_bytes("search"))
@@ -339,7 +343,7 @@
             writer.write(answer(body))
 
     async def run() -> None:
-        async with platform(tmp_path, StandIn(behave)) as p:
+        async with start_platform(tmp_path, StandIn(behave)) as p:
             old, _ = await p.start()
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -363,7 +367,7 @@
     st.lists(st.binary(min_size=1, max_size=40), max_size=8),
     st.lists(st.integers(1, 30), min_size=1),
 )
-def test_chunks_in_any_cutting_and_over_two_decoders_give_the_same_bytes(
+def test_a_chunked_body_split_anywhere_over_several_decoders_gives_the_same_bytes(
     parts: list[bytes], cuts: list[int]
 ) -> None:
     raw = (
@@ -389,14 +393,14 @@
 
 def test_the_old_process_accepts_clients_again_if_the_new_one_dies(tmp_path: Path) -> None:
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
-            _, door = await p.start()
+        async with start_platform(tmp_path, StandIn(serves)) as p:
+            _, admin_port = await p.start()
             new, _ = await p.start()
-            assert (await call(door, "/api/ready")).status == 503
+            assert (await call(admin_port, "/api/ready")).status == 503
             new.kill()
             await new.wait()
             async with asyncio.timeout(3):
-                while (await call(door, "/api/ready")).status != 200:
+                while (await call(admin_port, "/api/ready")).status != 200:
                     await asyncio.sleep(0.02)
             client = await p.client()
             assert (await client.ask()).status == 200
@@ -404,9 +408,9 @@
     asyncio.run(run())
 
 
-def test_an_old_process_that_hangs_or_was_killed_delays_nobody(tmp_path: Path) -> None:
+def test_a_hung_or_killed_old_process_does_not_delay_the_new_one(tmp_path: Path) -> None:
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(serves)) as p:
             hung, _ = await p.start()
             hung.send_signal(signal.SIGSTOP)
             second, _ = await asyncio.wait_for(p.start(), 5)
@@ -424,7 +428,7 @@
 
 
 @contextlib.contextmanager
-def pretender(path: Path) -> Iterator[socket.socket]:
+def fake_predecessor(path: Path) -> Iterator[socket.socket]:
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.bind(str(path))
         sock.listen(2)
@@ -432,7 +436,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent_bytes",
     [
         b"",
         b"noise",
@@ -441,7 +445,9 @@
         encode(HandoverRequest("n0")),
     ],
 )
-def test_a_malformed_or_missing_state_is_a_failed_handover(tmp_path: Path, said: bytes) -> None:
+def test_a_malformed_or_missing_state_is_a_failed_handover(
+    tmp_path: Path, sent_bytes: bytes
+) -> None:
     async def run() -> None:
         loop, counters = asyncio.get_running_loop(), Counters()
         alone: list[None] = []
@@ -458,13 +464,13 @@
                 on_predecessor_gone=lambda: alone.append(None),
             ),
         )
-        with pretender(tmp_path / new._socket_name) as sock:
+        with fake_predecessor(tmp_path / new._socket_name) as sock:
             taking = asyncio.create_task(new.take_over())
             await asyncio.sleep(0.05)
             other, _ = sock.accept()
             assert decode(other.recv(1000)) == HandoverRequest("n0")
-            if said:
-                other.send(said)
+            if sent_bytes:
+                other.send(sent_bytes)
             assert await asyncio.wait_for(taking, 2) is None
             assert counters.values["handovers_failed"] == 1
             other.close()
@@ -507,10 +513,10 @@
     tmp_path: Path,
 ) -> None:
     async def run() -> None:
-        loop, ways = asyncio.get_running_loop(), []
+        loop, calls = asyncio.get_running_loop(), []
 
         def hand_over_listening() -> HandoverState:
-            ways.append("away")
+            calls.append("away")
             return HandoverState(0, 0, MEMORY)
 
         deep = tmp_path / ("d" * 120)  # longer than a Unix socket's address may be
@@ -522,7 +528,7 @@
             counters=Counters(),
             callbacks=handover.HandoverCallbacks(
                 hand_over_listening=hand_over_listening,
-                resume=lambda: ways.append("back"),
+                resume=lambda: calls.append("back"),
                 adopt_client=lambda sock, client: sock.close(),
                 adopt_stream=lambda client, backend, stream: None,
                 on_predecessor_gone=lambda: None,
@@ -536,22 +542,22 @@
                 sock.connect(address)
             return sock
 
-        links = [connect() for _ in range(3)]
-        links[0].send(b"\x00noise")
-        links[1].send(encode(HandoverRequest("another")))
+        connections = [connect() for _ in range(3)]
+        connections[0].send(b"\x00noise")
+        connections[1].send(encode(HandoverRequest("another")))
         await asyncio.sleep(0.05)
-        assert ways == [] and not old.has_successor
-        links[2].send(encode(HandoverRequest("n0")))
+        assert calls == [] and not old.has_successor
+        connections[2].send(encode(HandoverRequest("n0")))
         await asyncio.sleep(0.05)
         late = connect()
         late.send(encode(HandoverRequest("n0")))
         await asyncio.sleep(0.05)
-        assert ways == ["away"] and old.has_successor
-        links[2].close()
+        assert calls == ["away"] and old.has_successor
+        connections[2].close()
         await asyncio.sleep(0.05)
-        assert ways == ["away", "back"] and not old.has_successor
+        assert calls == ["away", "back"] and not old.has_successor
         old.close()
-        for sock in (*links, late):
+        for sock in (*connections, late):
             sock.close()
         assert not list(deep.iterdir())
 
--- a/tests/net/protocol/test_net_protocol.py
+++ b/tests/net/protocol/test_net_protocol.py
@@ -27,7 +27,7 @@
 }
 
 
-def read(**changes: str) -> protocol.ClientRequest:
+def parse(**changes: str) -> protocol.ClientRequest:
     headers = {
         "X-Txn": "1",
         "X-Lane": "pay",
@@ -36,22 +36,22 @@
         "X-Resent": "1",
     }
     headers.update({name.replace("_", "-"): value for name, value in changes.items()})
-    came = [(name.encode(), value.encode()) for name, value in headers.items()]
-    return protocol.parse_request("POST", "/pay", came, b"x", NAMES)
+    header_rows = [(name.encode(), value.encode()) for name, value in headers.items()]
+    return protocol.parse_request("POST", "/pay", header_rows, b"x", NAMES)
 
 
 def test_request_is_parsed_into_the_fields_of_decisions() -> None:
-    inbound = read()
+    inbound = parse()
     assert (inbound.class_index, inbound.tenant_index, inbound.remaining_ns, inbound.is_retry) == (
         1,
         1,
         480_000_000,
         True,
     )
-    assert read(X_Remaining="1500.5u").remaining_ns == 1_500_500
-    assert not read(X_Resent="0").is_retry
-    assert read(X_Org="nobody").tenant_index == len(NAMES.tenants)  # not in the settings
-    assert b"\r\nX-Labels: a=1,b=2\r\n" in read(X_Labels="a=1,b=2").head
+    assert parse(X_Remaining="1500.5u").remaining_ns == 1_500_500
+    assert not parse(X_Resent="0").is_retry
+    assert parse(X_Org="nobody").tenant_index == len(NAMES.tenants)  # not in the settings
+    assert b"\r\nX-Labels: a=1,b=2\r\n" in parse(X_Labels="a=1,b=2").head
 
 
 @given(st.integers(0, 10**12))
@@ -68,9 +68,11 @@
 
 
 def test_endpoint_list_is_parsed_in_the_settings_order() -> None:
-    word = protocol.parse_endpoint_list({"revision": 41, "complete": True, "members": [ROW]}, NAMES)
-    (member,) = word.members
-    assert (word.version, word.is_complete, member.address) == (
+    parsed = protocol.parse_endpoint_list(
+        {"revision": 41, "complete": True, "members": [ROW]}, NAMES
+    )
+    (member,) = parsed.members
+    assert (parsed.version, parsed.is_complete, member.address) == (
         41,
         True,
         Address("10.1.0.18", 8000),
@@ -83,10 +85,10 @@
 
 def test_removed_backend_needs_only_its_id() -> None:
     gone = {"id": "s-5be2a07c", "phase": "DELETED"}
-    word = protocol.parse_endpoint_list(
+    parsed = protocol.parse_endpoint_list(
         {"revision": 42, "complete": False, "members": [gone]}, NAMES
     )
-    assert word.members[0].endpoint.health == Health.GONE
+    assert parsed.members[0].endpoint.health == Health.GONE
 
 
 @pytest.mark.parametrize(
@@ -122,7 +124,7 @@
     assert isinstance(tree["revision"], int)
 
 
-def test_only_a_marked_503_or_504_proves_that_nothing_ran() -> None:
+def test_only_a_marked_503_or_504_is_a_rejection() -> None:
     marked = {"X-Turned-Away": "1"}
     assert protocol.attempt_result(200, {}) == AttemptResult.OK
     assert [protocol.attempt_result(s, marked) for s in (503, 504)] == [AttemptResult.REJECTED] * 2
@@ -137,7 +139,7 @@
         assert protocol.attempt_result(status, headers) == AttemptResult.ERROR
 
 
-class Unsearched(tuple[str, ...]):
+class UnsearchableNames(tuple[str, ...]):
     """A tuple of names that fails when it is searched."""
 
     __slots__ = ()
@@ -151,7 +153,10 @@
 
 def test_parsing_a_request_does_not_scan_classes_and_tenants() -> None:
     names = Names(
-        Unsearched(("search", "pay")), Unsearched(("acme", "zenith")), ("east",), ("std",)
+        UnsearchableNames(("search", "pay")),
+        UnsearchableNames(("acme", "zenith")),
+        ("east",),
+        ("std",),
     )
     rows = [(b"X-Txn", b"1"), (b"X-Lane", b"pay"), (b"X-Remaining", b"480m")]
     for org, number in ((b"acme", 0), (b"zenith", 1), (b"nobody", 2), (b"", 2)):
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -25,18 +25,18 @@
     max_streams_for,
 )
 from mothstall.net.client_side import response_relay
-from tests.net.test_process import started
+from tests.net.test_process import start_proxy
 from tests.peers import Client, Rig, Seen, StandIn, answer, request_bytes, rig, serves
 
 MB = 1 << 20
 
 
-class Ends:
+class RecordingPeer:
     """A source and sink that records the calls it receives."""
 
     def __init__(self) -> None:
-        self.paused = self.was_dropped = self.is_done = self.is_broken = False
-        self.got = b""
+        self.paused = self.is_sink_closed = self.is_done = self.is_aborted = False
+        self.received = b""
 
     def pause(self) -> None:
         self.paused = True
@@ -45,16 +45,16 @@
         self.paused = False
 
     def sink_closed(self) -> None:
-        self.was_dropped = True
+        self.is_sink_closed = True
 
     def write_body(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
 
     def end_body(self) -> None:
         self.is_done = True
 
     def abort_body(self) -> None:
-        self.is_broken = True
+        self.is_aborted = True
 
 
 @given(st.lists(st.integers(1, MAX_READ_BYTES), max_size=30), st.integers(0, 2**32))
@@ -63,16 +63,16 @@
     cuts: list[int], seed: int
 ) -> None:
     rng = random.Random(seed)
-    source, sink = Ends(), Ends()
+    source, sink = RecordingPeer(), RecordingPeer()
     stream = Stream(source, BufferGrants(1))
-    whole = b"".join(bytes([i % 251]) * size for i, size in enumerate(cuts))
+    expected = b"".join(bytes([i % 251]) * size for i, size in enumerate(cuts))
     at = 0
     waiting = list(cuts)
     while waiting or not stream.is_over:
         step = rng.randrange(4)
         if step == 0 and waiting and not source.paused:
             size = waiting.pop(0)
-            stream.feed(whole[at : at + size])
+            stream.feed(expected[at : at + size])
             at += size
         elif step == 0 and not waiting and not stream._ended:
             stream.end()
@@ -82,54 +82,59 @@
             stream.sink_blocked()
         elif step == 3 and stream.is_opened:
             stream.sink_ready()
-    assert sink.got == whole and sink.is_done and not sink.is_broken and not source.was_dropped
+    assert (
+        sink.received == expected
+        and sink.is_done
+        and not sink.is_aborted
+        and not source.is_sink_closed
+    )
     assert stream.max_buffered_bytes <= WINDOW_BYTES + MAX_READ_BYTES and stream.is_complete
 
 
-class EmptyEnds(Ends):
+class FalsyRecordingPeer(RecordingPeer):
     """Is falsy, as a backend's connection may be: aiohttp's `DataQueue` has a length."""
 
     def __len__(self) -> int:
         return 0
 
 
-def test_abort_reaches_a_sink_that_counts_as_false() -> None:
+def test_abort_reaches_a_falsy_sink() -> None:
     """Guards against a backend connection that stays open after a client's upload was truncated.
 
     The sink of an upload is a connection to a backend, which is falsy while its `DataQueue` is
     empty. `Stream.abort` tested the truth of its sink and left such a connection open; the leak was
     visible only in the process's descriptors.
     """
-    source, sink = Ends(), EmptyEnds()
+    source, sink = RecordingPeer(), FalsyRecordingPeer()
     stream = Stream(source, BufferGrants(1))
     stream.open(sink)
     stream.feed(b"abc")
     stream.abort()
-    assert sink.is_broken
+    assert sink.is_aborted
     assert not sink.is_done
 
 
 def test_abort_and_drop_reach_the_other_side_once() -> None:
     grants = BufferGrants(1)
-    source, sink = Ends(), Ends()
+    source, sink = RecordingPeer(), RecordingPeer()
     stream = Stream(source, grants)
     stream.open(sink)
     stream.feed(b"abc")
     stream.abort()
     stream.drop()
-    assert sink.is_broken and not sink.is_done and not source.was_dropped
-    source, sink = Ends(), Ends()
+    assert sink.is_aborted and not sink.is_done and not source.is_sink_closed
+    source, sink = RecordingPeer(), RecordingPeer()
     stream = Stream(source, grants)
     stream.open(sink)
     stream.drop()
     stream.feed(b"late")
     stream.abort()
-    assert source.was_dropped and not sink.is_broken and sink.got == b""
+    assert source.is_sink_closed and not sink.is_aborted and sink.received == b""
 
 
-def test_stream_without_a_grant_waits_unread_in_order() -> None:
+def test_streams_without_a_permit_are_paused_and_granted_in_order() -> None:
     grants = BufferGrants(2)
-    sources = [Ends() for _ in range(4)]
+    sources = [RecordingPeer() for _ in range(4)]
     streams = [Stream(source, grants) for source in sources]
     assert [s.paused for s in sources] == [False, False, True, True]
     streams[2].drop()  # leaves the queue
@@ -167,10 +172,10 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-def long_answer(how: str) -> bytes:
-    if how == "length":
+def long_response(framing: str) -> bytes:
+    if framing == "length":
         return answer(BODY)
-    if how == "close":
+    if framing == "close":
         return HEAD + b"Connection: close\r\n\r\n" + BODY
     rows = [HEAD, b"Transfer-Encoding: chunked\r\nTrailer: x-sum\r\n\r\n"]
     at, sizes = 0, random.Random(5)
@@ -181,15 +186,15 @@
     return b"".join([*rows, b"0\r\nx-sum: 1\r\n\r\n"])
 
 
-@pytest.mark.parametrize("how", ["length", "chunked", "close"])
+@pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("piece", [1_300, 400_000])
-def test_long_response_is_forwarded_unchanged_in_any_framing(how: str, piece: int) -> None:
+def test_long_response_is_forwarded_unchanged_in_any_framing(framing: str, piece: int) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        raw = b"HTTP/1.1 103 Early\r\n\r\n" + long_answer(how)
+        raw = b"HTTP/1.1 103 Early\r\n\r\n" + long_response(framing)
         for at in range(0, len(raw), piece):
             writer.write(raw[at : at + piece])
             await writer.drain()
-        if how == "close":
+        if framing == "close":
             writer.close()
 
     async def run() -> None:
@@ -199,15 +204,15 @@
                 client.writer.write(request_bytes("search"))
                 _, body = await asyncio.wait_for(read_long(client), 10)
                 assert body == BODY
-            told = await r.figures()
-            assert (told["fulfilled.search"], told["open_requests"]) == (2, 0)
-            if how == "length":
+            metrics = await r.figures()
+            assert (metrics["fulfilled.search"], metrics["open_requests"]) == (2, 0)
+            if framing == "length":
                 assert r.backends[0].opened == 1  # the backend connection is reused
 
     asyncio.run(run())
 
 
-def resident_kib(pid: int) -> int:
+def peak_memory_kib(pid: int) -> int:
     """Peak resident memory of a process."""
     rows = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(row.split()[1]) for row in rows if row.startswith("VmHWM:"))
@@ -227,10 +232,10 @@
     async def run() -> None:
         stand_in = StandIn(behave)
         await stand_in.start()
-        async with started(tmp_path, stand_in) as proxy:
-            before = resident_kib(proxy.process.pid)
+        async with start_proxy(tmp_path, stand_in) as proxy:
+            before = peak_memory_kib(proxy.process.pid)
 
-            async def reads() -> None:
+            async def read_slowly() -> None:
                 client = await proxy.client()
                 status = b"503"
                 while status == b"503":  # rejected for lack of capacity: retried
@@ -248,19 +253,21 @@
                     await asyncio.sleep(0.01)
                 client.close()
 
-            await asyncio.gather(*(reads() for _ in range(readers)))
+            await asyncio.gather(*(read_slowly() for _ in range(readers)))
             assert (
-                resident_kib(proxy.process.pid) - before < 16 * 1024
+                peak_memory_kib(proxy.process.pid) - before < 16 * 1024
             )  # the responses have 320 MB in total
         await stand_in.stop()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("how", ["length", "chunked"])
-def test_response_cut_at_the_backend_is_seen_as_cut_and_counted(how: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_response_truncated_by_the_backend_is_truncated_for_the_client_and_counted(
+    framing: str,
+) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        raw = long_answer(how)
+        raw = long_response(framing)
         writer.write(raw[: len(raw) // 2])
         await writer.drain()
         writer.transport.abort()
@@ -272,8 +279,12 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await asyncio.wait_for(read_long(client), 5)
             await r.until(lambda: r.count("answers_failed") == 1)
-            told = await r.figures()
-            assert (told["faulted.search"], told["fulfilled.search"], told["open_requests"]) == (
+            metrics = await r.figures()
+            assert (
+                metrics["faulted.search"],
+                metrics["fulfilled.search"],
+                metrics["open_requests"],
+            ) == (
                 1,
                 0,
                 0,
@@ -283,12 +294,12 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("given", [200_000, 330_000, 700_000])
-def test_received_part_of_a_cut_response_reaches_its_reader(
-    given: int,
+@pytest.mark.parametrize("sent_bytes", [200_000, 330_000, 700_000])
+def test_received_part_of_a_truncated_response_reaches_the_client(
+    sent_bytes: int,
 ) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(BODY)[:given])
+        writer.write(answer(BODY)[:sent_bytes])
         await writer.drain()
         writer.close()
 
@@ -304,12 +315,12 @@
                 0.3
             )  # the proxy has seen the truncation, or still relays what precedes it
             head = await client.reader.readuntil(b"\r\n\r\n")
-            got = b""
+            received = b""
             while data := await client.reader.read(20_000):
-                got += data
+                received += data
                 await asyncio.sleep(0.001)
-            body = answer(BODY)[:given].partition(b"\r\n\r\n")[2]
-            assert got == body and b"Content-Length: %d" % len(BODY) in head
+            body = answer(BODY)[:sent_bytes].partition(b"\r\n\r\n")[2]
+            assert received == body and b"Content-Length: %d" % len(BODY) in head
 
     asyncio.run(run())
 
@@ -354,13 +365,13 @@
     asyncio.run(run())
 
 
-class Swallows(StandIn):
+class UploadBackend(StandIn):
     """A backend that reads long requests by their framing and records a digest of each."""
 
     def __init__(self) -> None:
         super().__init__(serves)
         self.digests: list[tuple[int, str]] = []
-        self.stuck = False
+        self.is_stalled = False
         self.framings: list[bytes] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -369,7 +380,7 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.framings.append(head)
-                while self.stuck:
+                while self.is_stalled:
                     await asyncio.sleep(0.05)
                 size, digest = 0, hashlib.sha256()
                 if b"chunked" in head:
@@ -395,24 +406,26 @@
 
 
 @asynccontextmanager
-async def swallowing(**changes: Any) -> AsyncIterator[tuple[Rig, Swallows]]:
+async def rig_with_upload_backend(**changes: Any) -> AsyncIterator[tuple[Rig, UploadBackend]]:
     async with rig(listed=False, operators="127.0.0.1:0", **changes) as r:
-        taker = Swallows()
-        await taker.start()
-        r.directory.tell(taker.row())
+        backend = UploadBackend()
+        await backend.start()
+        r.directory.tell(backend.row())
         await r.until(lambda: r.proxy._decider.listed_count() == 1)
         try:
-            yield r, taker
+            yield r, backend
         finally:
-            await taker.stop()
+            await backend.stop()
 
 
-@pytest.mark.parametrize("how", ["length", "chunked"])
-def test_long_request_is_forwarded_unchanged_and_times_from_its_end(how: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_long_request_is_forwarded_unchanged_and_its_deadline_counts_from_its_end(
+    framing: str,
+) -> None:
     async def run() -> None:
-        async with swallowing() as (r, taker):
+        async with rig_with_upload_backend() as (r, backend):
             client = await r.client()
-            if how == "length":
+            if framing == "length":
                 head = request_bytes(
                     "order",
                     remaining="400m",
@@ -429,64 +442,72 @@
             ):  # takes longer than the remaining time, which counts from the end of the body
                 part = BODY[at : at + 300_000]
                 client.writer.write(
-                    part if how == "length" else b"%x\r\n%b\r\n" % (len(part), part)
+                    part if framing == "length" else b"%x\r\n%b\r\n" % (len(part), part)
                 )
                 await client.writer.drain()
                 await asyncio.sleep(0.06)
-            if how == "chunked":
+            if framing == "chunked":
                 client.writer.write(b"0\r\n\r\n")
             reply = await client.read()
             assert (reply.status, reply.body) == (200, b"swallowed")
-            assert taker.digests == [(len(BODY), hashlib.sha256(BODY).hexdigest())]
-            told = await r.figures()
-            assert (told["relayed"], told["fulfilled.order"], told["open_requests"]) == (1, 1, 0)
+            assert backend.digests == [(len(BODY), hashlib.sha256(BODY).hexdigest())]
+            metrics = await r.figures()
+            assert (metrics["relayed"], metrics["fulfilled.order"], metrics["open_requests"]) == (
+                1,
+                1,
+                0,
+            )
             assert (await client.ask("order", body=b"short")).status == 200
 
     asyncio.run(run())
 
 
-def test_backend_that_stops_reading_a_long_request_never_ran_it(
+def test_long_request_is_rejected_if_its_backend_stops_reading(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection, "STALL_S", 0.4)
 
     async def run() -> None:
-        async with swallowing() as (r, taker):
-            taker.stuck = True
+        async with rig_with_upload_backend() as (r, backend):
+            backend.is_stalled = True
             client = await r.client()
             size = 32 * MB
             client.writer.write(
                 request_bytes("order", drop=("Content-Length",), Content_length=str(size))
             )
 
-            async def sends() -> None:
+            async def send_body() -> None:
                 for _ in range(size // 65536):
                     client.writer.write(b"u" * 65536)
                     await client.writer.drain()
 
-            sending = asyncio.create_task(sends())
+            sending = asyncio.create_task(send_body())
             reply = await client.read()
             assert reply.status == 503  # safe to retry: the request was not executed
             await asyncio.wait_for(sending, 5)  # the rest of the body was read and discarded
-            told = await r.figures()
-            assert (told["relayed"], told["throttled.order"], told["open_requests"]) == (0, 1, 0)
-            taker.stuck = False
+            metrics = await r.figures()
+            assert (metrics["relayed"], metrics["throttled.order"], metrics["open_requests"]) == (
+                0,
+                1,
+                0,
+            )
+            backend.is_stalled = False
 
     asyncio.run(run())
 
 
 def test_upload_of_a_client_that_leaves_is_not_retried() -> None:
     async def run() -> None:
-        async with swallowing() as (r, taker):
+        async with rig_with_upload_backend() as (r, backend):
             client = await r.client()
             client.writer.write(
                 request_bytes("pay", drop=("Content-Length",), Content_length=str(MB))
                 + b"u" * 300_000
             )
-            await r.until(lambda: len(taker.framings) == 1)
+            await r.until(lambda: len(backend.framings) == 1)
             client.writer.transport.abort()
-            await r.until(lambda: taker.ended == 1)
-            assert not taker.digests and len(taker.framings) == 1
+            await r.until(lambda: backend.ended == 1)
+            assert not backend.digests and len(backend.framings) == 1
             assert not r.proxy._decider._pending
 
     asyncio.run(run())
@@ -508,26 +529,28 @@
 
 def test_attempt_whose_body_is_still_uploading_is_not_in_flight() -> None:
     async def run() -> None:
-        async with swallowing() as (r, taker):
-            module = r.proxy._decider._balancer
+        async with rig_with_upload_backend() as (r, backend):
+            balancer = r.proxy._decider._balancer
             client = await r.client()
             client.writer.write(
                 request_bytes("pay", drop=("Content-Length",), Content_length=str(MB))
                 + b"u" * 300_000
             )
-            await r.until(lambda: len(taker.framings) == 1)
-            await r.until(lambda: module.limits.in_flight == 0 and len(module.requests.open) == 1)
+            await r.until(lambda: len(backend.framings) == 1)
+            await r.until(
+                lambda: balancer.limits.in_flight == 0 and len(balancer.requests.open) == 1
+            )
             client.writer.write(b"u" * (MB - 300_000))
             assert (await client.read()).status == 200
-            assert module.limits.in_flight == 0 and not module.requests.open
+            assert balancer.limits.in_flight == 0 and not balancer.requests.open
             assert all(
                 b.in_flight == 0 and b.outlier.failure_score == 0
-                for b in module.endpoints.by_id.values()
+                for b in balancer.endpoints.by_id.values()
             )
-            module.handle(
-                module.context.now_ns,
-                [io.ResponseCut(b.id) for b in module.endpoints.by_id.values()],
+            balancer.handle(
+                balancer.context.now_ns,
+                [io.ResponseCut(b.id) for b in balancer.endpoints.by_id.values()],
             )
-            assert all(b.outlier.failure_score == 1.0 for b in module.endpoints.by_id.values())
+            assert all(b.outlier.failure_score == 1.0 for b in balancer.endpoints.by_id.values())
 
     asyncio.run(run())
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -22,7 +22,9 @@
 from tests.peers import settings as nested
 
 
-def cls(name: str, effect: str, aim_ms: float, deadline_ms: float, **more: Any) -> dict[str, Any]:
+def class_row(
+    name: str, effect: str, aim_ms: float, deadline_ms: float, **more: Any
+) -> dict[str, Any]:
     row = {"name": name, "effect": effect, "aim-ns": aim_ms * MS, "deadline-ns": deadline_ms * MS}
     return {**row, "worth": 1, **more}
 
@@ -30,9 +32,9 @@
 EFFECTS = ["pure", "token", "side_effect"]
 
 # Settings of other deployments, from minimal to extensive.
-SITES: dict[str, dict[str, Any]] = {
+DEPLOYMENTS: dict[str, dict[str, Any]] = {
     "one class, no tenants, no zones": {
-        "classes": [cls("search", "pure", 60, 400)],
+        "classes": [class_row("search", "pure", 60, 400)],
         "customers": [],
         "zones": [],
         "kinds": [],
@@ -64,67 +66,67 @@
     },
     "long deadlines": {
         "classes": [
-            cls("search", "pure", 20_000, 60_000),
-            cls("order", "side_effect", 20_000, 60_000),
+            class_row("search", "pure", 20_000, 60_000),
+            class_row("order", "side_effect", 20_000, 60_000),
         ],
     },
     "short windows": {
         "classes": [
-            cls("search", "pure", 100, 300),
-            cls("pay", "token", 100, 900, **{"window-ns": 250 * MS}),
-            cls("order", "side_effect", 100, 900),
+            class_row("search", "pure", 100, 300),
+            class_row("pay", "token", 100, 900, **{"window-ns": 250 * MS}),
+            class_row("order", "side_effect", 100, 900),
         ],
     },
 }
 
 
-def changes(site: str) -> dict[str, Any]:
-    return dict(SITES[site])
+def changes(deployment: str) -> dict[str, Any]:
+    return dict(DEPLOYMENTS[deployment])
 
 
-def lanes(site: str) -> list[str]:
-    return [row["name"] for row in SITES[site].get("classes", nested()["classes"])]
+def class_names(deployment: str) -> list[str]:
+    return [row["name"] for row in DEPLOYMENTS[deployment].get("classes", nested()["classes"])]
 
 
-@pytest.mark.parametrize("site", SITES)
-def test_any_customer_settings_serve_and_stop(site: str) -> None:
+@pytest.mark.parametrize("deployment", DEPLOYMENTS)
+def test_any_customer_settings_serve_and_stop(deployment: str) -> None:
     async def run() -> None:
-        async with rig(serves, serves, **changes(site)) as r:
+        async with rig(serves, serves, **changes(deployment)) as r:
             await r.until(r.proxy._frontend.takes_clients)
-            for lane in lanes(site):
-                assert (await r.ask(lane, remaining="1000m")).status == 200
+            for class_name in class_names(deployment):
+                assert (await r.ask(class_name, remaining="1000m")).status == 200
             assert r.count("faults") == r.count("checks_broken") == 0
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("trouble", ["silent", "drops", "fails", "turns away"])
+@pytest.mark.parametrize("deployment", DEPLOYMENTS)
+@pytest.mark.parametrize("fault", ["silent", "drops", "fails", "turns away"])
 def test_any_customer_settings_give_one_response_in_time_under_faults(
-    site: str, trouble: str
+    deployment: str, fault: str
 ) -> None:
     behaviour = {
         "silent": silent,
         "drops": drops,
         "fails": says(answer(b"", 500)),
         "turns away": says(answer(b"", 503, X_Turned_Away="1")),
-    }[trouble]
+    }[fault]
 
     async def run() -> None:
-        async with rig(behaviour, behaviour, **changes(site)) as r:
+        async with rig(behaviour, behaviour, **changes(deployment)) as r:
             await r.until(r.proxy._frontend.takes_clients)
-            for lane in lanes(site):
+            for class_name in class_names(deployment):
                 before = sum(len(b.seen) for b in r.backends)
-                reply = await r.ask(lane, remaining="250m")
+                reply = await r.ask(class_name, remaining="250m")
                 sent = sum(len(b.seen) for b in r.backends) - before
                 assert reply.status in (502, 503, 504)
-                if "limits--retry_after" in SITES[site]:
+                if "limits--retry_after" in DEPLOYMENTS[deployment]:
                     assert "retry-after" not in reply.headers
-                if lane == "order" and trouble != "turns away":
+                if class_name == "order" and fault != "turns away":
                     assert (
                         sent == 1 and reply.status != 503
                     )  # the request may have executed: neither a retry nor a rejection
-                if SITES[site].get("limits--max_attempts") == 1:
+                if DEPLOYMENTS[deployment].get("limits--max_attempts") == 1:
                     assert sent == 1
             assert r.count("faults") == r.count("checks_broken") == 0
 
@@ -135,10 +137,10 @@
     """A request with a deadline of 60 ms is answered in time, without a busy event loop."""
 
     async def run() -> None:
-        rows = [cls("search", "pure", 25, 60), cls("order", "side_effect", 25, 60)]
+        rows = [class_row("search", "pure", 25, 60), class_row("order", "side_effect", 25, 60)]
         async with rig(serves, classes=rows) as r:
-            for lane in ("search", "order"):
-                assert (await r.ask(lane, remaining="60m")).status in (200, 502, 503, 504)
+            for class_name in ("search", "order"):
+                assert (await r.ask(class_name, remaining="60m")).status in (200, 502, 503, 504)
             r.backends[0].behave = silent
             began = r.proxy.loop.time()
             assert (await r.ask("order", remaining="60m")).status in (502, 504)
@@ -148,7 +150,7 @@
     asyncio.run(run())
 
 
-def test_non_idempotent_class_needs_no_key_and_one_with_key_does() -> None:
+def test_only_classes_idempotent_with_a_key_require_the_key() -> None:
     async def run() -> None:
         async with rig(serves) as r:
             assert (await r.ask("order", drop=("Idempotency-Key",))).status == 200
@@ -158,8 +160,8 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("site", SITES)
-def test_number_may_be_written_with_or_without_its_point(site: str) -> None:
+@pytest.mark.parametrize("deployment", DEPLOYMENTS)
+def test_whole_numbers_may_be_written_as_floats(deployment: str) -> None:
     def pointed(value: Any) -> Any:
         if isinstance(value, dict):
             return {key: pointed(inner) for key, inner in value.items()}
@@ -167,7 +169,7 @@
             return [pointed(inner) for inner in value]
         return float(value) if isinstance(value, int) and not isinstance(value, bool) else value
 
-    tree = nested(**changes(site))
+    tree = nested(**changes(deployment))
     assert settings.from_json(pointed(tree)) == settings.from_json(tree)
 
 
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -34,14 +34,14 @@
 MAIN = [sys.executable, "-O", "-B", "-m", "mothstall"]
 
 
-def run_main(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
+def run_main(*arguments: str, **env: str) -> subprocess.CompletedProcess[str]:
     full = {**os.environ, **env}
     return subprocess.run(
-        [*MAIN, *words], cwd=ROOT, env=full, capture_output=True, text=True, timeout=20
+        [*MAIN, *arguments], cwd=ROOT, env=full, capture_output=True, text=True, timeout=20
     )
 
 
-class Started:
+class ProxyProcess:
     def __init__(self, process: asyncio.subprocess.Process, port: int) -> None:
         self.process, self.port = process, port
 
@@ -50,9 +50,9 @@
 
 
 @contextlib.asynccontextmanager
-async def started(
+async def start_proxy(
     tmp_path: Path, stand_in: StandIn, port: int = 0, **env: str
-) -> AsyncIterator[Started]:
+) -> AsyncIterator[ProxyProcess]:
     directory = Directory([stand_in.row()])
     await directory.start()
     port = port or free_port()
@@ -77,7 +77,7 @@
                     if ready:
                         break
                 await asyncio.sleep(0.02)
-        yield Started(process, port)
+        yield ProxyProcess(process, port)
     finally:
         if process.returncode is None:
             process.kill()
@@ -85,16 +85,16 @@
         await directory.stop()
 
 
-async def slow(seen: Any, writer: asyncio.StreamWriter) -> None:
+async def respond_after_800_ms(seen: Any, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.8)
     writer.write(answer(b"late but whole"))
 
 
 def test_sigterm_answers_open_requests_closes_idle_connections_and_exits_0(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(slow)
+        stand_in = StandIn(respond_after_800_ms)
         await stand_in.start()
-        async with started(tmp_path, stand_in) as proxy:
+        async with start_proxy(tmp_path, stand_in) as proxy:
             idle, busy = await proxy.client(), await proxy.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
             while not stand_in.seen:
@@ -115,7 +115,7 @@
             end = (await proxy.process.stderr.read()).decode().splitlines()[-1]
             assert "event=end" in end and "requests=2" in end and "answers_ok=2" in end
         # A new process can listen on the same address at once.
-        async with started(tmp_path, stand_in, proxy.port) as again:
+        async with start_proxy(tmp_path, stand_in, proxy.port) as again:
             assert (await (await again.client()).ask("search")).status == 200
         await stand_in.stop()
 
@@ -126,19 +126,19 @@
     async def run() -> None:
         stand_in = StandIn(serves)
         await stand_in.start()
-        async with started(tmp_path, stand_in) as proxy:
+        async with start_proxy(tmp_path, stand_in) as proxy:
             client = await proxy.client()
             assert (await client.ask()).status == 200
             proxy.process.kill()
             await proxy.process.wait()
-            async with started(tmp_path, stand_in, proxy.port) as again:
+            async with start_proxy(tmp_path, stand_in, proxy.port) as again:
                 assert (await (await again.client()).ask()).status == 200
         await stand_in.stop()
 
     asyncio.run(run())
 
 
-def test_a_start_waits_for_an_address_that_is_about_to_be_free() -> None:
+def test_a_start_retries_while_its_address_is_in_use() -> None:
     async def run() -> None:
         directory = Directory([])
         await directory.start()
@@ -163,7 +163,7 @@
     async def run() -> None:
         stand_in = StandIn(serves)
         await stand_in.start()
-        async with started(tmp_path, stand_in) as proxy:
+        async with start_proxy(tmp_path, stand_in) as proxy:
             assert (await (await proxy.client()).ask()).status == 200
             proxy.process.send_signal(signal.SIGUSR1)
             assert proxy.process.stderr
@@ -245,7 +245,7 @@
         assert not out and err.count("\n") == 1 and key in err, err
 
 
-def test_the_command_line(tmp_path: Path) -> None:
+def test_commands_print_their_result_and_exit_codes_tell_errors_apart(tmp_path: Path) -> None:
     done = run_main("version")
     assert done.returncode == 0 and done.stdout.startswith("mothstall ")
     done = run_main("check-config", "--config", write_config(tmp_path))
@@ -369,15 +369,15 @@
         def __init__(self) -> None:
             self.next: tuple[Any, ...] = ()
 
-        def call_later(self, _: float, call: Any, *words: Any) -> None:
-            self.next = (call, *words)
+        def call_later(self, _: float, call: Any, *arguments: Any) -> None:
+            self.next = (call, *arguments)
 
     rows, loop = [0], Loop()
     proxy.collect_garbage(loop, lambda: rows[0], 0)  # type: ignore[arg-type]
 
     def again() -> None:
-        call, *words = loop.next
-        call(*words)
+        call, *arguments = loop.next
+        call(*arguments)
 
     try:
         before = gc.get_freeze_count()
@@ -439,9 +439,9 @@
             stay = r.backends[0].row()
             for i in range(50):
                 row = {**stay, "id": f"s-new-{i}"}
-                words = r.count("list_updates")
+                updates_before = r.count("list_updates")
                 r.directory.tell(row, {"id": f"s-new-{i - 1}", "phase": "DELETED"})
-                await r.until(lambda w=words: r.count("list_updates") > w)  # type: ignore[misc]
+                await r.until(lambda w=updates_before: r.count("list_updates") > w)  # type: ignore[misc]
                 assert (await r.ask()).status == 200
             decider = r.proxy._decider
             assert (
@@ -470,10 +470,10 @@
             await r.until(lambda: len(r.directory.calls) >= 2)
             out = asyncio.create_task(r.ask("order"))
             await r.until(lambda: len(r.backends[0].seen) == 1)
-            words = r.count("list_updates")
+            updates_before = r.count("list_updates")
             new = {**r.backends[0].row(), "id": "s-successor"}
             r.directory.tell({"id": "s-0", "phase": "DELETED"}, new)
-            await r.until(lambda: r.count("list_updates") > words)
+            await r.until(lambda: r.count("list_updates") > updates_before)
             gate.set()
             assert (await out).status == 200
             assert (await r.ask("order")).status == 200
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -11,11 +11,11 @@
 import pytest
 
 from mothstall import config
-from tests.net.test_process import slow, started
+from tests.net.test_process import respond_after_800_ms, start_proxy
 from tests.peers import Directory, Rig, StandIn, request_bytes, rig, serves, tree_of
 
 
-async def moved(r: Rig) -> Directory:
+async def change_discovery_address(r: Rig) -> Directory:
     """Start discovery at a second address, and reload the proxy with that address."""
     other = Directory(r.directory.members)
     other.revision, other.changes = r.directory.revision, r.directory.changes
@@ -26,28 +26,28 @@
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_the_watch_moves_at_once_and_the_old_address_may_close(mode: str) -> None:
+def test_the_watch_changes_its_address_at_once_and_the_old_address_may_close(mode: str) -> None:
     async def run() -> None:
         async with rig(serves, discovery=mode) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             await r.directory.stop()  # refuses new connections, keeps open ones
-            other = await moved(r)
+            other = await change_discovery_address(r)
             await r.until(lambda: len(other.calls) == 1, 0.5)
             assert "timeout_ms=1&" not in other.calls[0] + "&"  # the first call waits for an event
             # An update from the old address is applied, and no further call is made there.
             new = StandIn(serves, "s-new")
             await new.start()
             r.backends.append(new)
-            before, words = len(r.directory.calls), r.count("list_updates")
+            before, updates_before = len(r.directory.calls), r.count("list_updates")
             r.directory.tell(new.row())
-            await r.until(lambda: r.count("list_updates") > words, 0.5)
+            await r.until(lambda: r.count("list_updates") > updates_before, 0.5)
             r.directory.cut()
             await asyncio.sleep(0.05)
             assert len(r.directory.calls) == before
             # The list is kept, and updates from the new address are applied at once.
-            other.revision, words = r.directory.revision, r.count("list_updates")
+            other.revision, updates_before = r.directory.revision, r.count("list_updates")
             other.tell(r.backends[0].row("DRAINING"))
-            await r.until(lambda: r.count("list_updates") > words, 0.5)
+            await r.until(lambda: r.count("list_updates") > updates_before, 0.5)
             for _ in range(4):
                 assert (await r.ask()).status == 200
             assert len(new.seen) == 4 and not r.backends[0].seen
@@ -57,12 +57,12 @@
     asyncio.run(run())
 
 
-def test_several_moves_in_a_row_leave_one_watch_at_the_last() -> None:
+def test_several_address_changes_in_a_row_leave_one_watch() -> None:
     async def run() -> None:
         async with rig(serves) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            second = await moved(r)
-            third = await moved(r)
+            second = await change_discovery_address(r)
+            third = await change_discovery_address(r)
             # Back to the first address: its watch in flight must not go on beside the new one.
             r.proxy.reload(
                 replace(r.proxy.config, discovery=config.Address("127.0.0.1", r.directory.port))
@@ -84,7 +84,7 @@
     async def run() -> None:
         async with rig(serves) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            other = await moved(r)
+            other = await change_discovery_address(r)
             port = other.port
             await r.until(lambda: len(other.calls) == 1)
             await other.stop()
@@ -107,16 +107,16 @@
 
 def test_sighup_reloads_the_file_and_never_ends_the_program(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in, old, new = StandIn(slow), Directory([]), Directory([])
+        stand_in, old, new = StandIn(respond_after_800_ms), Directory([]), Directory([])
         await stand_in.start()
         for directory in (old, new):
             directory.members = [stand_in.row()]
             await directory.start()
         # On a reload the address in the file takes precedence over that in the environment.
-        async with started(tmp_path, stand_in, LB_DISCOVERY=f"127.0.0.1:{old.port}") as proxy:
+        async with start_proxy(tmp_path, stand_in, LB_DISCOVERY=f"127.0.0.1:{old.port}") as proxy:
             assert proxy.process.stderr
             path = tmp_path / "config.json"
-            good = json.loads(path.read_text())
+            config_tree = json.loads(path.read_text())
             while not old.calls:
                 await asyncio.sleep(0.01)
             busy = await proxy.client()
@@ -124,31 +124,33 @@
             while not stand_in.seen:
                 await asyncio.sleep(0.01)
 
-            async def hup(text: str, *words: bytes) -> None:
+            async def reload_with(text: str, *expected: bytes) -> None:
                 path.write_text(text)
                 proxy.process.send_signal(signal.SIGHUP)
                 async with asyncio.timeout(3):
                     line = b""
-                    while not all(word in line for word in words):
+                    while not all(word in line for word in expected):
                         assert proxy.process.stderr
                         line = await proxy.process.stderr.readline()
 
-            faulty = {**good, "limits": {"sockets": 5}}
-            await hup(json.dumps(faulty), b"configuration rejected", b"limits.sockets")
-            await hup("{", b"configuration rejected", b"JSON")
+            faulty = {**config_tree, "limits": {"sockets": 5}}
+            await reload_with(json.dumps(faulty), b"configuration rejected", b"limits.sockets")
+            await reload_with("{", b"configuration rejected", b"JSON")
             assert not new.calls
-            good["discovery"] = f"127.0.0.1:{new.port}"
-            good["limits"]["sockets"] = 512
-            await hup(json.dumps(good), b"changed keys need a restart", b"limits.sockets")
+            config_tree["discovery"] = f"127.0.0.1:{new.port}"
+            config_tree["limits"]["sockets"] = 512
+            await reload_with(
+                json.dumps(config_tree), b"changed keys need a restart", b"limits.sockets"
+            )
             async with asyncio.timeout(3):
                 while not new.calls:
                     await asyncio.sleep(0.01)
             for _ in range(5):
                 proxy.process.send_signal(signal.SIGHUP)
-            asking = await proxy.client()
-            asking.writer.write(b"GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")
-            counted = (await asking.read()).body
-            assert b"reloads_failed 2\n" in counted
+            second_client = await proxy.client()
+            second_client.writer.write(b"GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")
+            counters = (await second_client.read()).body
+            assert b"reloads_failed 2\n" in counters
             reply = await busy.read()
             assert (reply.status, reply.body) == (200, b"late but whole")
             # A SIGHUP during the drain does not end the process either.
--- a/tests/net/test_startup.py
+++ b/tests/net/test_startup.py
@@ -19,12 +19,12 @@
 from tests.peers import Client, Directory, StandIn, serves, tree_of
 
 ROOT = Path(__file__).parents[2]
-MANY = 20
-LIMIT_S = 60.0  # timeout of a test on a busy machine
+PROXY_COUNT = 20
+TEST_TIMEOUT_S = 60.0  # timeout of a test on a busy machine
 SLOW_S = 1.5  # response time of a slow discovery; a call may take 2 s
 PORT = re.compile(rb"event=listening .*port=(\d+)")
 # A CA certificate that OpenSSL is configured to trust; its key was discarded.
-TRUSTED = """-----BEGIN CERTIFICATE-----
+CA_CERTIFICATE = """-----BEGIN CERTIFICATE-----
 MIIBeTCCAR+gAwIBAgIUXV9Ij0EWe55sG1o4kZB1CkbGSeEwCgYIKoZIzj0EAwIw
 ETEPMA0GA1UEAwwGbm9ib2R5MCAXDTI2MTIwMjA0MjMyMVoYDzIxMjYxMTA4MDQy
 MzIxWjARMQ8wDQYDVQQDDAZub2JvZHkwWTATBgcqhkjOPQIBBggqhkjOPQMBBwNC
@@ -37,7 +37,7 @@
 """
 # Runs the proxy in a process that prints which modules it had loaded when it was ready (a line on
 # standard input marks that), and which it imported later.
-TELLS = """
+REPORTING_MAIN = """
 import json, os, runpy, sys, threading
 loaded, late = [], []
 def hook(event, args):
@@ -61,7 +61,7 @@
     }))
 """
 # Modules that a proxy must not import by default: unused ones, and those of optional features.
-NEEDLESS = {
+UNNEEDED_MODULES = {
     "argparse",
     "aiohttp.web",
     "aiohttp.web_app",
@@ -97,10 +97,10 @@
 
 
 class Process:
-    """A proxy process; `tells`: it reports its loaded modules, see TELLS."""
+    """A proxy process; `is_reporting`: it reports its loaded modules, see REPORTING_MAIN."""
 
-    def __init__(self, config: Path, tells: bool = False, **env: str) -> None:
-        self._words = ("-c", TELLS) if tells else ("-m", "mothstall")
+    def __init__(self, config: Path, is_reporting: bool = False, **env: str) -> None:
+        self._arguments = ("-c", REPORTING_MAIN) if is_reporting else ("-m", "mothstall")
         clean = {
             key: value for key, value in os.environ.items() if not key.startswith(("LB_", "SSL_"))
         }
@@ -112,7 +112,7 @@
             sys.executable,
             "-O",
             "-B",
-            *self._words,
+            *self._arguments,
             env=self._env,
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
@@ -152,7 +152,7 @@
         await self._log
 
 
-class Whole(Directory):
+class FullListDirectory(Directory):
     """Sends the full list to callers without a list; `delay_s`: response time."""
 
     delay_s = 0.0
@@ -165,16 +165,20 @@
 
 
 @contextlib.asynccontextmanager
-async def many(
-    folder: Path, directory: Directory, known: bool, mode: str
+async def start_many(
+    folder: Path, directory: Directory, has_cached_list: bool, mode: str
 ) -> AsyncIterator[list[Process]]:
-    """Start MANY proxies of one fleet at once."""
+    """Start PROXY_COUNT proxies of one fleet at once."""
     processes = []
-    for position in range(MANY):
+    for position in range(PROXY_COUNT):
         tree = tree_of(
-            directory, directory.members, discovery=mode, position=position, replicas_of_me=MANY
+            directory,
+            directory.members,
+            discovery=mode,
+            position=position,
+            replicas_of_me=PROXY_COUNT,
         )
-        if not known:
+        if not has_cached_list:
             del tree["known"]
         path = folder / f"{position}.json"
         path.write_text(json.dumps(tree))
@@ -186,7 +190,7 @@
         await asyncio.gather(*(process.stop() for process in processes))
 
 
-async def listen(processes: list[Process]) -> None:
+async def wait_until_listening(processes: list[Process]) -> None:
     while not all(process.port for process in processes):
         assert all(process.process.returncode is None for process in processes)
         await asyncio.sleep(0.05)
@@ -200,15 +204,18 @@
     async def run() -> None:
         stand_in = StandIn(serves)
         await stand_in.start()
-        directory = Whole([stand_in.row()])
+        directory = FullListDirectory([stand_in.row()])
         directory.delay_s = SLOW_S if state == "slow" else 0.0
         directory.held = asyncio.Event() if state == "silent" else None
         await directory.start()
         if state == "refusing":
             await directory.stop()
-        async with asyncio.timeout(LIMIT_S), many(tmp_path, directory, True, mode) as all_:
-            await asyncio.gather(*(process.until_ready() for process in all_))
-            for process in all_:
+        async with (
+            asyncio.timeout(TEST_TIMEOUT_S),
+            start_many(tmp_path, directory, True, mode) as proxies,
+        ):
+            await asyncio.gather(*(process.until_ready() for process in proxies))
+            for process in proxies:
                 assert (await (await process.client()).ask()).status == 200
         await directory.stop()
         await stand_in.stop()
@@ -224,23 +231,23 @@
     async def run() -> None:
         stand_in = StandIn(serves)
         await stand_in.start()
-        directory = Whole([stand_in.row()])
+        directory = FullListDirectory([stand_in.row()])
         directory.held = asyncio.Event()
         await directory.start()
         if state == "refusing":
             await directory.stop()
         async with (
-            asyncio.timeout(LIMIT_S),
-            many(tmp_path, directory, False, mode) as all_,
+            asyncio.timeout(TEST_TIMEOUT_S),
+            start_many(tmp_path, directory, False, mode) as proxies,
         ):
-            await listen(all_)
+            await wait_until_listening(proxies)
             await asyncio.sleep(1.0)  # calls fail meanwhile
-            assert not any([await process.ready() for process in all_])
+            assert not any([await process.ready() for process in proxies])
             directory.held.set()
             if state == "refusing":
                 await directory.start()
-            await asyncio.gather(*(process.until_ready() for process in all_))
-            for process in all_:
+            await asyncio.gather(*(process.until_ready() for process in proxies))
+            for process in proxies:
                 assert (await (await process.client()).ask()).status == 200
         await directory.stop()
         await stand_in.stop()
@@ -255,15 +262,15 @@
     async def run() -> None:
         stand_in = StandIn(serves)
         await stand_in.start()
-        directory = Whole([stand_in.row()])
+        directory = FullListDirectory([stand_in.row()])
         directory.delay_s = SLOW_S
         await directory.start()
         async with (
-            asyncio.timeout(LIMIT_S),
-            many(tmp_path, directory, False, mode) as all_,
+            asyncio.timeout(TEST_TIMEOUT_S),
+            start_many(tmp_path, directory, False, mode) as proxies,
         ):
-            await asyncio.gather(*(process.until_ready() for process in all_))
-            for process in all_:
+            await asyncio.gather(*(process.until_ready() for process in proxies))
+            for process in proxies:
                 assert (await (await process.client()).ask()).status == 200
         await directory.stop()
         await stand_in.stop()
@@ -277,17 +284,17 @@
     async def run() -> dict[str, Any]:
         stand_in = StandIn(serves)
         await stand_in.start()
-        directory = Whole([stand_in.row()])
+        directory = FullListDirectory([stand_in.row()])
         await directory.start()
         tree = tree_of(directory, directory.members, discovery="push")
         del tree["known"]
         path, trusted = tmp_path / "config.json", tmp_path / "trusted.pem"
         path.write_text(json.dumps(tree))
-        trusted.write_text(TRUSTED)
-        process = Process(path, tells=True, SSL_CERT_FILE=str(trusted))
+        trusted.write_text(CA_CERTIFICATE)
+        process = Process(path, is_reporting=True, SSL_CERT_FILE=str(trusted))
         await process.start()
         try:
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await process.until_ready()
                 assert process.process.stdin and process.process.stdout
                 process.process.stdin.write(b"ready\n")
@@ -296,20 +303,20 @@
                 assert (await client.ask()).status == 200
                 assert (await client.ask("order", body=b"a body")).status == 200
                 process.process.terminate()
-                told: dict[str, Any] = json.loads(await process.process.stdout.read())
+                report: dict[str, Any] = json.loads(await process.process.stdout.read())
         finally:
             await process.stop()
             await directory.stop()
             await stand_in.stop()
-        assert told["file"] == str(trusted) and told["dir"] is None
-        return told
-
-    told = asyncio.run(run())
-    assert "mothstall.net.client_side.frontend" in told["loaded"]
-    assert sorted(NEEDLESS & set(told["loaded"])) == []
-    assert told["late"] == []  # the first request imports nothing
-    assert told["trusted"] == 0  # the system's certificates were not read
-    assert told["collects"] and told["frozen"] > 10_000
+        assert report["file"] == str(trusted) and report["dir"] is None
+        return report
+
+    report = asyncio.run(run())
+    assert "mothstall.net.client_side.frontend" in report["loaded"]
+    assert sorted(UNNEEDED_MODULES & set(report["loaded"])) == []
+    assert report["late"] == []  # the first request imports nothing
+    assert report["trusted"] == 0  # the system's certificates were not read
+    assert report["collects"] and report["frozen"] > 10_000
 
 
 def test_other_commands_collect_garbage(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("name", ["net.frontend.NoSuchClass", "net.no_such_module", "no_such.x"])
-def test_unknown_symbol_is_found_out(name: str) -> None:
+def test_unknown_symbol_raises(name: str) -> None:
     with pytest.raises(ModuleNotFoundError):
         resolve(name)
 
--- a/tests/test_net_move.py
+++ b/tests/test_net_move.py
@@ -9,7 +9,7 @@
 from tests.peers import MS, Directory, Seen, answer, rig, serves, tree_of
 
 
-async def tells(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def report_load_to_probes(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """A backend that reports its load only in responses to probes."""
     if b"/status/load" in seen.line:
         writer.write(answer(b"qps=5,queue=0\n"))
@@ -23,9 +23,9 @@
 }
 
 
-def test_backends_that_tell_their_load_to_probes_alone_are_probed_sparsely() -> None:
+def test_backends_that_report_load_only_to_probes_are_probed_sparsely() -> None:
     async def run() -> None:
-        async with rig(*[tells] * 9, **PROBING) as r:
+        async with rig(*[report_load_to_probes] * 9, **PROBING) as r:
             for _ in range(40):
                 assert (await r.ask()).status == 200
             await r.until(lambda: r.count("probes") >= 1)
@@ -38,8 +38,8 @@
     asyncio.run(run())
 
 
-def test_a_told_cost_reaches_the_decisions_only_under_its_configured_label() -> None:
-    odd = (
+def test_a_declared_cost_reaches_the_balancer_only_under_its_configured_label() -> None:
+    malformed = (
         "",
         "work",
         "work=-5",
@@ -54,14 +54,14 @@
     async def run() -> None:
         for label, work in (("work", 7.0 * MS), (None, 0.0)):
             async with rig(serves, cost_label=label) as r:
-                for labels in (f"key=3, work={7 * MS}", *odd):
+                for labels in (f"key=3, work={7 * MS}", *malformed):
                     assert (await r.ask(X_Labels=labels)).status == 200
                 assert r.proxy._decider._balancer.latency._mean_costs[0] == work
 
     asyncio.run(run())
 
 
-def test_a_changed_cost_label_waits_for_a_new_start_and_is_named_alone() -> None:
+def test_a_changed_cost_label_is_the_only_key_reported_to_need_a_restart() -> None:
     def read(**changes: Any) -> config.Config:
         return config.from_tree(tree_of(Directory([]), [], **changes))
 
