--- a/mothstall/net/proxy.py
+++ b/mothstall/net/proxy.py
@@ -44,8 +44,8 @@
 BACKEND_DESCRIPTORS_FRACTION = 0.3  # of the remaining descriptors
 PIPELINED_MEMORY_FRACTION = 1 / 16  # of the memory limit, for pipelined requests
 GC_INTERVAL_S = 2.0  # between two garbage collections
-# Objects are frozen again after so many new endpoint rows: a row that is not frozen adds about 3 us
-# to each collection.
+# Objects are frozen again after this many new endpoint rows: a row that is not frozen adds about
+# 3 us to each collection.
 MIN_ROWS_TO_FREEZE = 2_000
 ENDPOINTS_TIMEOUT_S = 4.0  # a new process waits for an endpoint list before it takes clients over
 # Upper limit for the longest deadline at shutdown: a process may be killed 0.7 s after it.
--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -65,9 +65,8 @@
 
 def test_phases_change_by_command_and_by_time() -> None:
     p = Lifecycle()
-    assert (
-        p.accepts_clients and p.rejoin() and p.response_deadline(9.0) is None
-    )  # a rejoin without a drain
+    # A rejoin without a drain changes nothing.
+    assert p.accepts_clients and p.rejoin() and p.response_deadline(9.0) is None
     assert p.evacuate(10.0) and not p.accepts_clients
     assert p.evacuate(11.0)  # the first call counts
     assert (
@@ -231,9 +230,8 @@
             await r.call("/api/evacuate")
             reply = await client.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            assert (
-                await client.closed()
-            )  # the requests behind it were not executed: the client may retry elsewhere
+            # The requests behind it were not executed: the client may retry elsewhere.
+            assert await client.closed()
             await asyncio.sleep(0.3)
             assert len(r.backends[0].seen) == 1
             await r.call("/api/rejoin")
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -107,9 +107,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A drain that the agent has when it responds again counts at once, despite the outage."""
-    monkeypatch.setattr(
-        discovery, "CALL_TIMEOUT_S", 60.0
-    )  # a call during the outage must end sooner
+    # A call during the outage must end sooner.
+    monkeypatch.setattr(discovery, "CALL_TIMEOUT_S", 60.0)
 
     async def run() -> None:
         async with rig(serves, serves, discovery="push") as r:
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -17,9 +17,8 @@
         async with rig(serves) as r:
             old = r.backends[0]
             assert (await r.ask()).status == 200
-            await r.until(
-                lambda: len(r.directory.calls) >= 2
-            )  # the poll of missed changes, then the watch
+            # The first call polls missed changes, the second one watches.
+            await r.until(lambda: len(r.directory.calls) >= 2)
             new = StandIn(serves, "s-new")
             await new.start()
             r.backends.append(new)
@@ -80,9 +79,8 @@
             r.backends.append(restarted)
             now_ms = r.proxy._clock.now() // 1_000_000
             r.directory.tell(restarted.row(started=now_ms))
-            await r.until(
-                lambda: r.backends[0].ended == 1
-            )  # connections of its earlier incarnation
+            # Connections to its earlier incarnation are closed.
+            await r.until(lambda: r.backends[0].ended == 1)
             (balanced,) = r.proxy._decider._balancer.endpoints.by_id.values()
             assert balanced.started_ns == now_ms * 1_000_000
             assert r.proxy._decider._balancer.slow_start.warmth(balanced) < 0.3
@@ -165,9 +163,8 @@
             r.directory.news.set()
             r.directory.calls.clear()
             await r.until(lambda: len(r.directory.calls) >= 1)
-            r.directory.hangs = (
-                False  # that call is never answered; the next one, made at once, is answered
-            )
+            # That call is never answered; the next one, made at once, is answered.
+            r.directory.hangs = False
             updates_before = r.count("list_updates")
             await r.until(lambda: r.count("discovery_failures") >= 1, 8.0)
             wait_s = r.proxy._discovery._timing.wait_s
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -176,9 +176,8 @@
                     act.request, 0, act.backend, AttemptResult.OK, NS // 200, True, ()
                 )
                 module.handle(now + NS // 200, [end])
-    warm = (
-        sum(len(at) for b, at in sent.items() if b != 1) / 5 / 10
-    )  # requests per second of a warm backend
+    # Requests per second of a warm backend.
+    warm = sum(len(at) for b, at in sent.items() if b != 1) / 5 / 10
     for second in range(10):
         here = sum(second * NS < at - began <= (second + 1) * NS for at in sent[1])
         warmth = (
@@ -218,9 +217,8 @@
             for client in clients:
                 assert (await client.ask("order")).status == 200
             p.stand_in.behave = respond_after_300_ms
-            clients[0].writer.write(
-                request_bytes("order", remaining="990m")
-            )  # open during the whole handover
+            # This request stays open during the whole handover.
+            clients[0].writer.write(request_bytes("order", remaining="990m"))
             while not any(b"order" in s.line and s.connection for s in p.stand_in.seen[8:]):
                 await asyncio.sleep(0.01)
             p.stand_in.behave = serves
@@ -231,9 +229,8 @@
                 while not stopped.is_set():
                     reply = await client.ask("order")  # type: ignore[attr-defined]
                     assert reply.status in (200, 503) and "connection" not in reply.headers
-                    request_count += (
-                        reply.status == 200
-                    )  # the others were rejected for lack of capacity
+                    # Requests with a 503 response were rejected for lack of capacity.
+                    request_count += reply.status == 200
                     await asyncio.sleep(0.003)
                 return request_count
 
@@ -248,9 +245,8 @@
             request_count = sum(await asyncio.gather(*senders))
             assert (await clients[0].ask("order")).status == 200
             assert (await silent.ask("order")).status == 200  # its first request on this connection
-            assert (
-                len(p.stand_in.seen) == 8 + 1 + 1 + 1 + request_count
-            )  # none is lost or sent twice
+            # No request is lost or sent twice.
+            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + request_count
             counters = await p.counters()
             assert counters["handovers"] == 1 and counters["clients_adopted"] >= 8
             assert (await call(admin_port, "/api/ready")).status == 200 and new.returncode is None
@@ -377,9 +373,8 @@
     while at < len(raw):
         size = cuts[turn % len(cuts)]
         found += b"".join(decoder.feed(raw[at : at + size]))
-        decoder = ChunkedDecoder(
-            decoder.phase, decoder.remaining_bytes, decoder.partial_line
-        )  # another process continues
+        # Another process continues with the state of the decoder.
+        decoder = ChunkedDecoder(decoder.phase, decoder.remaining_bytes, decoder.partial_line)
         at, turn = at + size, turn + 1
     assert decoder.has_ended and found == b"".join(parts)
     assert decoder.feed(b"behind") == []
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -254,9 +254,8 @@
                 client.close()
 
             await asyncio.gather(*(read_slowly() for _ in range(readers)))
-            assert (
-                peak_memory_kib(proxy.process.pid) - before < 16 * 1024
-            )  # the responses have 320 MB in total
+            # The responses have 320 MB in total.
+            assert peak_memory_kib(proxy.process.pid) - before < 16 * 1024
         await stand_in.stop()
 
     asyncio.run(run())
@@ -311,9 +310,8 @@
             sock.setblocking(False)
             client = Client(*await asyncio.open_connection(sock=sock, limit=2048))
             client.writer.write(request_bytes("search"))
-            await asyncio.sleep(
-                0.3
-            )  # the proxy has seen the truncation, or still relays what precedes it
+            # The proxy has seen the truncation, or still relays what precedes it.
+            await asyncio.sleep(0.3)
             head = await client.reader.readuntil(b"\r\n\r\n")
             received = b""
             while data := await client.reader.read(20_000):
@@ -437,9 +435,8 @@
                     "order", remaining="400m", drop=("Content-Length",), Transfer_Encoding="chunked"
                 )
             client.writer.write(head)
-            for at in range(
-                0, len(BODY), 300_000
-            ):  # takes longer than the remaining time, which counts from the end of the body
+            # The upload takes longer than the remaining time, which counts from the end of the body.
+            for at in range(0, len(BODY), 300_000):
                 part = BODY[at : at + 300_000]
                 client.writer.write(
                     part if framing == "length" else b"%x\r\n%b\r\n" % (len(part), part)
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -123,9 +123,8 @@
                 if "limits--retry_after" in DEPLOYMENTS[deployment]:
                     assert "retry-after" not in reply.headers
                 if class_name == "order" and fault != "turns away":
-                    assert (
-                        sent == 1 and reply.status != 503
-                    )  # the request may have executed: neither a retry nor a rejection
+                    # The request may have executed: neither a retry nor a rejection.
+                    assert sent == 1 and reply.status != 503
                 if DEPLOYMENTS[deployment].get("limits--max_attempts") == 1:
                     assert sent == 1
             assert r.count("faults") == r.count("checks_broken") == 0
