--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -81,14 +81,14 @@
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
         clock: Clock,
-        figures: RequestMetrics,
+        metrics: RequestMetrics,
         make_backend: Callable[[int, protocol.ListedEndpoint], Backend],
     ) -> None:
         super().__init__("decider", loop, counters)
         self._config = config
         self._clock = clock
         self._make_backend = make_backend
-        self._metrics = figures
+        self._metrics = metrics
         self._balancer = Balancer(config.settings, config.seed)
         self._restarts = 0
         self._pending: dict[int, _Pending] = {}
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -48,14 +48,14 @@
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
         clock: Clock,
-        figures: RequestMetrics,
+        metrics: RequestMetrics,
         report: Callable[[EndpointsUpdated | PeerProcessEvent], None],
     ) -> None:
         self._names = names
         self._report = report
         self._settings = settings
         self._clock = clock
-        self._figures = figures
+        self._metrics = metrics
         self._util_index = (
             settings.load_names.index("util") if "util" in settings.load_names else -1
         )
@@ -162,7 +162,7 @@
 
     def request_totals(self) -> tuple[int, int]:
         """Requests accepted so far, and those of them that were rejected."""
-        return self._figures.totals
+        return self._metrics.totals
 
     def apply_weights(self, weights: RoutingWeights, lifetime_ms: int) -> None:
         """Pass the zones' weights to the decider; they expire after `lifetime_ms`."""
--- a/mothstall/net/proxy.py
+++ b/mothstall/net/proxy.py
@@ -99,14 +99,14 @@
             grants=BufferGrants(max_streams),
             most_body=config.max_body_bytes,
         )
-        self.figures = RequestMetrics(config.names.classes, self.counters)
+        self.metrics = RequestMetrics(config.names.classes, self.counters)
         self._lifecycle = Lifecycle()
         self._decider = Decider(
             config,
             loop=self.loop,
             counters=self.counters,
             clock=self._clock,
-            figures=self.figures,
+            metrics=self.metrics,
             make_backend=self._make_backend,
         )
         self._fleet: FleetIntegration | None = None
@@ -174,7 +174,7 @@
                 loop=self.loop,
                 counters=self.counters,
                 clock=self._clock,
-                figures=self.figures,
+                metrics=self.metrics,
                 report=self._decider.tell,
             )
         except ValueError as error:
@@ -209,7 +209,7 @@
             pool=self._pool,
             connect_timeout_ns=self.config.settings.connect_timeout_ns,
             load_names=self.config.settings.load_names,
-            figures=self.figures,
+            figures=self.metrics,
             report=self._decider.tell,
         )
 
@@ -354,7 +354,7 @@
     def handle_admin_call(self, path: str) -> tuple[int, str]:
         """Handle an operator's call; returns status and text of the response."""
         if path == "/api/telemetry":
-            return 200, self.figures.statsd_text(
+            return 200, self.metrics.statsd_text(
                 registry_entries=self._decider.listed_count(),
                 out_of_rotation=self._decider.out_of_rotation_count(),
             )
--- a/tests/given_clock.py
+++ b/tests/given_clock.py
@@ -231,7 +231,7 @@
             loop=loop,
             counters=counters,
             clock=clock,
-            figures=RequestMetrics(read.names.classes, counters),
+            metrics=RequestMetrics(read.names.classes, counters),
             make_backend=lambda _, member: cast(
                 Any, SimpleNamespace(ident=member.id, tell=lambda _: None)
             ),
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -77,7 +77,7 @@
             loop=asyncio.get_running_loop(),
             counters=self.counters,
             clock=self.clock,
-            figures=RequestMetrics(self.config.names.classes, self.counters),
+            metrics=RequestMetrics(self.config.names.classes, self.counters),
             make_backend=self._make,
         )
         rows = [Endpoint(i, 0, 0, 0, Health.READY, 1.0, 0) for i in (1, 2)]
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -232,7 +232,7 @@
                 told = r.proxy._decider._backends
                 await r.until(lambda: [b.ident for b in told.values()] == ["s-9"])
                 reply = await r.ask("order", remaining="300m", body=b"x" * size)
-                handed = r.proxy.figures.relayed
+                handed = r.proxy.metrics.relayed
                 assert (reply.status in (502, 504)) == bool(handed)
                 assert reply.status in (502, 503, 504) and r.count("attempts") == 1
 
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -201,7 +201,7 @@
                 client = await send_upload(r, chunk(b"u" * 70_000) + b"0\r\n\r\n")
                 await r.until(lambda: r.proxy._frontend.open_by_state() == {"awaiting_response": 1})
                 await r.until(lambda: r.proxy._pool.open_count == 1)
-                assert r.proxy.figures.relayed == 0
+                assert r.proxy.metrics.relayed == 0
                 stopping = asyncio.create_task(r.proxy.stop(0.0))
                 assert (await client.read()).status in (502, 503)
                 await stopping
