--- a/mothstall/net/lifecycle.py
+++ b/mothstall/net/lifecycle.py
@@ -12,9 +12,8 @@
 # After the start of a drain: deadline for requests received after IDLE_DRAIN_S; incomplete ones are
 # closed by then.
 DRAIN_DEADLINE_S = 3.6
-INCOMPLETE_MARGIN_S = (
-    0.5  # before the longest deadline: incomplete requests are rejected from here on
-)
+# Before the longest deadline: incomplete requests are rejected from then on.
+INCOMPLETE_MARGIN_S = 0.5
 ANSWER_MARGIN_S = 0.2  # after the longest deadline: all accepted requests are answered by then
 
 
