--- a/mothstall/net/backend_side/backend.py
+++ b/mothstall/net/backend_side/backend.py
@@ -136,7 +136,7 @@
         self.address = command.address
         self.started_ns = command.started_ns
 
-    def recover(self, batch: list[BackendCommand], why: Exception) -> None:
+    def recover(self, batch: list[BackendCommand], error: Exception) -> None:
         """End the attempts that a failed batch did not start."""
         for command in batch:
             if (
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -1,7 +1,8 @@
-"""The proxy's side of the fleet's agent: endpoint updates with operators' drains applied.
+"""Connects the proxy to the fleet's agent: applies operators' drains to endpoint updates.
 
-It exists only where an operator file is given. The agent knows backends by name, and drains; the
-decider receives discovery's update, or a change of it, and never waits.
+Only used where an operator file is given. The agent tracks drains by backend name. The decider
+receives discovery's updates with the drains applied, and a delta when the drains change; it never
+waits for the agent.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 
 
 class FleetIntegration:
-    """Applies drains to endpoint updates, and is the traffic that the agent's failover controls.
+    """Applies drains to endpoint updates, and gives the agent's failover access to the traffic.
 
-    The updates go on to `report`.
+    Updates with the drains applied are passed to `report`.
 
     Raises:
-        OSError: the agent can't be made.
-        ValueError: data that it persisted is unreadable.
+        OSError: the agent can't be created.
+        ValueError: data that the agent persisted is unreadable.
     """
 
     def __init__(
@@ -47,16 +48,18 @@
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
         clock: Clock,
-        figures: RequestMetrics,
+        metrics: RequestMetrics,
         report: Callable[[EndpointsUpdated | PeerProcessEvent], None],
     ) -> None:
         self._names = names
         self._report = report
         self._settings = settings
         self._clock = clock
-        self._figures = figures
-        self._util = settings.load_names.index("util") if "util" in settings.load_names else -1
-        self._zones: dict[int, str] = {}  # by backend number, while listed
+        self._metrics = metrics
+        self._util_index = (
+            settings.load_names.index("util") if "util" in settings.load_names else -1
+        )
+        self._zone_by_backend: dict[int, str] = {}  # by backend number, while listed
         self._members: dict[str, protocol.ListedEndpoint] = {}
         self._reported_health: dict[str, Health] = {}
         self._version = 0
@@ -64,7 +67,7 @@
             operator,
             name,
             loop=loop,
-            on_change=self._changed,
+            on_change=self._on_agent_change,
             may_probe=settings.may_probe,
             proxy_traffic=self,
             classes=names.classes,
@@ -72,19 +75,19 @@
         )
         counters.extra = self.agent.metrics
 
-    def _zone(self, member: protocol.ListedEndpoint) -> str:
+    def _zone_name(self, member: protocol.ListedEndpoint) -> str:
         zones = self._names.zones
         return zones[member.endpoint.zone] if member.endpoint.zone < len(zones) else ""
 
-    def _merged(self, member: protocol.ListedEndpoint) -> protocol.ListedEndpoint:
+    def _apply_drains(self, member: protocol.ListedEndpoint) -> protocol.ListedEndpoint:
         health = self.agent.active_drains().effective_health(
-            member.id, self._zone(member), member.endpoint.health
+            member.id, self._zone_name(member), member.endpoint.health
         )
         self._reported_health[member.id] = health
         return replace(member, endpoint=replace(member.endpoint, health=health))
 
     def endpoints_updated(self, message: EndpointsUpdated) -> None:
-        """An update of discovery, which goes on with the drains applied."""
+        """Pass an update of discovery on with the drains applied."""
         update = message.update
         if update is None:
             self._report(message)
@@ -95,22 +98,26 @@
             self._reported_health = {}
         for member in update.members:
             self._members[member.id] = member
-        members = [self._merged(member) for member in update.members]
+        members = [self._apply_drains(member) for member in update.members]
         self._members = {k: m for k, m in self._members.items() if m.endpoint.health != Health.GONE}
         self.agent.backends = {
-            key: BackendEndpoint(m.address, self._zone(m)) for key, m in self._members.items()
+            key: BackendEndpoint(m.address, self._zone_name(m)) for key, m in self._members.items()
+        }
+        self._zone_by_backend = {
+            m.endpoint.backend: self._zone_name(m) for m in self._members.values()
         }
-        self._zones = {m.endpoint.backend: self._zone(m) for m in self._members.values()}
         self._report(EndpointsUpdated(message.scope, replace(update, members=members)))
 
-    def _changed(self) -> None:
-        """Drains may have changed: differences are reported at once, as a delta of the list."""
+    def _on_agent_change(self) -> None:
+        """Report backends whose drain state has changed, as a delta, and new health hints."""
         drained = self.agent.active_drains()
         rows = []
         for member in self._members.values():
-            health = drained.effective_health(member.id, self._zone(member), member.endpoint.health)
+            health = drained.effective_health(
+                member.id, self._zone_name(member), member.endpoint.health
+            )
             if health != self._reported_health.get(member.id):
-                rows.append(self._merged(member))
+                rows.append(self._apply_drains(member))
         if rows:
             self._report(
                 EndpointsUpdated(
@@ -118,21 +125,25 @@
                 )
             )
         for name in self.agent.take_unhealthy_backends():
-            if name in self._members:  # a backend known only by a hint is not listed
+            if name in self._members:  # a hint may name a backend that is not listed
                 self._report(PeerProcessEvent(HealthHint(self._members[name].endpoint.backend)))
 
-    # What failover reads and controls
+    # Interface that the agent's failover reads and controls traffic by
 
     def attempt_ended(self, message: AttemptEnded, cls: int) -> None:
-        """An attempt's end, for what this proxy reports of zones."""
-        zone = self._zones.get(message.backend)
+        """Record the end of an attempt in this proxy's statistics of zones."""
+        zone = self._zone_by_backend.get(message.backend)
         if zone and self.agent.failover:
-            util = message.load[self._util] if 0 <= self._util < len(message.load) else -1.0
+            util = (
+                message.load[self._util_index]
+                if 0 <= self._util_index < len(message.load)
+                else -1.0
+            )
             self.agent.failover.record_attempt(zone, cls, message.result, message.latency_ns, util)
 
     def warm_weights(self) -> Mapping[str, float]:
-        """The weight of each zone's ready backends, reduced while they warm up."""
-        weights = dict.fromkeys(self._zones.values(), 0.0)
+        """The total weight of each zone's ready backends, reduced for those that are warming up."""
+        weights = dict.fromkeys(self._zone_by_backend.values(), 0.0)
         settings = self._settings
         now = self._clock.now()
         for member in self._members.values():
@@ -144,15 +155,17 @@
                 warmth = min(1.0, age_ns / max(1, settings.slow_start_ns))
                 initial = settings.initial_warmth
                 part = initial + (1 - initial) * warmth if warmth < 1.0 else 1.0
-                weights[self._zone(member)] += part * (entry.weight if entry.weight > 0 else 1.0)
+                weights[self._zone_name(member)] += part * (
+                    entry.weight if entry.weight > 0 else 1.0
+                )
         return weights
 
     def request_totals(self) -> tuple[int, int]:
-        """Counts of all requests so far, as the metrics keep them."""
-        return self._figures.totals
+        """Requests accepted so far, and those of them that were rejected."""
+        return self._metrics.totals
 
     def apply_weights(self, weights: RoutingWeights, lifetime_ms: int) -> None:
-        """Gives the decider the zones' weights, which expire after `lifetime_ms`."""
+        """Pass the zones' weights to the decider; they expire after `lifetime_ms`."""
         parts = tuple(weights.weights.get(zone, 0.0) for zone in self._names.zones)
         until = self._clock.now() + lifetime_ms * NS_PER_MS
         self._report(
--- a/mothstall/net/handover/messages.py
+++ b/mothstall/net/handover/messages.py
@@ -1,9 +1,9 @@
 """Messages between two processes of one proxy when one takes over from the other. Pure.
 
-A message is one JSON object. The new process sends a `HandoverRequest` once it can accept clients;
-the old one answers with its `HandoverState` and stops accepting; then a `ClientHandover` is sent
-with each client connection that it hands over, and a `StreamHandover` with each long response in
-the middle. A peer that sends anything else is rejected.
+A message is one JSON object. The new process sends a `HandoverRequest` once it can accept clients.
+The old process stops accepting and answers with its `HandoverState`. It then sends a
+`ClientHandover` with each client connection that it hands over, and a `StreamHandover` with each
+long response in progress. Any other message is rejected.
 """
 
 from __future__ import annotations
@@ -17,59 +17,60 @@
 from mothstall.interface import InheritedBackend, InheritedState
 
 VERSION = 1
-MAX_MESSAGE = 192 * 1024  # bytes: a long response brings a window and one read with it
-MAX_KNOWN = 600  # backends whose state the new process inherits
+MAX_MESSAGE_BYTES = 192 * 1024  # bytes; a long response may include a stream's window and one read
+MAX_INHERITED_BACKENDS = 600  # backends whose state the new process inherits
 
 
 class HandoverMessageError(ValueError):
-    """A message that no peer of this version sends."""
+    """A message is malformed, unexpected or of another version."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequest:
-    """The new process asks the old one of the proxy `name` to hand over."""
+    """Request of a new process of the proxy `name` for a handover."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """The connections that the old process still has, and the state that the new one inherits."""
+    """The number of open connections of the old process, and the state that it passes on."""
 
-    clients: int
-    backends: int  # connections to backends
-    memory: InheritedState
+    client_connections: int
+    backend_connections: int
+    inherited_state: InheritedState
 
 
 @dataclass(frozen=True, slots=True)
 class ClientHandover:
-    """A client's connection, whose descriptor is sent with the message."""
+    """A client connection, whose descriptor is sent with the message."""
 
-    silent: bool  # nothing was received on it yet
-    age_s: float  # for how long it has been silent or idle
+    is_silent: bool  # nothing was received on the connection yet
+    age_s: float  # how long it has been silent or idle
 
 
 @dataclass(frozen=True, slots=True)
 class StreamHandover:
-    """A long response in the middle.
+    """A long response in progress.
 
-    The descriptors of its client, and of its backend if that still owes something (`left` is not
-    0), are sent with the message.
+    The descriptor of its client is sent with the message, and that of its backend unless the
+    response was received completely (`remaining_bytes` is 0).
     """
 
-    left: int | None  # bytes that the backend still owes; None: until its end, or by `coding`
-    # State of the decoder of its chunks: phase, bytes left, incomplete line.
+    # Bytes not received from the backend; None: unknown, or given by `coding`.
+    remaining_bytes: int | None
+    # State of the `ChunkedDecoder` of its body: phase, remaining bytes, partial line.
     coding: tuple[int, int, bytes] | None
-    chunks: bool  # its client receives chunks
-    raw: bytes  # encoded for the client and not yet taken by its connection
-    data: tuple[bytes, ...]  # read from the backend, not yet given to the client
+    is_chunked: bool  # the client receives the chunked coding
+    encoded: bytes  # encoded for the client, but not written to its socket
+    buffered: tuple[bytes, ...]  # received from the backend, not yet passed on to the client
 
 
 Message = HandoverRequest | HandoverState | ClientHandover | StreamHandover
 
 
 def encode(message: Message) -> bytes:
-    """The message as bytes of this version."""
+    """Return a message as bytes of this version."""
     if isinstance(message, HandoverRequest):
         tree = _request_tree(message)
     elif isinstance(message, ClientHandover):
@@ -89,7 +90,7 @@
     return {
         "v": VERSION,
         "say": "client",
-        "silent": message.silent,
+        "silent": message.is_silent,
         "age": round(message.age_s, 3),
     }
 
@@ -99,20 +100,20 @@
     return {
         "v": VERSION,
         "say": "onward",
-        "left": message.left,
+        "left": message.remaining_bytes,
         "coding": None if coding is None else [coding[0], coding[1], coding[2].hex()],
-        "chunks": message.chunks,
-        "raw": base64.b64encode(message.raw).decode(),
-        "data": [base64.b64encode(part).decode() for part in message.data],
+        "chunks": message.is_chunked,
+        "raw": base64.b64encode(message.encoded).decode(),
+        "data": [base64.b64encode(part).decode() for part in message.buffered],
     }
 
 
 def _state_tree(message: HandoverState) -> dict[str, Any]:
-    memory = message.memory
+    memory = message.inherited_state
     return {
         "v": VERSION,
         "say": "yours",
-        "held": [message.clients, message.backends],
+        "held": [message.client_connections, message.backend_connections],
         "sums": [
             memory.usual_latency_ns,
             memory.capacity,
@@ -129,23 +130,23 @@
                 backend.ejected_until_ns,
                 backend.ejection_ns,
             ]
-            for backend in memory.backends[:MAX_KNOWN]
+            for backend in memory.backends[:MAX_INHERITED_BACKENDS]
         ],
     }
 
 
 def decode(received: bytes) -> Message:
-    """The message in these bytes.
+    """Return the message in `received`.
 
     Raises:
-        HandoverMessageError: whatever is not a message of this version.
+        HandoverMessageError: The bytes are not a message of this version.
     """
     try:
         return _message(json.loads(received))
     except HandoverMessageError:
         raise
-    except (ValueError, KeyError, TypeError, RecursionError) as why:
-        raise HandoverMessageError(f"{type(why).__name__}: {str(why)[:60]}") from why
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        raise HandoverMessageError(f"{type(error).__name__}: {str(error)[:60]}") from error
 
 
 def _message(tree: Any) -> Message:
@@ -188,5 +189,5 @@
 def _number(value: Any) -> Any:
     number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not number or not math.isfinite(value) or value < 0:
-        raise HandoverMessageError(f"{str(value)[:20]!r} is no number of ours")
+        raise HandoverMessageError(f"{str(value)[:20]!r} is not a finite number of at least 0")
     return value
--- a/mothstall/net/handover/stream_takeover.py
+++ b/mothstall/net/handover/stream_takeover.py
@@ -1,4 +1,4 @@
-"""A long response that an earlier process began and this one ends: from one socket to the other."""
+"""Relays the rest of a long response that the predecessor began, from socket to socket."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger("mothstall.stream_takeover")
 
-STALL_S = 10.0  # without progress on either side
-LINGER_S = 1.0  # how long a lingering close reads what still arrives
+STALL_S = 10.0  # a response is aborted after this time without progress
+LINGER_S = 1.0  # a lingering close reads and discards input for this time
 
 
 class _Side(asyncio.Protocol):
-    """One of the two connections."""
+    """One of the two connections of a response."""
 
     def __init__(self, takeover: StreamTakeover) -> None:
         self._takeover = takeover
@@ -33,8 +33,8 @@
         transport.max_size = MAX_READ_BYTES  # type: ignore[attr-defined]
 
 
-class _ToClient(_Side):
-    """The sink; its connection ends with the response."""
+class _ClientSide(_Side):
+    """The connection to the client, a sink; it is closed at the end of the response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -43,40 +43,46 @@
         self.transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._takeover.over()
+        self._takeover.finish()
 
     def pause_writing(self) -> None:
         self._takeover.stream.sink_blocked()
 
     def resume_writing(self) -> None:
-        # Guards against a close out of this call, which asyncio would carry out twice.
-        asyncio.get_running_loop().call_soon(self._takeover.flow)
+        # Guards against closing the transport within this callback: asyncio would close it twice.
+        asyncio.get_running_loop().call_soon(self._takeover.on_client_ready)
 
     def write_body(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(
-                protocol.encode_chunk(data) if self._takeover.response.chunks else data
+                protocol.encode_chunk(data) if self._takeover.response.is_chunked else data
             )
 
     def end_body(self) -> None:
         if self.transport is not None:
-            if self._takeover.response.chunks:
+            if self._takeover.response.is_chunked:
                 self.transport.write(protocol.LAST_CHUNK)
             self._finish(self.transport)
 
     def abort_body(self) -> None:
-        """Guards against a truncated response that passes for a complete one: a reset marks it."""
+        """Close an incomplete response.
+
+        Guards against a truncated response without framing that looks complete: it ends in a reset.
+        """
         if self.transport is None:
             return
-        if self._takeover.response.chunks or self._takeover.response.left is not None:
+        if (
+            self._takeover.response.is_chunked
+            or self._takeover.response.remaining_bytes is not None
+        ):
             self._finish(self.transport)
         else:
             self.abort()
 
     def _finish(self, transport: asyncio.Transport) -> None:
-        """A lingering close: what its client has sent meanwhile is read and discarded.
+        """Close the connection with a lingering close, which reads and discards further input.
 
-        Guards against a close over unread bytes, which would lose the end of the response.
+        Guards against closing with unread bytes, which would lose the end of the response.
         """
         transport.resume_reading()
         try:
@@ -84,12 +90,12 @@
         except OSError:
             transport.close()
             return
-        asyncio.get_running_loop().call_later(LINGER_S, self._lingered, transport)
+        asyncio.get_running_loop().call_later(LINGER_S, self._close_when_flushed, transport)
 
-    def _lingered(self, transport: asyncio.Transport) -> None:
+    def _close_when_flushed(self, transport: asyncio.Transport) -> None:
         if transport.get_write_buffer_size():
-            # A slow reader.
-            asyncio.get_running_loop().call_later(LINGER_S, self._lingered, transport)
+            # The client reads slowly.
+            asyncio.get_running_loop().call_later(LINGER_S, self._close_when_flushed, transport)
         else:
             transport.abort()
 
@@ -100,14 +106,14 @@
             self.transport.abort()
 
 
-class _FromBackend(_Side):
-    """The source."""
+class _BackendSide(_Side):
+    """The connection to the backend, a source."""
 
     def data_received(self, data: bytes) -> None:
-        self._takeover.received(data)
+        self._takeover.on_backend_data(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._takeover.ended(exc is None)
+        self._takeover.on_backend_closed(exc is None)
 
     def pause(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -123,20 +129,20 @@
 
 
 class StreamTakeover:
-    """Passes the rest of one response on, with the flow control and end of a stream."""
+    """Relays the rest of one response, with the flow control of a `Stream`."""
 
     def __init__(
         self, response: StreamHandover, grants: BufferGrants, loop: asyncio.AbstractEventLoop
     ) -> None:
         self.response = response
         self._loop = loop
-        self._left = response.left
-        self._chunks = ChunkedDecoder(*response.coding) if response.coding is not None else None
-        self._source = _FromBackend(self)
-        self._sink = _ToClient(self)
+        self._remaining_bytes = response.remaining_bytes
+        self._decoder = ChunkedDecoder(*response.coding) if response.coding is not None else None
+        self._source = _BackendSide(self)
+        self._sink = _ClientSide(self)
         self.stream = Stream(self._source, grants)
         self._stall_check: asyncio.TimerHandle | None = None
-        self._passed_before = -1  # bytes, at the last check
+        self._delivered_at_last_check = -1  # bytes delivered at the last check
         self._on_end: Callable[[StreamTakeover], None] | None = None
 
     async def run(
@@ -145,7 +151,7 @@
         backend: socket.socket | None,
         on_end: Callable[[StreamTakeover], None],
     ) -> None:
-        """From now on bytes pass; `on_end` is called once, at the end."""
+        """Start to relay; `on_end` is called once, at the end."""
         self._on_end = on_end
         try:
             for sock, side in ((client, self._sink), (backend, self._source)):
@@ -157,37 +163,37 @@
             client.close()
             if backend is not None:
                 backend.close()
-            self.over()
+            self.finish()
             return
         if self.stream.is_paused:
             self._source.pause()
-        if self.response.raw and self._sink.transport is not None:
-            self._sink.transport.write(self.response.raw)
-        for data in self.response.data:
+        if self.response.encoded and self._sink.transport is not None:
+            self._sink.transport.write(self.response.encoded)
+        for data in self.response.buffered:
             self.stream.feed(data)
         self.stream.open(self._sink)
-        if self._left == 0:
+        if self._remaining_bytes == 0:
             self._complete()
         self._stall_check = self._loop.call_later(STALL_S, self._check_progress)
 
-    def received(self, data: bytes) -> None:
-        """Bytes of the backend."""
-        if self._chunks is not None:
+    def on_backend_data(self, data: bytes) -> None:
+        """Relay bytes of the backend."""
+        if self._decoder is not None:
             try:
-                parts = self._chunks.feed(data)
-            except ChunkedCodingError as why:
-                log.info("unreadable", extra={"kv": {"why": why}})
+                parts = self._decoder.feed(data)
+            except ChunkedCodingError as error:
+                log.info("unreadable", extra={"kv": {"why": error}})
                 self.stream.truncate()
                 self._source.sink_closed()
                 return
-            self.stream.feed(b"".join(parts))  # chunks of one byte would each cost a send
-            if self._chunks.has_ended:
+            self.stream.feed(b"".join(parts))  # one write: chunks may be one byte long
+            if self._decoder.has_ended:
                 self._complete()
-        elif self._left is not None:
-            part = data[: self._left]
-            self._left -= len(part)
+        elif self._remaining_bytes is not None:
+            part = data[: self._remaining_bytes]
+            self._remaining_bytes -= len(part)
             self.stream.feed(part)
-            if not self._left:
+            if not self._remaining_bytes:
                 self._complete()
         else:
             self.stream.feed(data)
@@ -196,55 +202,57 @@
         self.stream.end()
         self._source.sink_closed()
 
-    def ended(self, orderly: bool) -> None:
-        """The backend's side is closed."""
-        if orderly and self._left is None and self._chunks is None:
+    def on_backend_closed(self, is_orderly: bool) -> None:
+        """The backend's connection is closed."""
+        if is_orderly and self._remaining_bytes is None and self._decoder is None:
             self.stream.end()
         elif not self.stream.has_ended:
             self.stream.truncate()
 
-    def flow(self) -> None:
-        """The client's connection takes more."""
+    def on_client_ready(self) -> None:
+        """The client's connection is ready for more data."""
         self.stream.sink_ready()
 
-    def hand_over(self, give: Callable[..., bool]) -> None:
-        """Hands the rest of it over to yet another process; `give` as the frontend's."""
+    def hand_over(self, hand_over_response: Callable[..., bool]) -> None:
+        """Hand the rest over to a later process with `hand_over_response`, as the frontend does."""
         client = self._sink.transport
         backend = self._source.transport
         if client is None:
             return
         self.stream.freeze()
-        raw = unsent_bytes(client)
-        if raw is None:
+        encoded = unsent_bytes(client)
+        if encoded is None:
             return
         if self.stream.is_truncated:
             self.stream.thaw()
             return
-        is_encoded = self.stream.is_over  # all of it is encoded already
-        ended = is_encoded or self.stream.has_ended or backend is None
-        coding = self._chunks and (
-            self._chunks.phase,
-            self._chunks.remaining_bytes,
-            self._chunks.partial_line,
+        is_encoded = self.stream.is_over  # the complete response is encoded already
+        on_backend_closed = is_encoded or self.stream.has_ended or backend is None
+        coding = self._decoder and (
+            self._decoder.phase,
+            self._decoder.remaining_bytes,
+            self._decoder.partial_line,
         )
-        given = give(
+        is_handed_over = hand_over_response(
             client.get_extra_info("socket").fileno(),
-            None if ended or backend is None else backend.get_extra_info("socket").fileno(),
-            0 if ended else self._left,
-            None if ended else coding,
-            self.response.chunks and not is_encoded,
-            raw,
+            None
+            if on_backend_closed or backend is None
+            else backend.get_extra_info("socket").fileno(),
+            0 if on_backend_closed else self._remaining_bytes,
+            None if on_backend_closed else coding,
+            self.response.is_chunked and not is_encoded,
+            encoded,
             self.stream.buffered,
         )
-        if not given:
+        if not is_handed_over:
             self.stream.thaw()
             return
         self.stream.abandon()
         self._source.sink_closed()
         client.abort()
 
-    def over(self) -> None:
-        """The client's connection is closed, or was never taken: ends everything, once."""
+    def finish(self) -> None:
+        """End both sides: the client's connection is closed, or could not be set up."""
         if self._stall_check is not None:
             self._stall_check.cancel()
         self.stream.drop()
@@ -255,10 +263,10 @@
             on_end(self)
 
     def _check_progress(self) -> None:
-        """Guards against a peer that takes or gives nothing more."""
+        """Abort the response if it made no progress: a peer has stopped reading or sending."""
         passed = self.stream.delivered_bytes
-        if passed == self._passed_before:
+        if passed == self._delivered_at_last_check:
             self._sink.abort()
             return
-        self._passed_before = passed
+        self._delivered_at_last_check = passed
         self._stall_check = self._loop.call_later(STALL_S, self._check_progress)
--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin API, metrics, drain and rejoin, and the listening socket that a process inherits."""
+"""The admin API, metrics, drain and rejoin, and inherited listening sockets."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     tree_of,
 )
 
-DOOR = "127.0.0.1:0"
+ADMIN_ADDRESS = "127.0.0.1:0"
 
 
 @pytest.mark.parametrize(
-    ("raw", "told"),
+    ("raw", "expected"),
     [
         (b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n", "/api/ready"),
         (b"POST /api/rejoin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", "/api/rejoin"),
@@ -54,32 +54,41 @@
         (b"x" * 9000, 413),
     ],
 )
-def test_a_call_is_read_completely_or_rejected(raw: bytes, told: str | int | None) -> None:
-    if isinstance(told, int):
+def test_a_call_is_read_completely_or_rejected(raw: bytes, expected: str | int | None) -> None:
+    if isinstance(expected, int):
         with pytest.raises(AdminCallError) as caught:
             read_call(raw)
-        assert caught.value.status == told
+        assert caught.value.status == expected
     else:
-        assert read_call(raw) == told
+        assert read_call(raw) == expected
 
 
 def test_phases_change_by_command_and_by_time() -> None:
     p = Lifecycle()
-    assert p.taking and p.rejoin() and p.latest(9.0) is None  # a rejoin of one that never drained
-    assert p.evacuate(10.0) and not p.taking
-    assert p.evacuate(11.0)  # told twice: the first word counts
-    assert p.tick(10.0 + lifecycle.IDLE_S - 0.1) is Phase.DRAINING and p.latest(10.5) is None
+    # A rejoin without a drain changes nothing.
+    assert p.accepts_clients and p.rejoin() and p.response_deadline(9.0) is None
+    assert p.evacuate(10.0) and not p.accepts_clients
+    assert p.evacuate(11.0)  # the first call counts
     assert (
-        p.tick(10.0 + lifecycle.IDLE_S) is Phase.DRAINED
-        and p.latest(12.5) == 10.0 + lifecycle.LATEST_S
+        p.tick(10.0 + lifecycle.IDLE_DRAIN_S - 0.1) is Phase.DRAINING
+        and p.response_deadline(10.5) is None
     )
-    assert p.rejoin() and p.taking and p.tick(20.0) is Phase.SERVING
-    assert p.evacuate(30.0) and p.rejoin() and p.tick(40.0) is Phase.SERVING  # in mid-drain
+    assert (
+        p.tick(10.0 + lifecycle.IDLE_DRAIN_S) is Phase.DRAINED
+        and p.response_deadline(12.5) == 10.0 + lifecycle.DRAIN_DEADLINE_S
+    )
+    assert p.rejoin() and p.accepts_clients and p.tick(20.0) is Phase.SERVING
+    assert p.evacuate(30.0) and p.rejoin() and p.tick(40.0) is Phase.SERVING  # during the drain
     assert p.evacuate(50.0)
     p.stop(52.0, 3.0)
     assert not p.rejoin() and not p.evacuate(53.0)
-    assert p.tick(60.0) is Phase.STOPPING and p.latest(53.0) == 55.0 + lifecycle.SPARE_S
-    assert not p.too_late(54.0) and p.too_late(55.0 - lifecycle.INCOMPLETE_S)
+    assert (
+        p.tick(60.0) is Phase.STOPPING
+        and p.response_deadline(53.0) == 55.0 + lifecycle.ANSWER_MARGIN_S
+    )
+    assert not p.rejects_incomplete(54.0) and p.rejects_incomplete(
+        55.0 - lifecycle.INCOMPLETE_MARGIN_S
+    )
 
 
 def test_metrics_add_up_and_no_more_requests_may_end_than_were_accepted() -> None:
@@ -105,7 +114,7 @@
 
 def test_metrics_equal_what_clients_and_backends_counted() -> None:
     async def run() -> None:
-        async with rig(serves, operators=DOOR, limits__max_attempts=1) as r:
+        async with rig(serves, operators=ADMIN_ADDRESS, limits__max_attempts=1) as r:
             assert (await r.ask("search")).status == 200
             assert (await r.ask("pay", body=b"x" * 60_000)).status == 200
             r.backends[0].behave = says(answer(b"no", 500))
@@ -115,15 +124,15 @@
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await r.until(lambda: len(r.backends[0].seen) == 4)
-            told = await r.figures()
-            assert told["open_requests"] == 1 and told["relayed"] == 4
+            metrics = await r.figures()
+            assert metrics["open_requests"] == 1 and metrics["relayed"] == 4
             client.close()
             await r.until(lambda: r.count("requests_left") == 1)
-            told = await r.figures()
-            assert [told[f"fulfilled.{c}"] for c in ("search", "pay", "order")] == [1, 1, 0]
-            assert [told[f"faulted.{c}"] for c in ("search", "pay", "order")] == [0, 0, 1]
-            assert told["open_requests"] == 0 and told["registry_entries"] == 1
-            assert sum(n for name, n in told.items() if name.startswith("throttled")) == 0
+            metrics = await r.figures()
+            assert [metrics[f"fulfilled.{c}"] for c in ("search", "pay", "order")] == [1, 1, 0]
+            assert [metrics[f"faulted.{c}"] for c in ("search", "pay", "order")] == [0, 0, 1]
+            assert metrics["open_requests"] == 0 and metrics["registry_entries"] == 1
+            assert sum(n for name, n in metrics.items() if name.startswith("throttled")) == 0
             r.directory.tell(r.backends[0].row("DRAINING"))
             async with asyncio.timeout(3):
                 while (await r.figures())["out_of_rotation"] != 1:
@@ -134,7 +143,7 @@
 
 def test_an_ejected_backend_is_out_of_rotation_until_it_serves() -> None:
     async def run() -> None:
-        async with rig(serves, serves, operators=DOOR) as r:
+        async with rig(serves, serves, operators=ADMIN_ADDRESS) as r:
             for _ in range(6):
                 await r.ask()
             assert (await r.figures())["out_of_rotation"] == 0
@@ -146,9 +155,9 @@
     asyncio.run(run())
 
 
-def test_callers_that_hold_connections_are_closed_and_calls_are_answered() -> None:
+def test_idle_callers_are_closed_and_calls_are_answered() -> None:
     async def run() -> None:
-        async with rig(serves, operators=DOOR) as r:
+        async with rig(serves, operators=ADMIN_ADDRESS) as r:
             held = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
@@ -172,11 +181,11 @@
 def test_a_drain_closes_idle_connections_late_and_a_rejoin_accepts_clients_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "IDLE_S", 0.5)
-    monkeypatch.setattr(lifecycle, "LATEST_S", 1.2)
+    monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.5)
+    monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 1.2)
 
     async def run() -> None:
-        async with rig(serves, operators=DOOR) as r:
+        async with rig(serves, operators=ADMIN_ADDRESS) as r:
             asks, idle, half = await r.client(), await r.client(), await r.client()
             for client in (asks, idle):
                 assert (await client.ask()).status == 200
@@ -187,12 +196,12 @@
             front = await r.client()
             front.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await front.read()).status == 503
-            reply = await asks.ask()  # a request on an open connection is served, and is its last
+            reply = await asks.ask()  # served, and the connection is closed
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert not await idle.closed(0.2)
             assert await idle.closed(2)
             assert (await half.read()).status == 408
-            late = await r.ask()  # too late to be held: answered all the same
+            late = await r.ask()  # too late in the drain for a full deadline, but still answered
             assert late.status in (200, 503)
             known = r.proxy._decider._balancer
             assert (await r.call("/api/rejoin")).status == 200
@@ -209,10 +218,10 @@
 def test_pipelined_requests_in_a_drain_are_served_at_most_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "IDLE_S", 0.4)
+    monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.4)
 
     async def run() -> None:
-        async with rig(slowly, operators=DOOR) as r:
+        async with rig(serve_after_200_ms, operators=ADMIN_ADDRESS) as r:
             client = await r.client()
             client.writer.write(
                 request_bytes("order") + request_bytes("order") + request_bytes("order")
@@ -221,9 +230,8 @@
             await r.call("/api/evacuate")
             reply = await client.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            assert (
-                await client.closed()
-            )  # what stood behind it never ran: its client may ask elsewhere
+            # The requests behind it were not executed: the client may retry elsewhere.
+            assert await client.closed()
             await asyncio.sleep(0.3)
             assert len(r.backends[0].seen) == 1
             await r.call("/api/rejoin")
@@ -234,15 +242,15 @@
 
 def test_operators_are_answered_in_time_under_client_load() -> None:
     async def run() -> None:
-        async with rig(serves, serves, operators=DOOR) as r:
-            over = asyncio.Event()
+        async with rig(serves, serves, operators=ADMIN_ADDRESS) as r:
+            stopped = asyncio.Event()
 
-            async def ask_along() -> None:
+            async def send_requests() -> None:
                 client = await r.client()
-                while not over.is_set():
+                while not stopped.is_set():
                     await client.ask()
 
-            asking = [asyncio.create_task(ask_along()) for _ in range(60)]
+            asking = [asyncio.create_task(send_requests()) for _ in range(60)]
             held = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
@@ -251,7 +259,7 @@
                 began = loop.time()
                 assert (await r.call(path)).status == 200
                 worst = max(worst, loop.time() - began)
-            over.set()
+            stopped.set()
             await asyncio.gather(*asking)
             for _, writer in held:
                 writer.close()
@@ -263,11 +271,11 @@
 def test_a_request_received_late_in_a_drain_is_answered_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "IDLE_S", 0.0)
-    monkeypatch.setattr(lifecycle, "LATEST_S", 0.4)
+    monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.0)
+    monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 0.4)
 
     async def run() -> None:
-        async with rig(silent, operators=DOOR) as r:
+        async with rig(silent, operators=ADMIN_ADDRESS) as r:
             await r.call("/api/evacuate")
             began = asyncio.get_running_loop().time()
             reply = await r.ask("order", remaining="990m")
@@ -280,7 +288,7 @@
 def test_a_shutdown_does_not_wait_for_a_deadline_after_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(proxy, "MAX_LONGEST_S", 0.3)
+    monkeypatch.setattr(proxy, "MAX_DEADLINE_S", 0.3)
 
     async def run() -> None:
         async with rig(silent) as r:
@@ -294,15 +302,15 @@
             assert (await client.read()).status in (502, 504)
             assert (
                 await slow.read()
-            ).status == 503  # half a request is refused while there is time
+            ).status == 503  # an incomplete request is rejected while there is time
             await ending
-            assert loop.time() - began < 1.5  # and not 3.9
+            assert loop.time() - began < 1.5  # not the 3.9 s that the client would wait
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize(
-    ("env", "said"),
+    ("env", "named_key"),
     [
         ({"LB_ADMIN_ADDR": "nowhere"}, "admin_addr"),
         ({"LB_ADMIN_ADDR": "127.0.0.1:7001", "LB_LISTEN": "127.0.0.1:7001"}, "admin_addr"),
@@ -312,13 +320,13 @@
     ],
 )
 def test_faulty_addresses_and_descriptors_exit_with_2_and_the_key(
-    tmp_path: Path, env: dict[str, str], said: str
+    tmp_path: Path, env: dict[str, str], named_key: str
 ) -> None:
     path = tmp_path / "config.json"
     directory = Directory([])
     path.write_text(json.dumps(tree_of(directory, [])))
     done = run_main("check-config", "--config", str(path), **env)
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and named_key in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_an_admin_address_in_use_exits_with_1_and_the_key(tmp_path: Path) -> None:
@@ -336,13 +344,13 @@
     )
 
 
-async def slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serve_after_200_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.2)
     await serves(seen, writer)
 
 
 class Platform:
-    """Holds the clients' socket, and starts processes that inherit it as descriptor 3."""
+    """Holds the listening socket, and starts proxies that inherit it as descriptor 3."""
 
     def __init__(self, tmp_path: Path, stand_in: StandIn, directory: Directory) -> None:
         self.path, self.stand_in, self.directory = tmp_path, stand_in, directory
@@ -351,11 +359,11 @@
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> tuple[asyncio.subprocess.Process, int]:
-        """A process, and the operators' port of it, once it says that it takes clients."""
+        """Start a process; returns it and its admin port once it reports itself ready."""
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            door: int = free.getsockname()[1]
-        tree = tree_of(self.directory, [self.stand_in.row()], operators=f"127.0.0.1:{door}")
+            port: int = free.getsockname()[1]
+        tree = tree_of(self.directory, [self.stand_in.row()], operators=f"127.0.0.1:{port}")
         tree["listen"] = f"127.0.0.1:{self.port}"
         path = self.path / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(tree))
@@ -372,15 +380,15 @@
         async with asyncio.timeout(10):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await call(door, "/api/ready")).status == 200:
-                        return process, door
+                    if (await call(port, "/api/ready")).status == 200:
+                        return process, port
                 await asyncio.sleep(0.02)
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def counters(self) -> dict[str, int]:
-        """Of whichever process takes clients now."""
+        """The counters of the process that currently accepts clients."""
         client = await self.client()
         client.writer.write(b"GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")
         rows = (row.split() for row in (await client.read()).body.decode().splitlines())
@@ -404,28 +412,28 @@
         directory = Directory([stand_in.row()])
         await directory.start()
         platform = Platform(tmp_path, stand_in, directory)
-        asked, over = 0, asyncio.Event()
+        request_count, stopped = 0, asyncio.Event()
 
-        async def ask_along() -> None:
-            nonlocal asked
-            while not over.is_set():
+        async def send_requests() -> None:
+            nonlocal request_count
+            while not stopped.is_set():
                 client = await platform.client()
                 assert (await client.ask("order")).status == 200
-                asked += 1
+                request_count += 1
                 client.close()
                 await asyncio.sleep(0.002)
 
         try:
             old, _ = await platform.start()
-            askers = [asyncio.create_task(ask_along()) for _ in range(3)]
+            clients = [asyncio.create_task(send_requests()) for _ in range(3)]
             new, _ = await platform.start()
             old.terminate()
             assert await asyncio.wait_for(old.wait(), 5) == 0
-            before = asked
+            before = request_count
             await asyncio.sleep(0.3)
-            over.set()
-            await asyncio.gather(*askers)
-            assert asked > before and len(stand_in.seen) == asked
+            stopped.set()
+            await asyncio.gather(*clients)
+            assert request_count > before and len(stand_in.seen) == request_count
             assert new.returncode is None
         finally:
             await platform.end()
@@ -437,7 +445,7 @@
 
 def test_an_inherited_listener_is_checked_by_type() -> None:
     with socket.socket() as quiet, socket.create_server(("127.0.0.1", 0)) as loud:
-        assert config.inherited(str(loud.fileno())) == loud.fileno()
+        assert config.inherited_listener(str(loud.fileno())) == loud.fileno()
         with pytest.raises(config.ConfigError, match="LB_LISTEN_FD"):
-            config.inherited(str(quiet.fileno()))
-    assert config.inherited(None) is None and config.inherited("") is None
+            config.inherited_listener(str(quiet.fileno()))
+    assert config.inherited_listener(None) is None and config.inherited_listener("") is None
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -236,7 +236,7 @@
                 listed_backends = r.proxy._decider._backends
                 await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
                 reply = await r.ask("order", remaining="300m", body=b"x" * size)
-                written_count = r.proxy.figures.relayed
+                written_count = r.proxy.metrics.relayed
                 assert (reply.status in (502, 504)) == bool(written_count)
                 assert reply.status in (502, 503, 504) and r.count("attempts") == 1
 
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -21,8 +21,8 @@
 
 from mothstall.net.backend_side.connection import BackendConnection
 from tests.net.client_side.test_net_leaving import resources_released
-from tests.net.test_net_body_relay import Swallows, swallowing
-from tests.net.test_process import started
+from tests.net.test_net_body_relay import UploadBackend, rig_with_upload_backend
+from tests.net.test_process import start_proxy
 from tests.peers import Client, Rig, StandIn, request_bytes, rig
 
 LONG_BODY = b"u" * 200_000  # longer than a body that is buffered completely
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("at_once", [True, False], ids=["at once", "in two parts"])
 def test_malformed_upload_leaves_no_resources_open(name: str, at_once: bool) -> None:
     async def run() -> None:
-        async with swallowing() as (r, upload_backend):
+        async with rig_with_upload_backend() as (r, upload_backend):
             raw = MALFORMED_CHUNKS[name]
             if at_once:
                 client = await r.client()
@@ -113,7 +113,7 @@
     """The end of the body and the malformed input arrive in one read."""
 
     async def run() -> None:
-        async with swallowing() as (r, upload_backend):
+        async with rig_with_upload_backend() as (r, upload_backend):
             body = chunk(LONG_BODY) if chunked else LONG_BODY
             client = await send_upload(r, body[:-10], chunked)
             end = body[-10:] + (b"0\r\n\r\n" if chunked else b"")
@@ -135,8 +135,8 @@
     """A backend may answer before it has the whole body, while the client still sends."""
 
     async def run() -> None:
-        async with swallowing() as (r, upload_backend):
-            upload_backend.stuck = True
+        async with rig_with_upload_backend() as (r, upload_backend):
+            upload_backend.is_stalled = True
             client = await send_upload(r, chunk(LONG_BODY))
             await r.until(lambda: len(upload_backend.framings) == 1)
             for writer in list(upload_backend.writers):
@@ -147,7 +147,7 @@
             assert await client.closed()
             client.close()
             await r.until(lambda: no_resources_open(r))
-            upload_backend.stuck = False
+            upload_backend.is_stalled = False
 
     asyncio.run(run())
 
@@ -160,8 +160,8 @@
     """
 
     async def run() -> None:
-        async with swallowing() as (r, upload_backend):
-            upload_backend.stuck = True
+        async with rig_with_upload_backend() as (r, upload_backend):
+            upload_backend.is_stalled = True
             client = await send_upload(r, chunk(LONG_BODY))
             await r.until(lambda: len(upload_backend.framings) == 1)
             size = 200_000
@@ -174,7 +174,7 @@
             client.close()
             await r.until(lambda: no_resources_open(r))
             await r.until(lambda: r.proxy._pool.open_count == 0)
-            upload_backend.stuck = False
+            upload_backend.is_stalled = False
 
     asyncio.run(run())
 
@@ -204,7 +204,7 @@
                 client = await send_upload(r, chunk(b"u" * 70_000) + b"0\r\n\r\n")
                 await r.until(lambda: r.proxy._frontend.open_by_state() == {"awaiting_response": 1})
                 await r.until(lambda: r.proxy._pool.open_count == 1)
-                assert r.proxy.figures.relayed == 0
+                assert r.proxy.metrics.relayed == 0
                 stopping = asyncio.create_task(r.proxy.stop(0.0))
                 assert (await client.read()).status in (502, 503)
                 await stopping
@@ -236,9 +236,9 @@
     )
 
     async def run() -> None:
-        upload_backend = Swallows()
+        upload_backend = UploadBackend()
         await upload_backend.start()
-        async with started(tmp_path, upload_backend) as proxy:
+        async with start_proxy(tmp_path, upload_backend) as proxy:
             descriptors = Path(f"/proc/{proxy.process.pid}/fd")
             before = len(list(descriptors.iterdir()))
             for _ in range(25):
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -28,7 +28,7 @@
     no_open_requests_or_clients,
     resources_released,
 )
-from tests.net.test_net_body_relay import swallowing
+from tests.net.test_net_body_relay import rig_with_upload_backend
 from tests.peers import (
     MS,
     Gate,
@@ -308,7 +308,7 @@
     """The client closes after the whole body: its end is read with the last byte at the latest."""
 
     async def run() -> None:
-        async with swallowing(**LONG_CONNECT_TIMEOUT) as (r, upload_backend):
+        async with rig_with_upload_backend(**LONG_CONNECT_TIMEOUT) as (r, upload_backend):
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(upload_backend)
             if is_end_hidden:
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.net.discovery.test_watch_recovery import MODES, watched
+from tests.net.discovery.test_watch_recovery import MODES, wait_until_watching
 from tests.peers import Client, Seen, answer, request_bytes, rig, serves, serves_after
 
 
@@ -20,7 +20,7 @@
         go = asyncio.Event()
         async with rig(serves_after(go), serves, discovery=mode) as r:
             removed, kept = r.backends
-            await watched(r)
+            await wait_until_watching(r)
             client, reply_task = await r.client(), None
             while not removed.seen:  # until an attempt is in flight there
                 reply_task = asyncio.create_task(client.ask(remaining="3900m"))
@@ -103,7 +103,7 @@
 ) -> None:
     async def run() -> None:
         async with rig(serves, serves, discovery=mode) as r:
-            await watched(r)
+            await wait_until_watching(r)
             unframed_list = r.directory._list
 
             def framed_list(full: bool, rows: list[dict[str, Any]]) -> bytes:
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one proxy: messages, connections handed over, peers that fail."""
+"""Handover between two processes of one proxy: messages, connections, and faulty peers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from mothstall.net.counters import Counters
 from mothstall.net.handover import handover
 from mothstall.net.handover.messages import (
-    MAX_MESSAGE,
+    MAX_MESSAGE_BYTES,
     ClientHandover,
     HandoverMessageError,
     HandoverRequest,
@@ -40,7 +40,7 @@
 from mothstall.policy import Balancer
 from mothstall.policy.slow_start import OVERLOAD_FRACTION
 from tests.net.admin.test_admin_server import Platform
-from tests.net.test_net_body_relay import BODY, long_answer, read_long
+from tests.net.test_net_body_relay import BODY, long_response, read_long
 from tests.peers import Client as Reader
 from tests.peers import Directory, Seen, StandIn, answer, call, request_bytes, serves
 from tests.policy.harness import settings
@@ -65,7 +65,7 @@
     ):
         assert decode(encode(message)) == message
     many = replace(MEMORY, backends=MEMORY.backends * 5000)
-    assert len(encode(HandoverState(1, 1, many))) < MAX_MESSAGE
+    assert len(encode(HandoverState(1, 1, many))) < MAX_MESSAGE_BYTES
 
 
 @given(
@@ -77,9 +77,9 @@
     raw: bytes, data: st.DataObject
 ) -> None:
     at = data.draw(st.integers(0, len(raw)))
-    spoilt = raw[:at] + data.draw(st.binary(max_size=4)) + raw[at + 1 :]
+    damaged = raw[:at] + data.draw(st.binary(max_size=4)) + raw[at + 1 :]
     with contextlib.suppress(HandoverMessageError):
-        decode(spoilt)
+        decode(damaged)
 
 
 @pytest.mark.parametrize(
@@ -128,8 +128,8 @@
         module.handle(now, [io.EndpointUpdate(UpdateScope.FULL, 1, fleet(4, cold=2, now=now))])
     old.latency.usual_ns, old.limits.capacity, old.slow_start.warm_rate = 5e6, 40.0, 50.0
     old.outliers.count_failure(old.endpoints.by_id[4], 2.0)
-    told = old.export_state()
-    new.handle(now, [told])
+    inherited_state = old.export_state()
+    new.handle(now, [inherited_state])
     old.handle(now, [io.SuccessorChanged(True)])
     assert (new.latency.usual_ns, new.limits.capacity, new.slow_start.warm_rate) == (
         5e6,
@@ -152,11 +152,11 @@
     old.handle(now + NS, [io.SuccessorChanged(False)])
     b = old.endpoints.by_id[cold]
     b.slow_start.refilled_at_ns, old.slow_start.warm_rate = now, 50.0
-    assert old.slow_start.has_token(b, 1.0)  # the other one is gone
+    assert old.slow_start.has_token(b, 1.0)  # the successor is gone
 
 
 def test_two_processes_send_a_cold_backend_no_more_than_one_may() -> None:
-    """One proxy's requests, to the old module, to both while it makes way, then to the new one."""
+    """Requests go to the old balancer, then to both during the handover, then to the new one."""
     cfg = settings(slow_start_ns=20 * NS, initial_warmth=0.1)
     began = now = 100 * NS
     sent: dict[int, list[int]] = {}
@@ -176,21 +176,21 @@
                     act.request, 0, act.backend, AttemptResult.OK, NS // 200, True, ()
                 )
                 module.handle(now + NS // 200, [end])
-    warm = (
-        sum(len(at) for b, at in sent.items() if b != 1) / 5 / 10
-    )  # of a warm backend, in a second
+    # Requests per second of a warm backend.
+    warm = sum(len(at) for b, at in sent.items() if b != 1) / 5 / 10
     for second in range(10):
         here = sum(second * NS < at - began <= (second + 1) * NS for at in sent[1])
         warmth = (
             cfg.initial_warmth + (1 - cfg.initial_warmth) * (second + 1) * NS / cfg.slow_start_ns
         )
         assert here <= OVERLOAD_FRACTION * cfg.overload_multiple * warm * warmth + 1, (second, here)
-    # Found by this test: the new process took its idle seconds for what a warm one does, and sent 6 in all.
+    # Guards against a new process that takes its idle seconds for the rate of a warm backend: it sent
+    # 6 in total.
     assert sum(at > began + 5 * NS for at in sent[1]) >= 25
 
 
 @contextlib.asynccontextmanager
-async def platform(tmp_path: Path, stand_in: StandIn) -> AsyncIterator[Platform]:
+async def start_platform(tmp_path: Path, stand_in: StandIn) -> AsyncIterator[Platform]:
     await stand_in.start()
     directory = Directory([stand_in.row()])
     await directory.start()
@@ -203,72 +203,73 @@
         await stand_in.stop()
 
 
-async def slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_after_300_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.3)
     writer.write(answer(b"late"))
 
 
 def test_idle_connections_survive_an_upgrade_without_closing_on_a_request(tmp_path: Path) -> None:
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(serves)) as p:
             old, _ = await p.start()
-            kept = [await p.client() for _ in range(8)]
+            clients = [await p.client() for _ in range(8)]
             silent = await p.client()
-            for client in kept:
+            for client in clients:
                 assert (await client.ask("order")).status == 200
-            p.stand_in.behave = slowly
-            kept[0].writer.write(request_bytes("order", remaining="990m"))  # open all through it
+            p.stand_in.behave = respond_after_300_ms
+            # This request stays open during the whole handover.
+            clients[0].writer.write(request_bytes("order", remaining="990m"))
             while not any(b"order" in s.line and s.connection for s in p.stand_in.seen[8:]):
                 await asyncio.sleep(0.01)
             p.stand_in.behave = serves
-            over = asyncio.Event()
+            stopped = asyncio.Event()
 
-            async def ask_along(client: object) -> int:
-                asked = 0
-                while not over.is_set():
+            async def send_requests(client: object) -> int:
+                request_count = 0
+                while not stopped.is_set():
                     reply = await client.ask("order")  # type: ignore[attr-defined]
                     assert reply.status in (200, 503) and "connection" not in reply.headers
-                    asked += reply.status == 200  # the others were refused for want of room
+                    # Requests with a 503 response were rejected for lack of capacity.
+                    request_count += reply.status == 200
                     await asyncio.sleep(0.003)
-                return asked
+                return request_count
 
-            asking = [asyncio.create_task(ask_along(client)) for client in kept[1:]]
-            new, door = await p.start()
+            senders = [asyncio.create_task(send_requests(client)) for client in clients[1:]]
+            new, admin_port = await p.start()
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), 5) == 0
-            reply = await kept[0].read()
+            reply = await clients[0].read()
             assert reply.body == b"late" and "connection" not in reply.headers
             await asyncio.sleep(0.2)
-            over.set()
-            asked = sum(await asyncio.gather(*asking))
-            assert (await kept[0].ask("order")).status == 200
-            assert (
-                await silent.ask("order")
-            ).status == 200  # not even its first request has come before
-            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + asked  # none lost, none twice
-            told = await p.counters()
-            assert told["handovers"] == 1 and told["clients_adopted"] >= 8
-            assert (await call(door, "/api/ready")).status == 200 and new.returncode is None
+            stopped.set()
+            request_count = sum(await asyncio.gather(*senders))
+            assert (await clients[0].ask("order")).status == 200
+            assert (await silent.ask("order")).status == 200  # its first request on this connection
+            # No request is lost or sent twice.
+            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + request_count
+            counters = await p.counters()
+            assert counters["handovers"] == 1 and counters["clients_adopted"] >= 8
+            assert (await call(admin_port, "/api/ready")).status == 200 and new.returncode is None
 
     asyncio.run(run())
 
 
-def test_process_that_ends_right_after_it_took_over_leaves_new_clients_to_the_one_before(
+def test_the_old_process_accepts_clients_while_the_new_one_stops(
     tmp_path: Path,
 ) -> None:
-    """An upgrade that is called off: the new process is told to end, the old one still runs.
+    """An upgrade is aborted: the new process is stopped while the old one still runs.
 
-    The new one left the listener to others, and the old one waited until the new one was gone, up
-    to its longest deadline later: nobody accepted. Found by `mothstall lab soak --first 9`: seven
-    requests with 0.3 s left were answered 0.8 to 1.0 s after they were sent, all at the instant of
-    the old one's `the process that took over is gone`.
+    Guards against new connections that no process accepts: the stopping process no longer accepted,
+    and the old one waited until it was gone, up to the longest deadline. In
+    `mothstall lab soak --first 9` seven requests with 0.3 s left were answered only after 0.8 to
+    1.0 s, when the old process logged `the process that took over is gone`.
     """
 
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(serves)) as p:
             old, _ = await p.start()
             new, _ = await p.start()
-            p.stand_in.behave = too_slowly
+            p.stand_in.behave = respond_after_800_ms
             busy = await p.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
             while not p.stand_in.seen:
@@ -279,7 +280,7 @@
             late = await p.client()
             reply = await asyncio.wait_for(late.ask("search"), 0.4)
             assert reply.status == 200
-            assert new.returncode is None  # it still has a request open
+            assert new.returncode is None  # it still has an open request
             assert old.returncode is None
             assert (await busy.read()).body == b"late"
             assert await asyncio.wait_for(new.wait(), 5) == 0
@@ -287,7 +288,7 @@
     asyncio.run(run())
 
 
-async def too_slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_after_800_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.8)
     writer.write(answer(b"late"))
 
@@ -295,7 +296,7 @@
 @pytest.mark.parametrize("how", ["length", "chunked", "close"])
 def test_a_long_response_outlives_the_process_that_began_it(tmp_path: Path, how: str) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        raw = long_answer(how)
+        raw = long_response(how)
         for at in range(0, len(raw), 50_000):
             writer.write(raw[at : at + 50_000])
             await writer.drain()
@@ -303,13 +304,13 @@
             writer.close()
 
     async def run() -> None:
-        async with platform(tmp_path, StandIn(behave)) as p:
+        async with start_platform(tmp_path, StandIn(behave)) as p:
             old, _ = await p.start()
             client = await p.client()
             client.writer.write(request_bytes("search"))
             head = await client.reader.readuntil(b"\r\n\r\n")
             first = await client.reader.readexactly(1000)
-            for _ in range(2):  # and the one after it
+            for _ in range(2):  # two handovers in a row
                 new, _ = await p.start()
                 old.terminate()
                 assert await asyncio.wait_for(old.wait(), 5) == 0
@@ -327,7 +328,7 @@
 def test_the_last_bytes_for_a_slow_reader_are_not_lost_with_the_old_process(
     tmp_path: Path, size: int, chunked: bool
 ) -> None:
-    """At some of these sizes the backend has given all, and the old process still holds a part of it."""
+    """At some of these sizes the old process still buffers a part when the backend has sent all."""
 
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
         body = BODY[:size]
@@ -338,7 +339,7 @@
             writer.write(answer(body))
 
     async def run() -> None:
-        async with platform(tmp_path, StandIn(behave)) as p:
+        async with start_platform(tmp_path, StandIn(behave)) as p:
             old, _ = await p.start()
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -362,7 +363,7 @@
     st.lists(st.binary(min_size=1, max_size=40), max_size=8),
     st.lists(st.integers(1, 30), min_size=1),
 )
-def test_chunks_in_any_cutting_and_over_two_decoders_give_the_same_bytes(
+def test_a_chunked_body_split_anywhere_over_several_decoders_gives_the_same_bytes(
     parts: list[bytes], cuts: list[int]
 ) -> None:
     raw = (
@@ -372,9 +373,8 @@
     while at < len(raw):
         size = cuts[turn % len(cuts)]
         found += b"".join(decoder.feed(raw[at : at + size]))
-        decoder = ChunkedDecoder(
-            decoder.phase, decoder.remaining_bytes, decoder.partial_line
-        )  # another process goes on
+        # Another process continues with the state of the decoder.
+        decoder = ChunkedDecoder(decoder.phase, decoder.remaining_bytes, decoder.partial_line)
         at, turn = at + size, turn + 1
     assert decoder.has_ended and found == b"".join(parts)
     assert decoder.feed(b"behind") == []
@@ -388,14 +388,14 @@
 
 def test_the_old_process_accepts_clients_again_if_the_new_one_dies(tmp_path: Path) -> None:
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
-            _, door = await p.start()
+        async with start_platform(tmp_path, StandIn(serves)) as p:
+            _, admin_port = await p.start()
             new, _ = await p.start()
-            assert (await call(door, "/api/ready")).status == 503
+            assert (await call(admin_port, "/api/ready")).status == 503
             new.kill()
             await new.wait()
             async with asyncio.timeout(3):
-                while (await call(door, "/api/ready")).status != 200:
+                while (await call(admin_port, "/api/ready")).status != 200:
                     await asyncio.sleep(0.02)
             client = await p.client()
             assert (await client.ask()).status == 200
@@ -403,27 +403,27 @@
     asyncio.run(run())
 
 
-def test_an_old_process_that_hangs_or_was_killed_delays_nobody(tmp_path: Path) -> None:
+def test_a_hung_or_killed_old_process_does_not_delay_the_new_one(tmp_path: Path) -> None:
     async def run() -> None:
-        async with platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(serves)) as p:
             hung, _ = await p.start()
             hung.send_signal(signal.SIGSTOP)
             second, _ = await asyncio.wait_for(p.start(), 5)
             hung.kill()
             assert (await p.counters())["handovers_failed"] == 1
-            second.kill()  # leaves its socket's name behind
+            second.kill()  # leaves its socket's file behind
             await second.wait()
             third, _ = await asyncio.wait_for(p.start(), 5)
             assert (await (await p.client()).ask()).status == 200
             third.terminate()
             await third.wait()
-            assert not list(tmp_path.glob("mothstall-*"))  # what is left there is cleared up
+            assert not list(tmp_path.glob("mothstall-*"))  # leftover files were removed
 
     asyncio.run(run())
 
 
 @contextlib.contextmanager
-def pretender(path: Path) -> Iterator[socket.socket]:
+def fake_predecessor(path: Path) -> Iterator[socket.socket]:
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.bind(str(path))
         sock.listen(2)
@@ -431,7 +431,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent_bytes",
     [
         b"",
         b"noise",
@@ -440,7 +440,9 @@
         encode(HandoverRequest("n0")),
     ],
 )
-def test_a_malformed_or_missing_state_is_a_failed_handover(tmp_path: Path, said: bytes) -> None:
+def test_a_malformed_or_missing_state_is_a_failed_handover(
+    tmp_path: Path, sent_bytes: bytes
+) -> None:
     async def run() -> None:
         loop, counters = asyncio.get_running_loop(), Counters()
         alone: list[None] = []
@@ -457,13 +459,13 @@
                 on_predecessor_gone=lambda: alone.append(None),
             ),
         )
-        with pretender(tmp_path / new._file) as sock:
+        with fake_predecessor(tmp_path / new._socket_name) as sock:
             taking = asyncio.create_task(new.take_over())
             await asyncio.sleep(0.05)
             other, _ = sock.accept()
             assert decode(other.recv(1000)) == HandoverRequest("n0")
-            if said:
-                other.send(said)
+            if sent_bytes:
+                other.send(sent_bytes)
             assert await asyncio.wait_for(taking, 2) is None
             assert counters.values["handovers_failed"] == 1
             other.close()
@@ -506,10 +508,10 @@
     tmp_path: Path,
 ) -> None:
     async def run() -> None:
-        loop, ways = asyncio.get_running_loop(), []
+        loop, calls = asyncio.get_running_loop(), []
 
         def hand_over_listening() -> HandoverState:
-            ways.append("away")
+            calls.append("away")
             return HandoverState(0, 0, MEMORY)
 
         deep = tmp_path / ("d" * 120)  # longer than a Unix socket's address may be
@@ -521,7 +523,7 @@
             counters=Counters(),
             callbacks=handover.HandoverCallbacks(
                 hand_over_listening=hand_over_listening,
-                resume=lambda: ways.append("back"),
+                resume=lambda: calls.append("back"),
                 adopt_client=lambda sock, client: sock.close(),
                 adopt_stream=lambda client, backend, stream: None,
                 on_predecessor_gone=lambda: None,
@@ -531,26 +533,26 @@
 
         def connect() -> socket.socket:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            with old._address(old._file) as address:
+            with old._address(old._socket_name) as address:
                 sock.connect(address)
             return sock
 
-        links = [connect() for _ in range(3)]
-        links[0].send(b"\x00noise")
-        links[1].send(encode(HandoverRequest("another")))
+        connections = [connect() for _ in range(3)]
+        connections[0].send(b"\x00noise")
+        connections[1].send(encode(HandoverRequest("another")))
         await asyncio.sleep(0.05)
-        assert ways == [] and not old.linked
-        links[2].send(encode(HandoverRequest("n0")))
+        assert calls == [] and not old.has_successor
+        connections[2].send(encode(HandoverRequest("n0")))
         await asyncio.sleep(0.05)
         late = connect()
         late.send(encode(HandoverRequest("n0")))
         await asyncio.sleep(0.05)
-        assert ways == ["away"] and old.linked
-        links[2].close()
+        assert calls == ["away"] and old.has_successor
+        connections[2].close()
         await asyncio.sleep(0.05)
-        assert ways == ["away", "back"] and not old.linked
+        assert calls == ["away", "back"] and not old.has_successor
         old.close()
-        for sock in (*links, late):
+        for sock in (*connections, late):
             sock.close()
         assert not list(deep.iterdir())
 
