--- a/mothstall/store/__init__.py
+++ b/mothstall/store/__init__.py
@@ -1,1 +1,1 @@
-"""A replicated store: consensus and state are pure; storage and frames are input and output."""
+"""A replicated store; only storage and connections do I/O, consensus and state are pure."""
--- a/mothstall/store/errors.py
+++ b/mothstall/store/errors.py
@@ -8,14 +8,15 @@
 
 
 class FrameError(StoreError, ValueError):
-    """Bytes that are no frame of this connection, or a payload that fits in none.
+    """Bytes that are not a valid frame of this connection, or a payload too large for a frame.
 
-    The message is one line. The connection has to be closed: what follows cannot be framed.
+    The message is one line. After invalid bytes the connection has to be closed, as the start of
+    the next frame is unknown.
     """
 
 
 class SnapshotError(StoreError, ValueError):
-    """Bytes that are no snapshot of the replicated state."""
+    """Bytes that are not a valid snapshot of the replicated state."""
 
 
 class StorageError(StoreError, OSError):
@@ -23,4 +24,4 @@
 
 
 class CommittedEntryConflictError(StoreError, AssertionError):
-    """A leader sent an entry that conflicts with a committed one: Raft's safety is broken."""
+    """A leader sent an entry that conflicts with a committed one, which violates Raft's safety."""
--- a/mothstall/store/protocol/connection.py
+++ b/mothstall/store/protocol/connection.py
@@ -1,4 +1,4 @@
-"""A connection that carries frames, whichever side dialled it: the shell around `FrameCodec`."""
+"""A connection that carries frames, dialled or accepted: the I/O around `FrameCodec`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Handlers:
-    """What the owner of a connection does when something happens on it."""
+    """Callbacks of the owner of a connection."""
 
     on_connected: Callable[[FrameConnection], None]
     on_payload: Callable[[FrameConnection, bytes], None]
@@ -34,9 +34,9 @@
     and `on_closed` once, with the reason.
 
     Attributes:
-        owner_state: Whatever the owner of the connection wants to find with it.
-        received_bytes: Of frames, the greeting among them.
-        sent_bytes: Of frames, the greeting among them.
+        owner_state: Data that the owner attaches to the connection; not used here.
+        received_bytes: Bytes received, including the greeting.
+        sent_bytes: Bytes of the frames sent, including the greeting.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         """Prepares a connection for one transport.
 
         Args:
-            cluster: The cluster's name; a peer of another one is rejected.
+            cluster: The cluster's name; a peer of another cluster is rejected.
             key: The cluster's secret.
-            name: Of this process, for the greeting.
+            name: Name of this process, for the greeting.
             role: A `PeerRole`, for the greeting.
             is_dialer: Whether this side opens the connection.
             on_connected: Called once both sides have greeted.
             on_payload: Called for each payload after the greeting.
-            on_closed: Called with the reason once the connection is gone.
+            on_closed: Called once with the reason when the connection is closed.
         """
         self._codec = FrameCodec(cluster, key, is_dialer, os.urandom(NONCE_BYTES))
         self._greeting = self._codec.encode_greeting(name, role)
@@ -75,21 +75,21 @@
 
     @property
     def peer(self) -> str:
-        """The peer's name; empty until it has greeted."""
+        """The peer's name; empty until its greeting has been accepted."""
         return self._codec.peer.name if self._codec.peer else ""
 
     @property
     def role(self) -> str:
-        """The peer's role; empty until it has greeted."""
+        """The peer's role; empty until its greeting has been accepted."""
         return self._codec.peer.role if self._codec.peer else ""
 
     @property
     def unsent_bytes(self) -> int:
-        """How much waits in this process to be sent."""
+        """Number of bytes that are buffered in this process and not yet sent."""
         return self._transport.get_write_buffer_size() if self._transport else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the greeting, and starts to wait for the peer's."""
+        """Sends the greeting, and starts the timeout for the peer's greeting."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.sent_bytes += len(self._greeting)
@@ -99,7 +99,7 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Passes on the payloads that are complete; closes the connection on anything else."""
+        """Passes each complete payload to the owner; closes the connection on an invalid frame."""
         had_greeted = self._codec.peer is not None
         self.received_bytes += len(data)
         try:
@@ -121,18 +121,18 @@
         """Sends a payload.
 
         Returns:
-            False where it was not sent: the connection is gone, the peer has not greeted or does
-            not read, or the payload is too large for a frame.
+            False if the payload was not sent: the connection is closed, the peer has not greeted or
+            does not read, or the payload is too large for a frame.
         """
         if self._transport is None or self._codec.peer is None:
             return False
         if self.unsent_bytes > MAX_UNSENT_BYTES:
-            self.close("the other side takes nothing")
+            self.close("the peer does not read")
             return False
         try:
             frame = self._codec.encode_frame(payload)
         except FrameError as error:
-            # The message says it all; a traceback would add nothing.
+            # The message names the cause; a traceback would add nothing.
             details = {"peer": self.peer, "why": error}
             log.error("frame not sent", extra={"kv": details})  # noqa: TRY400
             return False
@@ -141,7 +141,7 @@
         return True
 
     def close(self, reason: str) -> None:
-        """Closes the connection at once, without what is unsent; `on_closed` gets the reason."""
+        """Closes the connection at once and discards unsent bytes; `on_closed` gets the reason."""
         self._close_reason = reason
         if self._transport:
             self._transport.abort()
--- a/mothstall/store/protocol/frames.py
+++ b/mothstall/store/protocol/frames.py
@@ -1,10 +1,10 @@
-"""Frames between processes: bytes in, complete payloads out, and the other way round. Pure.
+"""Encoding and decoding of the frames between processes. Pure.
 
-A frame is its length, the format's version, the cluster's digest, the payload, and a keyed hash
-(BLAKE2b, RFC 7693) over all of these, the direction and the frame's number on the connection. Each
-side first sends a greeting with a nonce that is drawn for this connection alone, and both nonces go
-into the key of all later frames: a frame that is replayed from another connection, left out or out
-of order is detected.
+A frame consists of its length, the format version, the cluster's digest, the payload, and a keyed
+hash (BLAKE2b, RFC 7693) over all of these, the direction and the frame's number in that direction.
+Each side first sends a greeting with a nonce that is drawn for this connection alone. The key of
+all later frames is derived from both nonces, so that a frame that is replayed from another
+connection, left out or out of order is detected.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from mothstall.store.errors import FrameError
 
 FORMAT_VERSION = 1
-MAX_FRAME_BYTES = 2 * 1024 * 1024  # bytes behind the header; bounds what a peer makes us buffer
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # bytes after the header; bounds what is buffered for a peer
 NONCE_BYTES = 16  # bytes
 MAX_PEER_NAME_LENGTH = 100  # characters
 _MAC_BYTES = 16
 _CLUSTER_DIGEST_BYTES = 8
-_MAX_KEY_BYTES = 64  # BLAKE2b takes no longer key
-_HEADER = struct.Struct("!IB8s")  # bytes behind this header, version, cluster's digest
-_FROM_DIALER = b"dial"  # directions, as part of the hash
+_MAX_KEY_BYTES = 64  # the longest key that BLAKE2b accepts
+_HEADER = struct.Struct("!IB8s")  # number of bytes after this header, version, cluster's digest
+_FROM_DIALER = b"dial"  # label of the direction, part of the hash
 _FROM_ACCEPTER = b"take"
 
 
 class PeerRole(StrEnum):
-    """What a process says it is in its greeting; the values are sent and stay as they are."""
+    """The kind of a process, sent in its greeting; the values are part of the wire format."""
 
     KEEPER = "keeper"
     OBSERVER = "observer"
@@ -44,8 +44,8 @@
     """The payload of the first frame in each direction.
 
     Attributes:
-        name: The process that sends it.
-        role: A `PeerRole`; another one is for the receiver to reject.
+        name: Name of the process that sends it.
+        role: A `PeerRole`; the receiver has to reject any other value.
         nonce: Random bytes for this connection.
     """
 
@@ -59,8 +59,8 @@
     """The frames of one direction of a connection.
 
     Attributes:
-        label: Names the direction in the hash.
-        frame_count: How many frames have gone this way.
+        label: Identifies the direction in the keyed hash.
+        frame_count: Number of frames so far in this direction.
     """
 
     label: bytes
@@ -68,14 +68,14 @@
 
 
 class FrameCodec:
-    """One end of one connection."""
+    """Encodes and decodes the frames at one end of a connection."""
 
     def __init__(self, cluster: str, key: bytes, is_dialer: bool, nonce: bytes) -> None:
         """Prepares a connection.
 
         Args:
-            cluster: The cluster's name; frames of another one are rejected.
-            key: The cluster's secret; the first 64 bytes count.
+            cluster: The cluster's name; frames of another cluster are rejected.
+            key: The cluster's secret; only the first 64 bytes are used.
             is_dialer: Whether this side opened the connection.
             nonce: Random bytes, drawn for this connection alone.
         """
@@ -103,7 +103,7 @@
         """
         size = len(payload) + _MAC_BYTES
         if size > MAX_FRAME_BYTES:
-            raise FrameError(f"a frame of {size} bytes, more than {MAX_FRAME_BYTES}")
+            raise FrameError(f"frame of {size} bytes is more than the limit of {MAX_FRAME_BYTES}")
         header = _HEADER.pack(size, FORMAT_VERSION, self._cluster)
         mac = self._mac(self._outgoing, header, payload)
         self._outgoing.frame_count += 1
@@ -113,7 +113,7 @@
         """Returns the payloads that are complete with these bytes; the greeting goes to `peer`.
 
         Raises:
-            FrameError: The bytes are no frame of this connection, which has to be closed.
+            FrameError: The bytes are not a valid frame of this connection, which has to be closed.
         """
         self._buffer += data
         payloads: list[bytes] = []
@@ -127,7 +127,7 @@
                 payloads.append(payload)
 
     def _next_payload(self) -> bytes | None:
-        """Takes one verified frame from the buffer; None: it is not complete yet."""
+        """Removes one frame from the buffer, verified; None: it is not complete yet."""
         if len(self._buffer) < _HEADER.size:
             return None
         header = bytes(self._buffer[: _HEADER.size])
@@ -140,22 +140,22 @@
         del self._buffer[:frame_end]
         if not hmac.compare_digest(mac, self._mac(self._incoming, header, payload)):
             raise FrameError(
-                f"frame {self._incoming.frame_count}: the keyed hash does not fit: "
+                f"frame {self._incoming.frame_count}: the keyed hash does not match: "
                 "another key, number or connection"
             )
         self._incoming.frame_count += 1
         return payload
 
     def _checked_size(self, header: bytes) -> int:
-        """Returns how many bytes follow a header, which may be of any size up to the limit."""
+        """Checks a header, and returns the number of bytes that follow it."""
         size: int
         size, version, cluster = _HEADER.unpack(header)
         if version != FORMAT_VERSION:
-            raise FrameError(f"version {version}, this side speaks {FORMAT_VERSION}")
+            raise FrameError(f"frame format version {version} instead of {FORMAT_VERSION}")
         if cluster != self._cluster:
-            raise FrameError("another cluster's frame")
+            raise FrameError("frame of another cluster")
         if not _MAC_BYTES <= size <= MAX_FRAME_BYTES:
-            raise FrameError(f"a frame that claims {size} bytes")
+            raise FrameError(f"frame header claims {size} bytes")
         return size
 
     def _mac(self, direction: _Direction, header: bytes, payload: bytes) -> bytes:
@@ -173,9 +173,9 @@
         try:
             peer = msgspec.msgpack.decode(payload, type=Greeting)
         except (msgspec.DecodeError, ValueError) as error:
-            raise FrameError("a greeting that cannot be read") from error
+            raise FrameError("greeting cannot be decoded") from error
         if len(peer.nonce) != NONCE_BYTES or len(peer.name) > MAX_PEER_NAME_LENGTH:
-            raise FrameError("a greeting of wrong size")
+            raise FrameError("greeting has a nonce of wrong length or too long a name")
         nonces = self._nonce + peer.nonce if self._is_dialer else peer.nonce + self._nonce
         self._session_key = hashlib.blake2b(nonces, key=self._greeting_key).digest()
         self.peer = peer
--- a/mothstall/store/protocol/keeper_messages.py
+++ b/mothstall/store/protocol/keeper_messages.py
@@ -1,7 +1,7 @@
 """Messages between a keeper and its clients: agents, observers and operators' tools. Pure.
 
-The explicit tags are the names that the wire has always used. All structs are arrays: the order of
-their fields is part of the format, their names are not.
+The explicit tags are the type names on the wire and never change. All structs are encoded as
+arrays: the order of their fields is part of the format, the field names are not.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class AdminVerb(StrEnum):
-    """What an operator asks of one keeper or observer; the values are sent and stay as they are."""
+    """An operator's command to one keeper or observer; the values are part of the wire format."""
 
-    STATUS = "status"  # the only one that an observer answers
+    STATUS = "status"  # the only command that observers support
     ADD = "add"
     REMOVE = "remove"
     TRANSFER = "transfer"
@@ -31,12 +31,12 @@
 class ProposeRequest(_Message, frozen=True, tag="Ask"):
     """Proposes a change; answered by a `ProposeResponse`.
 
-    The same `request_id` again says that the answer is still wanted.
+    A repeated `request_id` means that the caller still waits for the response.
 
     Attributes:
         request_id: Chosen by the caller; the response has the same.
         proposal: The change, and the session that proposes it.
-        wait_ms: For how long the caller waits from now on, by its own clock; 0: without a limit.
+        wait_ms: Milliseconds that the caller still waits, by its own clock; 0: without a limit.
     """
 
     request_id: int
@@ -45,10 +45,10 @@
 
 
 class CancelRequest(_Message, frozen=True, tag="Withdraw"):
-    """Says that nobody waits for the answer to a proposal any more; has no response.
+    """The caller no longer waits for the response to a proposal; has no response itself.
 
     Attributes:
-        request_id: Of the `ProposeRequest`.
+        request_id: As in the `ProposeRequest`.
     """
 
     request_id: int
@@ -79,7 +79,7 @@
 
     Attributes:
         request_id: Chosen by the caller; the response has the same.
-        verb: An `AdminVerb`; another one is answered by a rejection.
+        verb: An `AdminVerb`; any other value is rejected.
         target: The keeper to add, to remove or to transfer the leadership to.
     """
 
@@ -92,7 +92,7 @@
     """A proxy's report for all subscribers at any keeper; not stored, and has no response.
 
     Attributes:
-        report: The encoded report; keepers do not read it.
+        report: The encoded report; keepers do not decode it.
     """
 
     report: bytes
@@ -102,7 +102,7 @@
     """Begins or ends a subscription to all proxies' reports; answered by `ReportBatch`es.
 
     Attributes:
-        enabled: Whether reports are wanted from now on.
+        enabled: True begins the subscription, False ends it.
     """
 
     enabled: bool
@@ -122,8 +122,8 @@
     """The answer to a `ProposeRequest`.
 
     Attributes:
-        request_id: Of the request.
-        result: What became of the change.
+        request_id: As in the request.
+        result: The result of the change.
     """
 
     request_id: int
@@ -134,8 +134,8 @@
     """The answer to a `ReadRequest`.
 
     Attributes:
-        request_id: Of the request.
-        delta: The complete state; it contains all that was acknowledged before the request.
+        request_id: As in the request.
+        delta: The complete state, with every change that was acknowledged before the request.
     """
 
     request_id: int
@@ -143,10 +143,10 @@
 
 
 class WatchEvent(_Message, frozen=True, tag="Push"):
-    """What is new to a watcher.
+    """An update for a watcher.
 
     Attributes:
-        delta: The difference to the version that the watcher has; possibly empty.
+        delta: The changes since the version that the watcher has; possibly empty.
         has_leader: Whether this keeper is in contact with a leader, so that the state is recent.
     """
 
@@ -168,8 +168,8 @@
     """The answer to an `AdminCommand` or a `LocalDrainRequest`.
 
     Attributes:
-        request_id: Of the request.
-        rejected_reason: Why it was not done; empty: it was.
+        request_id: As in the request.
+        rejected_reason: Why the command was rejected; empty: it was executed.
         body: What the command returns: JSON, or the compressed state for a backup.
     """
 
@@ -202,7 +202,7 @@
         request_id: Chosen by the caller; the response has the same.
         lease: The lease that the caller holds; empty: it acts for an operator.
         token: The lease's fencing token.
-        change: What to do; None: only check the lease and its token.
+        change: The drain to put or to remove; None: only check the lease and its token.
     """
 
     request_id: int
--- a/mothstall/store/protocol/observer_messages.py
+++ b/mothstall/store/protocol/observer_messages.py
@@ -1,8 +1,8 @@
 """Messages between a proxy and an observer. Pure.
 
-Proposals go through an observer as `keeper_messages.ProposeRequest` and come back as
-`keeper_messages.ProposeResponse`, under the proxy's own session: an observer decides nothing about
-them. The explicit tags are the names that the wire has always used; the order of fields is part of
+An observer forwards proposals (`keeper_messages.ProposeRequest`) and their responses
+(`keeper_messages.ProposeResponse`) under the proxy's own session, and decides nothing about them.
+The explicit tags are the type names on the wire and never change; the order of fields is part of
 the format.
 """
 
@@ -19,13 +19,13 @@
 
 
 class AttachRequest(_Message, frozen=True, tag="Come"):
-    """Attaches a proxy; from now on it gets the part of the state that it subscribes to.
+    """Attaches a proxy, which from then on gets the part of the state that it subscribes to.
 
     Attributes:
         name: The proxy.
-        epoch: Counts the proxy's attachments, one observer each.
+        epoch: Number of the proxy's attachment; each attachment has one observer.
         zone: The proxy's zone.
-        backend_prefixes: Prefixes of the names of the backends that it serves; "" is all.
+        backend_prefixes: Prefixes of the names of the backends that it serves; "" means all.
         known_version: The version of the state that it has; 0: none.
     """
 
@@ -37,17 +37,17 @@
 
 
 class Heartbeat(_Message, frozen=True, tag="Alive"):
-    """Says that an attached proxy is alive.
+    """Reports that an attached proxy is alive.
 
     Attributes:
-        epoch: Of its attachment.
+        epoch: Epoch of its attachment.
     """
 
     epoch: int
 
 
 class ResyncRequest(_Message, frozen=True, tag="Again"):
-    """Says that an update does not fit what the proxy has; answered by one that does.
+    """Reports that an update does not continue the proxy's version; answered by one that does.
 
     Attributes:
         known_version: The version of the state that it has; 0: none.
@@ -57,21 +57,21 @@
 
 
 class DetachRequest(_Message, frozen=True, tag="Bye"):
-    """Says that the proxy shuts down, so that its row can be removed at once.
+    """Reports that the proxy shuts down, so that its row can be removed at once.
 
     Attributes:
-        epoch: Of its attachment.
+        epoch: Epoch of its attachment.
     """
 
     epoch: int
 
 
 class StateUpdate(_Message, frozen=True, tag="Fed"):
-    """What is new to a proxy.
+    """An update of the state for a proxy.
 
     Attributes:
-        delta: The difference to the version that the proxy has, of what it subscribes to.
-        age_ms: Since the observer last had contact with a keeper that has a leader; -1: never.
+        delta: The changes since the version that the proxy has, limited to its subscription.
+        age_ms: Time since the observer last reached a keeper that has a leader; -1: never.
     """
 
     delta: StateDelta
@@ -79,20 +79,20 @@
 
 
 class AttachAccepted(_Message, frozen=True, tag="Seated"):
-    """Says that the log has the proxy under this observer.
+    """Confirms that the log records the proxy as attached to this observer.
 
     Attributes:
-        epoch: Of the attachment.
+        epoch: Epoch of the attachment.
     """
 
     epoch: int
 
 
 class AttachRejected(_Message, frozen=True, tag="Turned"):
-    """Says that this observer does not have the proxy, or no longer.
+    """Reports that the proxy is not, or no longer, attached to this observer.
 
     Attributes:
-        epoch: Of the attachment.
+        epoch: Epoch of the attachment.
         reason: Why, in one line.
     """
 
@@ -101,7 +101,7 @@
 
 
 AttachmentMessage = AttachRequest | Heartbeat | ResyncRequest | DetachRequest
-"""What a proxy says about its attachment."""
+"""Messages of a proxy about its attachment."""
 
 ProxyMessage = (
     AttachmentMessage
--- a/mothstall/store/raft/early_messages.py
+++ b/mothstall/store/raft/early_messages.py
@@ -1,7 +1,8 @@
 """Which messages may be sent while a write is in progress. Pure.
 
-Messages wait for the write that they follow from. Some follow from what is on disk already:
-pre-votes, and heartbeats and acknowledgements that are limited to the persisted part of the log.
+A message is sent after the state that it depends on has been written. Some messages depend only on
+what is on disk already: pre-votes, and heartbeats and acknowledgements that are limited to the
+persisted part of the log.
 """
 
 from __future__ import annotations
@@ -21,14 +22,15 @@
 from mothstall.store.raft.progress import ProgressTracker
 from mothstall.store.raft.replica_state import ReplicaState
 
-MAX_WRITE_ELECTIONS = 2  # election timeouts that a write may take before early messages end
+MAX_WRITE_ELECTIONS = 2  # a write that takes more election timeouts ends early messages
 
 
 class EarlyMessages:
-    """Finds what may be sent before a write is done.
+    """Selects the messages that may be sent before a write is complete.
 
-    Guards against a slow disk that silences a leader, or hides a follower from it, so that no
-    leader lasts; for a disk that stands still, no longer than it takes to elect another.
+    Guards against a slow disk that delays a leader's heartbeats, or a follower's acknowledgements,
+    until the leader is deposed. Early messages end when a write takes too long, so that a replica
+    whose disk has stopped responding loses the leadership.
     """
 
     def __init__(
@@ -44,13 +46,13 @@
         self._progress = progress
 
     def take(self) -> list[Message]:
-        """Return what may be sent now; the rest stays in the outbox."""
+        """Return the messages that may be sent now; the others stay in the outbox."""
         if self._persistence.write_ticks > MAX_WRITE_ELECTIONS * self._state.timing.election_ticks:
             return []
         return self._outbox.take_early(self._early_part)
 
     def _early_part(self, message: Message) -> Message | None:
-        """Return what of a message follows from the disk as it is; None: nothing."""
+        """Return the part of a message that depends only on persisted state; None: no part."""
         if isinstance(message, RequestVote | RequestVoteResponse):
             return message if message.is_pre_vote else None
         is_of_this_term = message.term == self._state.current_term
@@ -64,7 +66,7 @@
         return None
 
     def _heartbeat_of(self, message: AppendEntries) -> AppendEntries | None:
-        """Return a heartbeat from where the follower surely agrees: it never has to reject it."""
+        """Return a heartbeat at an index where the logs surely agree, so it is not rejected."""
         match_index = self._progress.replicas[message.recipient].match_index
         prev_log_index = min(match_index, self._persistence.persisted_index)
         prev_log_term = self._state.log.term_at(prev_log_index)
--- a/mothstall/store/raft/election.py
+++ b/mothstall/store/raft/election.py
@@ -8,7 +8,7 @@
 from mothstall.store.raft.outbox import Outbox
 from mothstall.store.raft.replica_state import ReplicaState, Role
 
-# lost campaigns in a row that double the timeout: it grows eightfold at most
+# consecutive lost campaigns that double the timeout each, up to eightfold
 MAX_TIMEOUT_DOUBLINGS = 3
 
 
@@ -17,9 +17,9 @@
 
     Attributes:
         elapsed_ticks: Ticks since the last message of a leader, or since the timeout was drawn.
-        timeout_ticks: After so many elapsed ticks the replica campaigns.
-        votes: The answers of voters in the present round, by name.
-        lost_campaigns: Campaigns since the replica last heard of a leader or led.
+        timeout_ticks: Number of elapsed ticks after which the replica campaigns.
+        votes: Responses of voters in the current pre-vote or election, by name.
+        lost_campaigns: Campaigns since the replica last had a leader or led.
     """
 
     def __init__(self, state: ReplicaState, outbox: Outbox, seed: int) -> None:
@@ -54,7 +54,7 @@
         self.lost_campaigns = 0
 
     def reset(self) -> None:
-        """Forget the votes and draw a new timeout: the replica has become a follower."""
+        """Discard the votes and draw a new timeout: the replica has become a follower."""
         self.votes = {}
         self.draw_timeout()
 
@@ -93,7 +93,7 @@
         return self._has_quorum() and self._win_round()
 
     def ignores(self, request: RequestVote) -> bool:
-        """Whether a request gets no answer.
+        """Whether a vote request is ignored, without a response.
 
         Guards against a replica that has received nothing from the leader for a while and would
         depose a leader that others still receive from (thesis, 4.2.3), and against votes of a
@@ -106,7 +106,7 @@
         return has_live_leader and not request.is_leadership_transfer
 
     def answer(self, request: RequestVote) -> None:
-        """Grant the vote, or say that it would be granted, or neither (Raft, 5.4.1)."""
+        """Respond to a request: grant the vote or pre-vote, or reject it (Raft, 5.4.1)."""
         state = self._state
         granted = self._can_grant(request)
         if granted and not request.is_pre_vote:
@@ -138,7 +138,7 @@
         return granted >= configuration.quorum_size
 
     def _win_round(self) -> bool:
-        """Go from a won pre-vote to the election; True where the election itself is won."""
+        """Start the election after a won pre-vote; return whether the election itself is won."""
         if self._state.role is Role.PRE_CANDIDATE:
             return self.campaign(is_pre_vote=False)
         return True
--- a/mothstall/store/raft/follower.py
+++ b/mothstall/store/raft/follower.py
@@ -1,4 +1,4 @@
-"""What a replica does with the messages of its leader (Raft, 5.3 and 7). Pure."""
+"""A follower's handling of the messages of its leader (Raft, 5.3 and 7). Pure."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Follower:
-    """Takes entries and snapshots from a leader of the current term, and answers them."""
+    """Accepts entries and snapshots from a leader of the current term, and responds to them."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._snapshots = SnapshotReceiver(state, outbox, persistence)
 
     def handle_append(self, request: AppendEntries) -> None:
-        """Take entries where the logs agree before them, and answer.
+        """Append entries if the logs agree at the entry before them, and respond.
 
         Raises:
             CommittedEntryConflictError: An entry conflicts with a committed one.
@@ -43,7 +43,7 @@
         prev_log_index = request.prev_log_index
         self._recovery.observe(request.sender, _promises_of_leader(request))
         if prev_log_index < state.log.base_index:
-            # Older than the log in memory: that is committed, so it agrees.
+            # Entries before the log in memory are committed, so the logs agree there.
             self.answer(request, success=True, match_index=state.commit_index)
             return
         if state.log.term_at(prev_log_index) != request.prev_log_term:
@@ -58,7 +58,7 @@
         self.answer(request, success=True, match_index=match_index)
 
     def handle_snapshot(self, request: InstallSnapshot) -> None:
-        """Take a chunk of a snapshot, and answer."""
+        """Store a chunk of a snapshot, and respond."""
         commit_index = self._state.commit_index
         is_needed = request.last_included_index > commit_index
         if is_needed and request.total_bytes <= MAX_SNAPSHOT_BYTES:
@@ -67,17 +67,17 @@
         self._send_answer(request.sender, True, commit_index, commit_index, 0)
 
     def answer(self, request: AppendEntries, *, success: bool, match_index: int) -> None:
-        """Answer a request of the current leader."""
+        """Respond to a request of the current leader."""
         self._send_answer(
             request.sender, success, request.prev_log_index, match_index, request.read_round
         )
 
     def reject_old_leader(self, name: str) -> None:
-        """Answer a leader of an older term, from which it learns of the newer one."""
+        """Reject a leader of an older term; the response carries the current term."""
         self._send_answer(name, False, 0, 0, 0)
 
     def _take(self, entry: Entry) -> None:
-        """Add an entry; a conflicting one at its index and all after it are removed."""
+        """Append an entry; a conflicting one at its index and all after it are removed first."""
         log = self._state.log
         existing_term = log.term_at(entry.index)
         if existing_term == entry.term or entry.index <= log.base_index:
@@ -85,14 +85,14 @@
         if existing_term != UNKNOWN_TERM:
             if entry.index <= self._state.commit_index:
                 raise CommittedEntryConflictError(
-                    f"{self._state.name}: committed entry {entry.index} would be cut"
+                    f"{self._state.name}: committed entry {entry.index} would be truncated"
                 )
             log.truncate_from(entry.index)
             self._persistence.entries_truncated(entry.index)
         log.append(entry)
 
     def _retry_index(self, request: AppendEntries) -> int:
-        """Return where the leader may retry: entries of newer terms than its own are skipped."""
+        """Return the index to retry from; entries of terms after `prev_log_term` are skipped."""
         log = self._state.log
         index = min(request.prev_log_index - 1, log.last_index)
         while index > log.base_index and log.term_at(index) > request.prev_log_term:
@@ -117,7 +117,7 @@
 
 
 def _promises_of_leader(request: AppendEntries) -> ObservedPromises:
-    """Return what a leader promises: it sends only what is on its own disk."""
+    """Return the promises of a leader that a request implies: it sends only what is on its disk."""
     if request.entries:
         last = request.entries[-1]
         return ObservedPromises(request.term, last.term, last.index)
--- a/mothstall/store/raft/leader.py
+++ b/mothstall/store/raft/leader.py
@@ -28,7 +28,7 @@
     """The leader's state, which is empty while the replica does not lead.
 
     Attributes:
-        progress: What is known of each replica.
+        progress: Replication progress of each replica.
         reads: Reads that wait for a quorum.
         replication: Sends the log to the others.
         transfer: A transfer of the leadership.
@@ -57,7 +57,7 @@
         self.replication.start_term()
 
     def step_down(self) -> None:
-        """Forget all that concerns the term in which the replica led."""
+        """Discard the state of the term in which the replica led."""
         self.transfer.cancel()
         self.progress.clear()
         self.reads.clear()
@@ -81,7 +81,7 @@
             self.propose_configuration(change.voters, change.learners)
 
     def propose(self, data: bytes) -> bool:
-        """Add a command to the log; False during a transfer, or where too many entries wait."""
+        """Append a command to the log; False during a transfer, or if too many entries wait."""
         uncommitted = self._state.log.last_index - self._state.commit_index
         if self.transfer.is_in_progress or uncommitted >= MAX_UNCOMMITTED_ENTRIES:
             return False
@@ -89,7 +89,7 @@
         return True
 
     def propose_configuration(self, voters: Sequence[str], learners: Sequence[str]) -> str:
-        """Propose a configuration; return the reason where that cannot be, else empty."""
+        """Propose a configuration; return why it is rejected, else an empty string."""
         proposed = Configuration(tuple(sorted(voters)), tuple(sorted(learners)))
         reason = membership.rejection_reason(self._state, proposed)
         if reason:
@@ -99,13 +99,13 @@
         return ""
 
     def read(self, sender: str, context: int) -> None:
-        """Begin a read of any replica: a heartbeat is to confirm that this one still leads."""
+        """Begin a read for any replica; a heartbeat has to confirm that this one still leads."""
         if self.reads.add(sender, context):
             self.replication.broadcast(is_heartbeat=True)
             self.reads.release_confirmed()
 
     def handle_append_response(self, response: AppendEntriesResponse) -> bool:
-        """Take a follower's answer; False where the sender is no replica of the configuration."""
+        """Handle a follower's response; False if the sender is not in the configuration."""
         progress = self.progress.replicas.get(response.sender)
         if progress is None:
             return False
@@ -115,12 +115,12 @@
         return True
 
     def handle_snapshot_response(self, response: InstallSnapshotResponse) -> None:
-        """Take a follower's answer to a chunk of a snapshot."""
+        """Handle a follower's response to a chunk of a snapshot."""
         progress = self.progress.replicas.get(response.sender)
         if progress is not None:
             self.replication.handle_snapshot_response(response, progress)
 
     def entries_persisted(self) -> None:
-        """Count the leader's own copy of what is on its disk now."""
+        """Count the entries that are now on the leader's own disk towards the quorum."""
         self.progress.own.match_index = self._persistence.persisted_index
         self.replication.advance_commit_index()
--- a/mothstall/store/raft/leadership_transfer.py
+++ b/mothstall/store/raft/leadership_transfer.py
@@ -28,7 +28,7 @@
         return bool(self.target)
 
     def begin(self, target: str) -> str:
-        """Begin a transfer; return the reason where that cannot be, else an empty string."""
+        """Begin a transfer; return why it is rejected, else an empty string."""
         state = self._state
         if target == state.name or target not in state.configuration.voters:
             return f"{target} is no other voter"
@@ -40,7 +40,7 @@
         return ""
 
     def tick(self) -> None:
-        """Give the transfer up when its time is over."""
+        """Cancel the transfer when its time is over."""
         if not self.is_in_progress:
             return
         self._remaining_ticks -= 1
@@ -52,7 +52,7 @@
         self.target = ""
 
     def complete_if_caught_up(self) -> None:
-        """Let the target campaign once it holds the complete log."""
+        """Make the target campaign once it holds the complete log."""
         state = self._state
         if self._progress.replicas[self.target].match_index == state.log.last_index:
             self._outbox.send(
--- a/mothstall/store/raft/log.py
+++ b/mothstall/store/raft/log.py
@@ -8,7 +8,7 @@
 
 UNKNOWN_TERM = -1  # of an entry that is not in the log
 UNLIMITED_BYTES = 1 << 30  # more than all entries of a log in memory
-ENTRY_OVERHEAD_BYTES = 24  # an upper estimate of what an entry takes beside its data when encoded
+ENTRY_OVERHEAD_BYTES = 24  # an upper estimate of an entry's encoded size without its data
 
 
 class RaftLog:
@@ -19,7 +19,7 @@
         entries: The entries in memory, the first one at `base_index + 1`.
         base_index: Index of the entry before the first one in memory.
         base_term: Term of that entry.
-        configurations: Index and configuration, in the order of the log; the last one applies.
+        configurations: Index and configuration, in log order; the last one applies now.
     """
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -46,7 +46,7 @@
 
     @property
     def configuration_index(self) -> int:
-        """Index of the entry that brought the newest configuration."""
+        """Index of the entry that holds the newest configuration."""
         return self.configurations[-1][0]
 
     def configuration_at(self, index: int) -> Configuration:
@@ -74,24 +74,24 @@
         return tuple(found)
 
     def append(self, entry: Entry) -> None:
-        """Add the entry after the last one; a configuration applies from now on."""
+        """Append an entry; if it holds a configuration, that applies at once."""
         self.entries.append(entry)
         if entry.kind == EntryKind.CONFIGURATION:
             configuration = msgspec.msgpack.decode(entry.data, type=Configuration)
             self.configurations.append((entry.index, configuration))
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from `index` on, and the configurations that they brought."""
+        """Remove the entries from `index` on, and the configurations in them."""
         del self.entries[index - self.base_index - 1 :]
         while len(self.configurations) > 1 and self.configuration_index >= index:
             self.configurations.pop()
 
     def compact(self, snapshot: Snapshot, retained_entries: int) -> None:
-        """Replace the entries that `snapshot` covers by it.
+        """Replace the entries that a snapshot covers by the snapshot.
 
         Args:
             snapshot: The state after an applied entry.
-            retained_entries: How many of the covered entries stay, for followers that lag a little.
+            retained_entries: Number of covered entries to keep for followers that lag slightly.
         """
         self.snapshot = snapshot
         new_base = max(self.base_index, snapshot.last_included_index - retained_entries)
--- a/mothstall/store/raft/membership.py
+++ b/mothstall/store/raft/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by single steps (Ongaro's thesis, 4.1 and its correction). Pure."""
+"""Configuration changes of one voter at a time (Ongaro's thesis, 4.1, corrected). Pure."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     if not state.is_configuration_committed:
         return "an earlier change of the keepers is not committed yet"
     if state.name not in proposed.voters:
-        return "the leader stays a voter: transfer first"
+        return "the leader has to remain a voter: transfer the leadership first"
     if set(proposed.voters) & set(proposed.learners):
         return "a keeper is a voter or a learner, not both"
     if len(set(current.voters) ^ set(proposed.voters)) > 1:
-        return "one voter at a time"
+        return "only one voter can be added or removed at a time"
     if proposed == current:
-        return "nothing would change"
+        return "the configuration would not change"
     return ""
 
 
 def automatic_change(state: ReplicaState, replicas: Mapping[str, Progress]) -> Configuration | None:
-    """Return the configuration that a leader proposes by itself; None: none.
+    """Return the configuration that a leader proposes on its own; None: no change is due.
 
     A voter that has lost promises becomes a learner first; a learner that has caught up becomes a
     voter.
--- a/mothstall/store/raft/messages.py
+++ b/mothstall/store/raft/messages.py
@@ -1,6 +1,6 @@
 """Messages between replicas, and the records that a replica's log and disk hold. Pure.
 
-Terms and indexes count from 1; 0 stands for none. All structs are encoded as arrays, so the order
+Terms and indexes count from 1; 0 means none. All structs are encoded as arrays, so the order
 of their fields is part of the wire and disk format, and the tags name the types on the wire.
 """
 
@@ -23,7 +23,7 @@
     """Whether a replica still has all promises it made before its start; the numbers are sent."""
 
     NORMAL = 0
-    VERIFYING = 1  # just started: queries the others for what they have observed of it
+    VERIFYING = 1  # just started: queries the others for its promises that they observed
     RECOVERING = 2  # its disk has lost promises: it has no vote until it has been a learner
 
     @property
@@ -105,8 +105,8 @@
     Attributes:
         last_log_index: Index of the candidate's last entry.
         last_log_term: Term of the candidate's last entry.
-        is_pre_vote: Whether only to find out if a vote would be granted (thesis, 9.6).
-        is_leadership_transfer: Whether the leader itself made it campaign (thesis, 3.10).
+        is_pre_vote: Whether it only tests if a vote would be granted (thesis, 9.6).
+        is_leadership_transfer: Whether the leader itself triggered the campaign (thesis, 3.10).
     """
 
     last_log_index: int
@@ -184,7 +184,7 @@
 
     Attributes:
         last_included_index: As in the request.
-        received_bytes: How much of the snapshot has arrived without a gap.
+        received_bytes: Bytes of the snapshot that have arrived, from its start without a gap.
         recovery_status: Whether the follower's answers count towards a quorum.
     """
 
@@ -217,7 +217,7 @@
 
 
 class RecoveryQuery(_Message, frozen=True, kw_only=True, tag="Hello"):
-    """A replica that has just started queries what the recipient has observed of its promises.
+    """A newly started replica queries which of its promises the recipient has observed.
 
     Attributes:
         seen_term: The sender's own term.
--- a/mothstall/store/raft/node.py
+++ b/mothstall/store/raft/node.py
@@ -1,17 +1,18 @@
-"""One replica of the consensus: messages, ticks and writes in, messages and writes out. Pure.
+"""One Raft replica: takes messages, ticks and completed writes, and returns `Ready`s. Pure.
 
 Raft as published: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
 (2014), cited as "Raft", and Ongaro's thesis "Consensus: Bridging Theory and Practice" (2014), cited
-as "thesis": pre-vote (9.6), check quorum (6.2), protection of live leaders (4.2.3), membership by
-single steps (4.1, with the correction that a leader first commits an entry of its own term), read
-index (6.4) and leadership transfer (3.10).
+as "thesis": pre-vote (9.6), check quorum (6.2), protection of live leaders (4.2.3), membership
+changes of one voter at a time (4.1, with the correction that a leader first commits an entry of its
+own term), read index (6.4) and leadership transfer (3.10).
 
-The shell calls `ready`, writes what it holds, calls `complete_write`, sends the messages and
-applies what is committed: no message is sent before what it follows from is on disk. While a write
-is in progress the shell sends what `take_early_messages` returns.
+The shell, which does the I/O, calls `ready`, writes the records in it, calls `complete_write`,
+sends the messages and applies the committed entries: no message is sent before the state that it
+depends on is on disk. While a write is in progress the shell sends the messages that
+`take_early_messages` returns.
 
-`RaftNode` composes the parts, each in a module of its own, and is the only one that decides when
-the role changes between leader and follower.
+`RaftNode` combines the components, each in a module of its own, and alone decides when the role
+changes between leader and follower.
 """
 
 from __future__ import annotations
@@ -55,11 +56,11 @@
     """One replica.
 
     Attributes:
-        options: Switches of the replica.
+        options: Options of the replica.
         state: Term, vote, log, role and indexes.
         outbox: Messages that wait for the next write.
         persistence: What is on disk, and what is being written.
-        recovery: The check of the promises from before the start.
+        recovery: The check that no promise from before the start is lost.
         election: Election timeout and votes.
     """
 
@@ -77,9 +78,9 @@
         Args:
             name: Its name in the configuration.
             timing: Election timeout and heartbeat interval.
-            seed: Of the random election timeouts.
+            seed: Seed of the random election timeouts.
             hard_state: Term and vote.
-            snapshot: The newest snapshot; with index 0 it only contains the first configuration.
+            snapshot: The newest snapshot; at index 0 it only contains the first configuration.
             entries: The log; entries before the end of the snapshot are skipped.
         """
         self.options = RaftOptions()
@@ -158,7 +159,7 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads and has committed an entry of its term: it knows all commits."""
+        """Whether it has committed an entry of its term as leader: its commit index is current."""
         return self.state.has_committed_in_term
 
     @property
@@ -170,24 +171,24 @@
     def has_ready(self) -> bool:
         """Whether there are entries to apply or to write, or messages to send.
 
-        A change of term or vote alone does not count: the message that it belongs to does.
+        A change of term or vote alone does not count, but any message that depends on it does.
         """
         has_entries_to_apply = self.last_applied < self.commit_index
         has_messages = bool(self.outbox.messages) or self._leader.replication.is_broadcast_due
         return has_entries_to_apply or has_messages or self.persistence.has_unwritten_entries
 
     def progress(self) -> dict[str, Progress]:
-        """Return what a leader knows of each replica, itself among them; empty if not leading."""
+        """Return the progress of all replicas, itself included; empty if it does not lead."""
         return self._leader.progress.replicas if self.is_leader else {}
 
     # Requests of the shell
 
     def propose(self, data: bytes) -> bool:
-        """Add a command to the log; False where it does not lead, or too many entries wait."""
+        """Append a command to the log; False if this replica does not lead or rejects it."""
         return self.is_leader and self._leader.propose(data)
 
     def forward(self, data: bytes) -> bool:
-        """Hand a command to the leader, wherever it is; False where none takes it."""
+        """Propose a command, or send it to the leader; False if rejected or without a leader."""
         if self.is_leader:
             return self.propose(data)
         if self.leader:
@@ -195,7 +196,7 @@
         return bool(self.leader)
 
     def request_read(self, context: int) -> None:
-        """Request a read index, which comes with a later `ready` or never: the caller retries."""
+        """Request a read index; a later `ready` contains it, or never: the caller retries."""
         if self.is_leader:
             self._leader.read(self.name, context)
         elif self.leader:
@@ -205,14 +206,14 @@
         """Propose a configuration that differs by at most one voter.
 
         Returns:
-            The reason where that cannot be, else an empty string.
+            Why it is rejected, else an empty string.
         """
         if not self.is_leader or self._leader.transfer.is_in_progress:
             return "this keeper does not lead"
         return self._leader.propose_configuration(voters, learners)
 
     def transfer_leadership(self, target: str) -> str:
-        """Begin to transfer the leadership; return why it cannot be, else an empty string."""
+        """Begin to transfer the leadership; return why it is rejected, else an empty string."""
         if not self.is_leader:
             return "this keeper does not lead"
         return self._leader.transfer.begin(target)
@@ -223,7 +224,7 @@
         Args:
             index: Index of that entry.
             data: The state after it.
-            retained_entries: How many entries before it stay, for followers that lag a little.
+            retained_entries: Number of entries before it to keep for followers that lag slightly.
 
         Returns:
             The snapshot, which the shell writes.
@@ -236,7 +237,7 @@
     # Time, writes and messages
 
     def tick(self) -> None:
-        """Count one tick of time."""
+        """Advance the time by one tick."""
         self.election.elapsed_ticks += 1
         self.persistence.tick()
         if self.is_leader:
@@ -269,11 +270,11 @@
             self._leader.entries_persisted()
 
     def take_early_messages(self) -> list[Message]:
-        """Return what may be sent before the write that is due or in progress is done."""
+        """Return the messages that may be sent before the due or running write is complete."""
         return self._early_messages.take()
 
     def step(self, message: Message) -> None:
-        """Take a message of another replica; one for another recipient is ignored."""
+        """Handle a message from another replica; one for another recipient is ignored."""
         if message.recipient != self.name:
             return
         match message:
@@ -302,7 +303,7 @@
         | InstallSnapshotResponse
         | TimeoutNow,
     ) -> None:
-        """Take a message that counts in its own term alone."""
+        """Handle a message that is valid only in its own term."""
         if not self._accepts_term(message):
             return
         match message:
@@ -362,7 +363,7 @@
         self.election.leader_found()
 
     def _accepts_term(self, message: Message) -> bool:
-        """Follow a newer term; return whether a message is of the current one."""
+        """Adopt a newer term; return whether a message is of the current one."""
         if isinstance(message, RequestVoteResponse) and message.is_pre_vote:
             return self._accepts_pre_vote_response(message)
         if _recovery_status_of_sender(message) == RecoveryStatus.NORMAL:
@@ -372,13 +373,13 @@
             self._become_follower(message.term, message.sender if is_from_leader else "")
         elif message.term < self.current_term:
             if is_from_leader:
-                # Guards against a leader that never learns of the newer term, and goes on for ever.
+                # Guards against a stale leader that gets no response and never steps down.
                 self._follower.reject_old_leader(message.sender)
             return False
         return True
 
     def _accepts_pre_vote_response(self, response: RequestVoteResponse) -> bool:
-        """Return whether it counts: its term is the one of the election that would follow."""
+        """Return whether it counts; its term is that of the election that would follow."""
         if response.term > self.current_term and not response.vote_granted:
             self._become_follower(response.term, leader="")
         return self.role is Role.PRE_CANDIDATE
--- a/mothstall/store/raft/outbox.py
+++ b/mothstall/store/raft/outbox.py
@@ -8,11 +8,11 @@
 
 
 class Outbox:
-    """Messages in the order in which they were made."""
+    """Messages in the order in which they were added."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
-        self._examined_count = 0  # messages at the front that `take_early` has already seen
+        self._examined_count = 0  # messages at the front that `take_early` has already examined
 
     def send(self, message: Message) -> None:
         """Add a message that is sent after the next write."""
@@ -26,13 +26,13 @@
         return messages
 
     def take_early(self, early_part: Callable[[Message], Message | None]) -> list[Message]:
-        """Return what may be sent before the next write; what is not sent completely stays.
+        """Return the messages, or parts of them, that may be sent before the next write.
 
-        Each message is examined once. Of several `AppendEntries` to one recipient only the newest
-        is returned.
+        A message stays in the outbox unless it is returned unchanged. Each message is examined
+        once. Of several `AppendEntries` to one recipient only the newest is returned.
 
         Args:
-            early_part: The part of a message that may be sent now; None: nothing of it.
+            early_part: Returns the part of a message that may be sent now; None: no part.
         """
         early: dict[object, Message] = {}
         remaining = self.messages[: self._examined_count]
--- a/mothstall/store/raft/persistence.py
+++ b/mothstall/store/raft/persistence.py
@@ -1,4 +1,4 @@
-"""What of a replica's state is on disk, and what waits to be written. Pure."""
+"""Which part of a replica's state is on disk, and which waits to be written. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Persistence:
-    """Follows the writes of one replica, of which at most one is in progress.
+    """Tracks the writes of one replica, of which at most one is in progress.
 
     Attributes:
         persisted_index: Index up to which the log is on disk.
@@ -41,7 +41,7 @@
 
     @property
     def is_hard_state_persisted(self) -> bool:
-        """Whether term and vote are on disk as they are, and no snapshot waits for a write."""
+        """Whether the current term and vote are on disk, and no snapshot waits to be written."""
         if self._is_writing_snapshot or self._received_snapshot:
             return False
         return self._state.hard_state == self._persisted_hard_state
@@ -52,7 +52,7 @@
             self.write_ticks += 1
 
     def entries_truncated(self, first_removed: int) -> None:
-        """Note that the log has dropped its entries from `first_removed` on."""
+        """Note that the log has removed its entries from `first_removed` on."""
         self._scheduled_index = min(self._scheduled_index, first_removed - 1)
         self.persisted_index = min(self.persisted_index, first_removed - 1)
 
@@ -63,7 +63,7 @@
         self._received_snapshot = snapshot
 
     def begin_write(self) -> Ready:
-        """Return all that is to be written; the write is in progress from now on."""
+        """Return everything that is to be written, and mark the write as in progress."""
         hard_state = self._state.hard_state
         ready = Ready(snapshot=self._received_snapshot)
         if hard_state != self._scheduled_hard_state:
@@ -85,7 +85,7 @@
             self._persisted_hard_state = ready.hard_state
         if ready.snapshot:
             self.persisted_index = max(self.persisted_index, ready.snapshot.last_included_index)
-        # An entry that was replaced during the write is not on disk in its present form.
+        # If the last entry was replaced during the write, the new one is not on disk yet.
         if (
             ready.entries
             and self._state.log.term_at(ready.entries[-1].index) == ready.entries[-1].term
--- a/mothstall/store/raft/progress.py
+++ b/mothstall/store/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each replica, and what a quorum of them has confirmed. Pure."""
+"""A leader's view of each replica's progress, and what a quorum has confirmed. Pure."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one replica.
+    """Replication progress of one replica, as its leader sees it.
 
     Attributes:
         match_index: Index up to which its log is known to agree with the leader's.
         next_index: Index of the next entry to send to it.
-        is_streaming: Whether its place in the log is known, so that entries are sent without
-            waiting for answers.
-        is_recently_active: Whether it has answered since the last check of the quorum.
+        is_streaming: Whether `next_index` is known to be right, so that entries are sent without
+            waiting for responses.
+        is_recently_active: Whether it has responded since the last check of the quorum.
         snapshot_offset: Bytes of the snapshot sent, or `NO_SNAPSHOT`.
-        recovery_status: Whether its answers count towards a quorum.
+        recovery_status: The status in its last response; only a normal one counts in a quorum.
         sent_commit_index: The newest commit index that was sent to it.
-        acknowledged_read_round: The newest round of reads that it has answered.
+        acknowledged_read_round: The newest round of reads that it has confirmed.
     """
 
     match_index: int = 0
@@ -50,13 +50,13 @@
         return self.replicas[self._state.name]
 
     def start_term(self) -> None:
-        """Forget all but the names: a new leader knows no replica's log (Raft, 5.3)."""
+        """Reset all progress: a new leader has no record of the followers' logs (Raft, 5.3)."""
         self.replicas = {
             name: self._unknown_progress() for name in self._state.configuration.replicas
         }
 
     def clear(self) -> None:
-        """Forget all: the replica leads no longer."""
+        """Remove the progress of all replicas: this one no longer leads."""
         self.replicas = {}
 
     def follow_configuration(self) -> None:
@@ -73,13 +73,13 @@
         return self._reached_by_quorum(lambda progress: progress.match_index, otherwise=0)
 
     def quorum_read_round(self) -> int:
-        """Return the newest round of reads that a quorum of voters has answered."""
+        """Return the newest round of reads that a quorum of voters has confirmed."""
         return self._reached_by_quorum(
             lambda progress: progress.acknowledged_read_round, otherwise=-1
         )
 
     def active_voter_count(self) -> int:
-        """Return how many voters, the leader among them, have answered since the last check."""
+        """Return how many voters, the leader included, have responded since the last check."""
         count = 0
         for name in self._state.configuration.voters:
             is_active = self.replicas[name].is_recently_active and self._counts(name)
@@ -87,7 +87,7 @@
         return count
 
     def clear_activity(self) -> None:
-        """Begin a new interval of the check of the quorum."""
+        """Begin a new interval of the quorum check."""
         for progress in self.replicas.values():
             progress.is_recently_active = False
 
@@ -95,7 +95,7 @@
         return Progress(next_index=self._state.log.last_index + 1, is_recently_active=True)
 
     def _counts(self, name: str) -> bool:
-        """Whether a replica's answers count: not while its disk may have lost what it promised."""
+        """Whether a replica counts in a quorum; not while its disk may have lost promises."""
         is_normal = self.replicas[name].recovery_status == RecoveryStatus.NORMAL
         return name == self._state.name or is_normal
 
--- a/mothstall/store/raft/reads.py
+++ b/mothstall/store/raft/reads.py
@@ -10,7 +10,7 @@
 from mothstall.store.raft.ready import ReadState
 from mothstall.store.raft.replica_state import ReplicaState
 
-MAX_PENDING_READS = 4096  # that may wait for a quorum; callers retry those beyond
+MAX_PENDING_READS = 4096  # that may wait for a quorum; further ones are dropped, and callers retry
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,7 +20,7 @@
     Attributes:
         round: The round of heartbeats that confirms it.
         sender: The replica that requested it.
-        context: The identifier that the sender gave to it.
+        context: The identifier that the sender chose.
         index: The commit index when it was requested.
     """
 
@@ -31,10 +31,10 @@
 
 
 class ReadIndexQueue:
-    """The reads that wait at a leader, and those of this replica that may be served.
+    """The reads that wait for a quorum at a leader, and confirmed reads of this replica.
 
     Attributes:
-        round: The newest round of reads; it only grows, also over several terms.
+        round: Number of the newest round of reads; it never decreases, not even in a new term.
         read_states: Confirmed reads of this replica.
     """
 
@@ -47,7 +47,7 @@
         self.read_states: list[ReadState] = []
 
     def add(self, sender: str, context: int) -> bool:
-        """Queue a read for the next round; False where that cannot be: the caller retries."""
+        """Queue a read for the next round; False if it is dropped: the caller retries."""
         if len(self._pending) >= MAX_PENDING_READS or not self._state.has_committed_in_term:
             return False
         self.round += 1
@@ -55,11 +55,11 @@
         return True
 
     def clear(self) -> None:
-        """Forget the reads that wait: the replica leads no longer, or leads a new term."""
+        """Discard the reads that wait: the replica no longer leads, or leads a new term."""
         self._pending = []
 
     def release_confirmed(self) -> None:
-        """Answer the reads that a quorum has confirmed: no other led when they were requested."""
+        """Answer the reads of confirmed rounds: no other replica led when they were requested."""
         if not self._pending:
             return
         self._progress.own.acknowledged_read_round = self.round
--- a/mothstall/store/raft/ready.py
+++ b/mothstall/store/raft/ready.py
@@ -1,4 +1,4 @@
-"""What a replica hands to its shell to write, send and apply. Pure."""
+"""The records, messages and entries that the shell writes, sends and applies. Pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """A read that may be served once the entry `index` has been applied.
 
     Attributes:
-        context: The identifier that the caller gave to the read.
+        context: The identifier that the caller chose for the read.
         index: The read index (thesis, 6.4).
     """
 
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What is to be written in this order: snapshot, entries, hard state; then sent; then applied.
+    """Records to write (snapshot, entries, hard state), then messages to send and entries to apply.
 
     Attributes:
         hard_state: The new term and vote; None: unchanged.
         snapshot: From the leader: replaces the complete log on disk.
         compacted_snapshot: Of the replica's own state: entries up to its end may be deleted.
-        entries: To append to the log on disk, in the place of any from the first one's index on.
-        messages: To send, after the write alone.
+        entries: To append to the log on disk; they replace all from the first one's index on.
+        messages: To send, only after the write.
         committed_entries: To apply, in this order.
         read_states: Reads that may be served once their index is applied.
     """
--- a/mothstall/store/raft/recovery.py
+++ b/mothstall/store/raft/recovery.py
@@ -3,8 +3,8 @@
 A vote, or the acknowledgement of an entry, is a promise that Raft relies on for ever. A disk that
 was replaced, or restored from an old copy, has lost some. Each replica therefore remembers what it
 has observed of the others; one that starts queries them before it votes or counts towards a quorum.
-If any has observed more than its disk holds, it recovers: it does neither until a leader has made
-it a learner in a term that is not older than the lost promises.
+If any has observed more than its disk holds, it recovers: it neither votes nor counts until a
+leader has made it a learner in a term that is not older than the lost promises.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from mothstall.store.raft.outbox import Outbox
 from mothstall.store.raft.replica_state import ReplicaState
 
-# Election timeouts for which a started replica waits for the answers of all other voters; then
-# those of a quorum do, so that one replica that stays down does not keep another from starting.
+# Election timeouts for which a started replica waits for the responses of all other voters; after
+# that a quorum suffices, so that one replica that stays down does not keep another from starting.
 ALL_VOTERS_TIMEOUT_ELECTIONS = 5
 
 
@@ -66,12 +66,12 @@
             state.recovery_status = RecoveryStatus.NORMAL
 
     def observe(self, name: str, promises: ObservedPromises) -> None:
-        """Remember what another replica has promised."""
+        """Record what another replica has promised."""
         known = self.observed.get(name, ObservedPromises())
         self.observed[name] = known.merged(promises)
 
     def tick(self) -> None:
-        """Query the other voters, as long as the own promises are not known to be complete."""
+        """Query the other voters until the recovery status is normal."""
         if self._state.recovery_status == RecoveryStatus.NORMAL:
             return
         self._ticks_since_start += 1
@@ -93,10 +93,10 @@
         )
 
     def handle_report(self, report: RecoveryReport) -> None:
-        """Take what another replica has observed of this one.
+        """Handle another replica's report of the promises that it has observed of this one.
 
-        Guards against a disk that is older than the promises made from it (an old copy, a lost
-        one).
+        Guards against a disk that is older than the promises made from it: an old copy or a new
+        disk.
         """
         state = self._state
         if state.recovery_status == RecoveryStatus.NORMAL:
@@ -112,7 +112,7 @@
         self._finish_verification_if_answered()
 
     def finish_recovery_as_learner(self) -> None:
-        """End the recovery once the replica is a learner by a committed configuration."""
+        """End the recovery once a committed configuration makes this replica a learner."""
         state = self._state
         if state.recovery_status != RecoveryStatus.RECOVERING:
             return
@@ -135,7 +135,7 @@
             )
 
     def _finish_verification_if_answered(self) -> None:
-        """End the verification by the answers of all other voters, or after a time of a quorum."""
+        """End the verification once all other voters (after a timeout: a quorum) have responded."""
         state = self._state
         if state.recovery_status != RecoveryStatus.VERIFYING:
             return
--- a/mothstall/store/raft/replica_state.py
+++ b/mothstall/store/raft/replica_state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of a replica read: Raft's Figure 2, role, timing and options. Pure."""
+"""The state that a replica's components share: Raft's Figure 2, role, timing, options. Pure."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from mothstall.store.raft.log import RaftLog
 from mothstall.store.raft.messages import Configuration, HardState, RecoveryStatus
 
-MAX_BATCH_BYTES = 256 * 1024  # of entries in one message: a few ms of a slow link
+MAX_BATCH_BYTES = 256 * 1024  # of entries in one message; takes a few ms on a slow link
 
 
 class Role(Enum):
     """The role of a replica in its term; the values are part of the status output."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "trial"  # finds out whether it would be elected (thesis, 9.6)
+    PRE_CANDIDATE = "trial"  # tests whether it would be elected (thesis, 9.6)
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -35,12 +35,12 @@
 
 @dataclass(slots=True)
 class RaftOptions:
-    """Switches of a replica; the first two are safeguards that only tests turn off.
+    """Options of a replica; the first two are safeguards that only tests turn off.
 
     Attributes:
         is_pre_vote_enabled: Whether a pre-vote comes before each campaign.
-        is_commit_limited_to_own_term: Whether a leader counts copies of entries of its own term
-            alone (Raft, 5.4.2).
+        is_commit_limited_to_own_term: Whether a leader counts copies only of entries of its own
+            term (Raft, 5.4.2).
         max_batch_bytes: Bytes of entries in one message.
     """
 
@@ -84,7 +84,7 @@
 
     @property
     def hard_state(self) -> HardState:
-        """What of this state has to be on disk."""
+        """The part of this state that has to be on disk."""
         is_recovering = self.recovery_status == RecoveryStatus.RECOVERING
         return HardState(self.current_term, self.voted_for, is_recovering)
 
@@ -95,7 +95,7 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads and has committed an entry of its term: it knows all commits."""
+        """Whether it has committed an entry of its term as leader: its commit index is current."""
         return self.is_leader and self.log.term_at(self.commit_index) == self.current_term
 
     @property
@@ -110,7 +110,7 @@
 
     @property
     def other_voters(self) -> tuple[str, ...]:
-        """The voters but this replica, in the order of the configuration."""
+        """All voters except this replica, in the order of the configuration."""
         return tuple(name for name in self.configuration.voters if name != self.name)
 
     @property
--- a/mothstall/store/raft/replication.py
+++ b/mothstall/store/raft/replication.py
@@ -20,7 +20,7 @@
 
 
 class Replication:
-    """Sends entries, heartbeats and snapshots to the replicas, and commits what a quorum has.
+    """Sends entries, heartbeats and snapshots to the replicas, and commits what a quorum holds.
 
     Attributes:
         is_broadcast_due: Whether entries or a commit index wait to be sent with the next `Ready`.
@@ -44,7 +44,7 @@
         self.is_broadcast_due = False
 
     def start_term(self) -> None:
-        """Begin a new leader's heartbeats: with its first entry, not only with the next tick."""
+        """Append a new leader's first entry, and send a heartbeat at once, not at the next tick."""
         self._ticks_since_heartbeat = 0
         self.append(EntryKind.NO_OP, b"")
         self.broadcast(is_heartbeat=True)
@@ -64,19 +64,19 @@
         self.is_broadcast_due = True
 
     def broadcast_if_due(self) -> None:
-        """Send what has gathered since the last `Ready`."""
+        """Send the entries and the commit index that are new since the last `Ready`."""
         if self.is_broadcast_due and self._state.is_leader:
             self.broadcast(is_heartbeat=False)
         self.is_broadcast_due = False
 
     def broadcast(self, *, is_heartbeat: bool) -> None:
-        """Send to each other replica what it lacks; a heartbeat also where it lacks nothing."""
+        """Send each other replica the entries it lacks; a heartbeat is sent even without any."""
         for name in self._state.configuration.replicas:
             if name != self._state.name and name in self._progress.replicas:
                 self._send(name, is_heartbeat=is_heartbeat)
 
     def handle_append_response(self, response: AppendEntriesResponse, progress: Progress) -> None:
-        """Move the follower's place in the log, commit, and send what follows."""
+        """Update the follower's progress, commit, and send further entries."""
         progress.is_recently_active = True
         progress.recovery_status = response.recovery_status
         progress.acknowledged_read_round = max(
@@ -97,14 +97,14 @@
     def handle_snapshot_response(
         self, response: InstallSnapshotResponse, progress: Progress
     ) -> None:
-        """Send the next chunk of the snapshot, or what follows it in the log."""
+        """Send the next chunk of the snapshot, or the entries after it."""
         progress.is_recently_active = True
         progress.recovery_status = response.recovery_status
         if self._snapshots.handle_response(response, progress):
             self._send(response.sender, is_heartbeat=True)
 
     def advance_commit_index(self) -> None:
-        """Commit what a quorum has, if it is of the leader's own term (Raft, 5.4.2)."""
+        """Commit what a quorum holds, if its last entry is of the own term (Raft, 5.4.2)."""
         state = self._state
         index = self._progress.quorum_match_index()
         if index <= state.commit_index:
@@ -113,7 +113,7 @@
         if self._options.is_commit_limited_to_own_term and not is_own_term:
             return
         state.commit_index = index
-        # Followers apply it too, and answer their callers, without waiting for a heartbeat.
+        # Lets followers apply it too, and answer their callers, without waiting for a heartbeat.
         self.is_broadcast_due = True
         self._reads.release_confirmed()
 
@@ -121,13 +121,14 @@
         """Retry from an earlier index, since the follower's log did not agree."""
         progress.is_streaming = False
         if response.recovery_status != RecoveryStatus.NORMAL:
-            # What it had acknowledged is lost with its disk.
+            # Entries that it had acknowledged are lost with its disk.
             progress.match_index = min(progress.match_index, response.match_index)
         rejected_next_index = progress.next_index
         retry_index = min(response.match_index + 1, response.prev_log_index)
         progress.next_index = max(progress.match_index + 1, retry_index)
         if progress.next_index < rejected_next_index:
-            # Guards against messages that answer each other for ever: else a heartbeat will do.
+            # Guards against an endless exchange of retries and rejections: without progress the
+            # next heartbeat retries.
             self._send(response.sender, is_heartbeat=True)
 
     def _send(self, name: str, *, is_heartbeat: bool) -> None:
@@ -173,7 +174,7 @@
 
 
 def _is_rejection_current(response: AppendEntriesResponse, progress: Progress) -> bool:
-    """Whether a rejection answers what was sent last, not a message that was overtaken."""
+    """Whether a rejection is still relevant, and not a response to an outdated message."""
     if response.prev_log_index == progress.next_index - 1:
         return True
     return progress.is_streaming and response.prev_log_index > progress.match_index
--- a/mothstall/store/raft/snapshot_transfer.py
+++ b/mothstall/store/raft/snapshot_transfer.py
@@ -9,13 +9,13 @@
 from mothstall.store.raft.progress import NO_SNAPSHOT, Progress, ProgressTracker
 from mothstall.store.raft.replica_state import ReplicaState
 
-MAX_CHUNK_BYTES = 256 * 1024  # of a snapshot in one message: a few ms of a slow link
+MAX_CHUNK_BYTES = 256 * 1024  # of a snapshot in one message; takes a few ms on a slow link
 MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # bounds the memory of a follower that receives one
 NOTHING_RECEIVED = (0, 0)  # index and term of no snapshot
 
 
 class SnapshotSender:
-    """The leader's side: one chunk at a time to each follower, the next one when it is answered."""
+    """The leader's side: sends each follower one chunk at a time, the next after a response."""
 
     def __init__(self, state: ReplicaState, outbox: Outbox, progress: ProgressTracker) -> None:
         self._state = state
@@ -42,7 +42,7 @@
         )
 
     def handle_response(self, response: InstallSnapshotResponse, progress: Progress) -> bool:
-        """Send the next chunk, or all of a newer snapshot.
+        """Send the next chunk, or the first one of a newer snapshot.
 
         Returns:
             Whether the follower has just received the complete snapshot.
@@ -64,7 +64,7 @@
 
 
 class SnapshotReceiver:
-    """The follower's side: collects the chunks of one snapshot and replaces the log by it."""
+    """The follower's side: collects the chunks of one snapshot, then replaces the log by it."""
 
     def __init__(self, state: ReplicaState, outbox: Outbox, persistence: Persistence) -> None:
         self._state = state
@@ -74,7 +74,7 @@
         self._received_of = NOTHING_RECEIVED
 
     def handle(self, request: InstallSnapshot) -> None:
-        """Take a chunk of a snapshot that goes beyond the commit index, and answer it."""
+        """Store a chunk of a snapshot that goes beyond the commit index, and respond."""
         identity = (request.last_included_index, request.last_included_term)
         if identity != self._received_of or request.offset == 0:
             self._received = bytearray()
--- a/mothstall/store/state/changes.py
+++ b/mothstall/store/state/changes.py
@@ -1,7 +1,7 @@
-"""Changes of the replicated state as the log carries them, and the answer to each.
+"""Changes of the replicated state as they are stored in the log, and the result of each.
 
-The explicit tags are the names that the log and the wire have always used. All structs are arrays:
-the order of their fields is part of the format, their names are not.
+The explicit tags are the type names in the log and on the wire and never change. All structs are
+encoded as arrays: the order of their fields is part of the format, the field names are not.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 KEEPER_SESSION = 0  # no session: the change comes from the leading keeper itself
 
-# Parts of reasons that callers act upon. Reasons are stored in sessions and sent: their wording
-# stays.
+# Parts of rejection reasons that callers match. Reasons are stored in sessions and sent, so their
+# wording must not change.
 UNKNOWN_SESSION_MARK = "unknown session"
 UNKNOWN_SESSION = f"{UNKNOWN_SESSION_MARK}: open another"
 STALE_TOKEN_MARK = " is over"  # in each reason that names a fencing token that is not current
@@ -24,22 +24,22 @@
 
 
 class OpenSession(_Change, frozen=True, tag="Open"):
-    """Begins a session; the answer's `token` is its number.
+    """Begins a session; the result's `token` is its number.
 
     Attributes:
-        client: The caller, for operators to see.
+        client: Name of the caller, for operators.
     """
 
     client: str
 
 
 class AcquireLease(_Change, frozen=True, tag="Take"):
-    """Acquires a free lease, or the caller's own under a new token.
+    """Acquires a free lease, or the owner's own lease again under a new token.
 
     Attributes:
-        name: What is leased.
-        owner: The process that wants it.
-        duration_ms: For how long it stays valid after each renewal.
+        name: Name of the lease.
+        owner: The process that acquires it.
+        duration_ms: Milliseconds for which it stays valid after each renewal.
         info: What the owner publishes about itself.
     """
 
@@ -50,7 +50,7 @@
 
 
 class RenewLeases(_Change, frozen=True, tag="Renew"):
-    """Renews leases; the answer names those that the owner has lost.
+    """Renews leases; the result names those that the owner has lost.
 
     Attributes:
         owner: The process that holds them.
@@ -62,11 +62,11 @@
 
 
 class ReleaseLease(_Change, frozen=True, tag="Drop"):
-    """Gives a lease back before it expires.
+    """Releases a lease before it expires.
 
     Attributes:
-        name: What was leased.
-        token: The fencing token that the caller has; another one rejects the change.
+        name: Name of the lease.
+        token: The caller's fencing token; rejected unless it is the lease's current one.
     """
 
     name: str
@@ -74,10 +74,10 @@
 
 
 class RevokeLease(_Change, frozen=True, tag="Seize"):
-    """Takes a lease from its holder, on behalf of an operator.
+    """Revokes a lease of its holder, on behalf of an operator.
 
     Attributes:
-        name: What is leased.
+        name: Name of the lease.
         requested_by: The operator.
         reason: Why, in the operator's words.
     """
@@ -91,7 +91,7 @@
     """Ends leases that nobody renewed in time, by the leading keeper's clock.
 
     Attributes:
-        leases: Name and fencing token of each; one that has another token by now stays.
+        leases: Name and fencing token of each; a lease with another token by now is kept.
     """
 
     leases: tuple[tuple[str, int], ...]
@@ -142,8 +142,8 @@
 
     Attributes:
         name: The proxy.
-        owner: The process behind the name.
-        epoch: Counts the proxy's attachments, one observer each.
+        owner: The process that uses the name.
+        epoch: Number of the proxy's attachment; each attachment has one observer.
         zone: The proxy's zone.
     """
 
@@ -154,11 +154,11 @@
 
 
 class MemberLeave(msgspec.Struct, frozen=True, array_like=True):
-    """Removes exactly this row, and no newer one of the same name.
+    """Removes exactly this row, but no newer row of the same name.
 
     Attributes:
         name: The proxy.
-        owner: The process behind the name.
+        owner: The process that uses the name.
         epoch: The attachment that ends.
         token: The fencing token under which the row was written.
     """
@@ -200,7 +200,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """A change that a session proposes; each is applied once, however often it is sent.
+    """A change that a session proposes; it is applied once even if it is sent repeatedly.
 
     Attributes:
         session: The caller's session, or `KEEPER_SESSION`.
@@ -214,15 +214,15 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a change, as applied.
+    """The result of applying a change.
 
     Attributes:
         rejected_reason: Why the change was rejected; empty: it was made.
         token: The fencing token of the lease that the change is about, or the number of a new
             session.
         owner: The holder of that lease.
-        lost_leases: Leases that a renewal names in vain, or proxies whose join was rejected.
-        version: Of the state that has the change in it.
+        lost_leases: Leases that could not be renewed, or proxies whose join was rejected.
+        version: Version of the state after the change.
     """
 
     rejected_reason: str = ""
@@ -233,7 +233,7 @@
 
     @property
     def is_session_unknown(self) -> bool:
-        """Whether the session was forgotten, so that the caller has to open another."""
+        """Whether the session is unknown to the store, so that the caller has to open another."""
         return self.rejected_reason.startswith(UNKNOWN_SESSION_MARK)
 
     @property
--- a/mothstall/store/state/machine.py
+++ b/mothstall/store/state/machine.py
@@ -1,11 +1,11 @@
-"""The replicated state machine: what all replicas get by applying the same log. Pure.
-
-Each change is made completely or not at all, and is checked twice by the same code: before it is
-proposed, and again when it is applied, where alone the result counts. A fencing token only ever
-grows over all leases, so that a forgotten lease loses no order; a write that carries another token
-than its lease has *now* is rejected (Kleppmann, "How to do distributed locking", 2016; sequencers
-of Burrows, "The Chubby lock service", 2006). There is no clock here: that a lease has expired is an
-entry of the log like any other.
+"""The replicated state machine: all replicas reach the same state by applying the same log. Pure.
+
+A change is made completely or not at all. The same code checks it twice: before it is proposed, and
+when it is applied; only the second result counts. Fencing tokens increase across all leases, so
+that a name which is leased again gets a greater token although its former lease is not kept. A
+write is rejected unless it carries the *current* token of its lease (Kleppmann, "How to do
+distributed locking", 2016; sequencers of Burrows, "The Chubby lock service", 2006). The state
+machine has no clock: the expiry of a lease is a log entry like any other.
 """
 
 from __future__ import annotations
@@ -49,9 +49,9 @@
 from mothstall.store.state.tables import StateTables
 
 RecentChange = tuple[int, StateSection, str]
-"""A row that a change touched: the version that the change led to, its table and its key.
+"""A changed row: the version that the change led to, the row's table and its key.
 
-A plain tuple, as thousands of them are built and read on the path of watches.
+A plain tuple, as thousands of them are created and read to serve watches.
 """
 
 
@@ -65,14 +65,14 @@
 
     Attributes:
         applied_index: The last log entry that was applied.
-        version: Grows by one with each row that a change touches.
-        last_token: The greatest fencing token that was given out.
+        version: Grows by one with each row that a change modifies.
+        last_token: The greatest fencing token that was issued.
         tables: All rows that readers see.
-        sessions: By number, the one that was idle for longest first.
-        recent_changes: The rows that the last changes touched, oldest first.
-        check_token_on_apply: Guards against writes with a stale fencing token; tests alone take it
-            out.
-        check_epoch_on_apply: Guards against stale attachments of a proxy; tests alone take it out.
+        sessions: By number, the longest idle one first.
+        recent_changes: The rows that the latest changes modified, oldest first.
+        check_token_on_apply: Guards against writes with a stale fencing token; only tests turn it
+            off.
+        check_epoch_on_apply: Guards against stale attachments of a proxy; only tests turn it off.
     """
 
     applied_index: int = 0
@@ -111,7 +111,7 @@
     # Changes
 
     def rejection_reason(self, change: Change) -> str:
-        """Returns why a change cannot be made; empty where it can."""
+        """Returns why a change is rejected; empty if it is accepted."""
         return validation.rejection_reason(
             change, self.tables, check_token=self.check_token_on_apply
         )
@@ -119,14 +119,14 @@
     def apply(self, index: int, data: bytes) -> tuple[Proposal | None, ChangeResult]:
         """Applies one committed log entry.
 
-        An entry that cannot be decoded changes nothing, alike at all replicas.
+        An entry that cannot be decoded changes no row, on any replica.
 
         Args:
-            index: Of the entry.
+            index: Index of the entry.
             data: An encoded `Proposal`.
 
         Returns:
-            The proposal, None where it cannot be decoded, and the answer to it.
+            The proposal, or None if it cannot be decoded, and its result.
         """
         self.applied_index = index
         try:
@@ -155,7 +155,7 @@
         return ChangeResult(token=index)
 
     def _apply_in_session(self, proposal: Proposal) -> ChangeResult:
-        """Makes a change once: one that was applied before is answered by its stored result."""
+        """Applies a change once; a repeated one gets the stored result."""
         session = self.sessions.get(proposal.session)
         if session is None:
             return ChangeResult(rejected_reason=UNKNOWN_SESSION)
@@ -176,7 +176,7 @@
         return _APPLIERS[type(change)](self, change)
 
     def _rejected(self, change: Change, reason: str) -> ChangeResult:
-        """Returns a rejection that names the lease's holder, where the change names a lease."""
+        """Returns a rejection, with the lease's holder if the change names a lease."""
         # The result of a rejected `RemoveDrain` has always named the holder of a lease of the same
         # name, and results are part of snapshots.
         if not isinstance(change, AcquireLease | ReleaseLease | RevokeLease | RemoveDrain):
@@ -252,14 +252,13 @@
     # Readers and snapshots
 
     def delta_since(self, version: int) -> StateDelta:
-        """Returns what a reader of an earlier version lacks.
+        """Returns the rows that have changed since a reader's version.
 
         Args:
             version: The version that the reader has; 0: none.
 
         Returns:
-            The rows that differ, or the complete state where the changes since then are not
-            remembered.
+            The changed rows, or the complete state if the changes since then are no longer kept.
         """
         if not self._remembers_changes_since(version):
             return self.tables.as_delta(self.version)
@@ -304,10 +303,10 @@
 
     @classmethod
     def from_snapshot(cls, data: bytes) -> StateMachine:
-        """Returns the state of a snapshot; no data is the state before the first entry.
+        """Returns the state of a snapshot; empty data is the state before the first entry.
 
         Raises:
-            SnapshotError: The data is no snapshot of the state.
+            SnapshotError: The data is not a valid snapshot.
         """
         if not data:
             return cls()
--- a/mothstall/store/state/membership.py
+++ b/mothstall/store/state/membership.py
@@ -1,10 +1,11 @@
-"""Which observer answers for which proxy, decided where the log applies it. Pure.
-
-There is one row for each proxy, not a lease: it stands under the fenced lease of the observer that
-it is attached to. Rows come and go in batches, so that the log carries changes and not heartbeats
-(compare ephemeral nodes under one session in ZooKeeper: Hunt et al., 2010). A proxy is attached
-while its observer's lease has the token under which the row was written; after that it is orphaned,
-until another observer takes it over or an observer that has waited long enough removes the row.
+"""The attachment of proxies to observers, decided when the log is applied. Pure.
+
+Each proxy has a row instead of a lease of its own; the row depends on the fenced lease of the
+observer that the proxy is attached to. Rows are added and removed in batches, so that the log
+carries changes and not heartbeats (compare ephemeral nodes under one session in ZooKeeper: Hunt et
+al., 2010). A proxy is attached while its observer's lease has the token under which the row was
+written. After that it is orphaned, until it attaches to another observer, or an observer that has
+waited long enough removes the row.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 def batch_rejection(change: UpdateMembers) -> str:
-    """Returns why a batch is malformed; empty where it is not."""
+    """Returns why a batch is malformed; empty if it is valid."""
     if len(change.joins) + len(change.leaves) > MAX_MEMBERSHIP_BATCH:
         return f"more than {MAX_MEMBERSHIP_BATCH} joins and departures at once"
     rows: tuple[MemberJoin | MemberLeave, ...] = (*change.joins, *change.leaves)
@@ -60,18 +61,17 @@
     is_lease_current: IsLeaseCurrent,
     member_count: int,
 ) -> str:
-    """Returns why a join does not replace the row as it stands; empty where it does.
+    """Returns why a join is rejected; empty if it replaces the current row.
 
-    Guards against two observers that answer for one proxy: an attachment that the proxy has given
-    up and whose join arrives late, and a second process of one name while the first one's observer
-    answers for it.
+    Guards against two observers for one proxy: by the late join of an attachment that the proxy has
+    given up, or by a second process of the same name while the first one is attached.
 
     Args:
         current: The proxy's row; None: it has none.
         join: The attachment.
         observer_lease: The lease of the observer that proposes it.
-        is_lease_current: Whether a lease has a token now.
-        member_count: How many rows there are.
+        is_lease_current: Whether a lease is held under a token now.
+        member_count: Number of rows.
     """
     if current is None:
         return f"there are {MAX_MEMBERS} proxies already" if member_count >= MAX_MEMBERS else ""
@@ -99,8 +99,8 @@
     Args:
         members: The rows by name; changed in place.
         change: The batch.
-        is_lease_current: Whether a lease has a token now.
-        check_joins: False takes every join; tests alone do that.
+        is_lease_current: Whether a lease is held under a token now.
+        check_joins: False accepts every join; only tests use it.
     """
     changed: dict[str, None] = {}  # an ordered set
     rejected: list[str] = []
@@ -128,9 +128,9 @@
     change: UpdateMembers,
     is_lease_current: IsLeaseCurrent,
 ) -> bool:
-    """Whether a departure names this very row, whose lease is the batch's own or has ended.
+    """Whether a departure names exactly this row, and its lease is the batch's own or has ended.
 
-    Any observer may remove an orphaned proxy, and none but its own an attached one.
+    Any observer may remove an orphaned proxy; only its own observer may remove an attached one.
     """
     if current is None:
         return False
@@ -144,5 +144,5 @@
 def attachment_by_member(
     members: Mapping[str, Member], is_lease_current: IsLeaseCurrent
 ) -> dict[str, bool]:
-    """Returns for each proxy whether an observer answers for it; False: it is orphaned."""
+    """Returns for each proxy whether it is attached to an observer; False: it is orphaned."""
     return {name: is_lease_current(row.lease, row.token) for name, row in members.items()}
--- a/mothstall/store/state/rows.py
+++ b/mothstall/store/state/rows.py
@@ -1,7 +1,7 @@
 """The rows of the replicated state, and the difference between two versions of it.
 
 All structs are arrays on the wire, in the log and in snapshots: the order of their fields is part
-of the format, their names are not.
+of the format, the field names are not.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class DrainKind(StrEnum):
-    """What a drain takes out of service; the values are stored and sent, and stay as they are."""
+    """What a drain takes out of service; the values are stored and sent, and never change."""
 
     BACKEND = "box"
     ZONE = "zone"
@@ -32,12 +32,12 @@
 
 
 class Lease(_Row, frozen=True):
-    """A name that one owner has until the lease expires, is released or is revoked.
+    """A name that one owner holds until the lease expires, is released or is revoked.
 
     Attributes:
-        name: What is leased.
+        name: Name of the lease.
         owner: The process that holds it.
-        duration_ms: For how long it stays valid after each renewal.
+        duration_ms: Milliseconds for which it stays valid after each renewal.
         token: The fencing token; grows over all leases, so that a later holder always has a greater
             one.
         info: What the owner publishes about itself, such as its zone.
@@ -51,13 +51,13 @@
 
 
 class Drain(_Row, frozen=True):
-    """An operator's wish that a backend or a zone gets no new requests.
+    """An operator's instruction that a backend or a zone gets no new requests.
 
     Attributes:
         kind: A `DrainKind`; checked when the drain is put, not when it is decoded.
         name: The backend or zone.
         requested_by: The operator.
-        requested_at: The caller's wall clock as text; shown to operators, never compared.
+        requested_at: The caller's wall-clock time as text; shown to operators, never compared.
         reason: Why, in the operator's words.
     """
 
@@ -73,7 +73,7 @@
 
     Attributes:
         key: Its name.
-        value: Its bytes; the store does not read them.
+        value: Its bytes; the store does not decode them.
         lease: The lease under which it was written.
         token: The fencing token that the lease had then.
     """
@@ -89,10 +89,10 @@
 
     Attributes:
         name: The proxy.
-        owner: The process behind the name.
-        epoch: Counts the proxy's attachments, one observer each.
+        owner: The process that uses the name.
+        epoch: Number of the proxy's attachment; each attachment has one observer.
         zone: The proxy's zone.
-        lease: The lease of the observer that answers for it.
+        lease: The lease of the observer that it is attached to.
         token: The fencing token under which the observer wrote the row.
     """
 
--- a/mothstall/store/state/snapshot.py
+++ b/mothstall/store/state/snapshot.py
@@ -10,11 +10,11 @@
 
 
 class Session(msgspec.Struct, array_like=True):
-    """What a session's last change was, so that a repeated one is answered and not made again.
+    """A session's last change, so that a repeated one gets its result and is not applied again.
 
     Attributes:
-        sequence_number: Of the last change that was applied; 0: none yet.
-        result: Its answer.
+        sequence_number: Number of the last change that was applied; 0: none yet.
+        result: Its result.
     """
 
     sequence_number: int
@@ -25,10 +25,10 @@
     """The complete state; the order of the fields is the format.
 
     Attributes:
-        applied_index: The last log entry that is in it.
-        version: Of the state as readers count it.
-        last_token: The greatest fencing token that was given out.
-        sessions: Number and state of each, the one that was idle for longest first.
+        applied_index: Index of the last log entry that it contains.
+        version: Version of the state that readers see.
+        last_token: The greatest fencing token that was issued.
+        sessions: Number and state of each, the longest idle one first.
         leases: All leases.
         drains: All drains.
         values: All values.
@@ -54,7 +54,7 @@
     """Reads the bytes of a snapshot.
 
     Raises:
-        SnapshotError: They are no snapshot of the state.
+        SnapshotError: The bytes are not a valid snapshot.
     """
     try:
         return msgspec.msgpack.decode(data, type=StateImage)
--- a/mothstall/store/state/tables.py
+++ b/mothstall/store/state/tables.py
@@ -1,4 +1,4 @@
-"""The tables of the replicated state, and whether a fencing token is current in them."""
+"""The tables of the replicated state, and the check of fencing tokens against them."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         return lease is not None and lease.token == token
 
     def stale_token_reason(self, name: str, token: int) -> str:
-        """Returns why a fencing token is not current; empty where it is."""
+        """Returns why a fencing token is not current; empty if it is."""
         lease = self.leases.get(name)
         if lease is None:
             return f"{name}: token {token} is over, nobody holds it"
@@ -44,7 +44,7 @@
         return ""
 
     def as_delta(self, version: int) -> StateDelta:
-        """Returns the complete state as a delta from nothing; its tables are copies."""
+        """Returns the complete state as a delta from version 0; its tables are copies."""
         return StateDelta(
             since_version=0,
             version=version,
--- a/mothstall/store/state/validation.py
+++ b/mothstall/store/state/validation.py
@@ -1,9 +1,9 @@
 """Checks of a change against the tables it would be applied to.
 
-The same checks run twice: before a change is proposed, and again when the log applies it, where
-alone the result counts. Each returns the reason for a rejection, empty where there is none. A
-session stores its last result, so that the reasons are part of snapshots: their wording stays the
-same between versions.
+The same checks run twice: before a change is proposed, and when it is applied; only the second
+result counts. Each check returns the reason for a rejection, or an empty string. A session stores
+its last result, so the reasons are part of snapshots: their wording must not change between
+versions.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
 
 
 def rejection_reason(change: Change, tables: StateTables, *, check_token: bool = True) -> str:
-    """Returns why a change cannot be made; empty where it can.
+    """Returns why a change is rejected; empty if it is accepted.
 
     Args:
         change: The change.
         tables: The rows as they are now.
-        check_token: False skips the fencing token of writes; tests alone do that.
+        check_token: False skips the check of fencing tokens; only tests use it.
     """
     check = _CHECKS.get(type(change))
     reason = check(change, tables) if check is not None else ""
--- a/mothstall/store/storage.py
+++ b/mothstall/store/storage.py
@@ -1,8 +1,8 @@
 """The durable log of a replica: entries, hard state and snapshot in one SQLite file.
 
-Each record carries a checksum. All records are verified when the file is opened: nothing behind a
-torn or damaged one is used, and such a replica is marked as one that has lost promises. A write is
-one transaction (WAL, full sync); where it fails, nothing of it counts.
+Each record has a checksum, which is verified when the file is opened: no record behind a torn or
+damaged one is used, and such a replica is marked as one that has lost promises. A write is one
+transaction (WAL, full sync); a failed write changes nothing.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from mothstall.store.raft.ready import Ready
 
 FILE_MODE = 0o600  # read and written by the keeper's user alone
-SIDE_FILE_SUFFIXES = ("-wal", "-shm")  # that SQLite keeps next to the file
+SIDE_FILE_SUFFIXES = ("-wal", "-shm")  # of the files that SQLite keeps next to the database
 
 _TABLES = """
 CREATE TABLE IF NOT EXISTS entries
@@ -70,7 +70,7 @@
 
         Args:
             path: The file; its folder is created where it is missing.
-            before_commit: Called before each commit; the lab's way to delay or to fail a write.
+            before_commit: Called before each commit; lets the lab delay a write or make it fail.
         """
         self.path = path
         self._before_commit = before_commit
@@ -79,22 +79,22 @@
     def load(self, name: str, cluster: str, first: Configuration) -> LoadedLog:
         """Opens the file, creates it where there is none, and reads all of it.
 
-        A file that is no database is renamed, and a new one is begun in recovery.
+        A file that is not a database is renamed and replaced by a new one that is in recovery.
 
         Args:
-            name: The replica; the file of another one is rejected.
-            cluster: The cluster; the file of another one is rejected.
+            name: The replica; another replica's file is rejected.
+            cluster: The cluster; another cluster's file is rejected.
             first: The configuration of a replica that has no snapshot yet.
 
         Raises:
-            StorageError: The file cannot be opened, or is another replica's.
+            StorageError: The file cannot be opened, or belongs to another replica.
         """
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
             self._connection = self._open()
             return self._read(name, cluster, first)
         except StorageError:
-            raise  # an OSError too, which names the file already
+            raise  # it is an OSError too, but names the file already
         except sqlite3.OperationalError as error:
             raise StorageError(f"{self.path}: {error}") from error
         except sqlite3.DatabaseError as error:
@@ -103,10 +103,10 @@
             raise StorageError(f"{self.path}: {error.strerror or error}") from error
 
     def write(self, ready: Ready) -> None:
-        """Writes all that `ready` holds, or nothing.
+        """Writes all records of `ready`, or none.
 
         Raises:
-            StorageError: Nothing of it was written.
+            StorageError: The write failed, and no record was written.
         """
         database = self._database
         try:
@@ -128,7 +128,7 @@
 
     @property
     def _database(self) -> sqlite3.Connection:
-        assert self._connection, "the log is loaded first"
+        assert self._connection, "load() has to be called first"
         return self._connection
 
     # Opening and reading
@@ -148,7 +148,7 @@
     def _begin_anew(
         self, name: str, cluster: str, first: Configuration, error: sqlite3.DatabaseError
     ) -> LoadedLog:
-        """Renames a file that is no database, and begins a new one that is in recovery.
+        """Renames a file that is not a database, and begins a new one that is in recovery.
 
         Raises:
             StorageError: The new file cannot be written.
@@ -166,7 +166,7 @@
         return loaded
 
     def _set_aside(self) -> Path:
-        """Renames the file to the first name of its kind that is free."""
+        """Renames the file to the first free name with the suffix `.damaged-N`."""
         if self._connection:
             self._connection.close()
         number = 1
@@ -183,7 +183,7 @@
         return self.path.with_suffix(f".damaged-{number}")
 
     def _read(self, name: str, cluster: str, first: Configuration) -> LoadedLog:
-        """Reads all records; where one is damaged, drops what follows and marks the replica."""
+        """Reads all records; if one is damaged, marks the replica and drops the entries behind."""
         self._check_owner(name, cluster)
         loaded = LoadedLog(HardState(), Snapshot(0, 0, first, b""))
         self._read_hard_state(loaded)
@@ -200,7 +200,7 @@
             database.execute("INSERT INTO owner VALUES (1, ?, ?)", (name, cluster))
         elif row != (name, cluster):
             raise StorageError(
-                f"{self.path} is {row[0]}'s of cluster {row[1]}, not {name}'s of {cluster}"
+                f"{self.path} belongs to {row[0]} of cluster {row[1]}, not to {name} of {cluster}"
             )
 
     def _read_hard_state(self, loaded: LoadedLog) -> None:
--- a/mothstall/store/storage_inspection.py
+++ b/mothstall/store/storage_inspection.py
@@ -1,4 +1,4 @@
-"""Reading a stopped replica's file without changing it, for operators' tools."""
+"""Reads a stopped replica's file without changing it, for operators' tools."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
     Attributes:
         hard: Term and vote.
-        snapshot: The last entry that the snapshot contains; 0: there is none.
+        snapshot: Index of the last entry that the snapshot contains; 0: there is no snapshot.
         members: The configuration in the snapshot.
-        last: The last entry of the log.
-        version: Of the state with all entries applied, of which some may not be committed.
+        last: Index of the last entry of the log.
+        version: Version of the state with all entries applied, even uncommitted ones.
         leases: All leases of that state.
         drains: All drains of that state.
         entries: All values of that state.
@@ -43,7 +43,7 @@
 
 
 def find_damage(path: Path) -> str:
-    """Returns what is wrong with a replica's file; empty: nothing."""
+    """Returns the first damage in a replica's file; empty: none."""
     if not path.exists():
         return f"{path}: no such file"
     try:
@@ -59,7 +59,7 @@
 
 
 def _damaged_record(database: sqlite3.Connection) -> str:
-    """Returns what is wrong with the hard state or the snapshot; empty: nothing."""
+    """Returns the damage in the hard state or the snapshot; empty: none."""
     for table in ("hard", "snapshot"):
         for data, stored_checksum in database.execute(f"SELECT data, sum FROM {table}"):
             if checksum(data) != stored_checksum:
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -143,7 +143,7 @@
 
     with (
         closing(DiskLog(path)) as log,
-        pytest.raises(StorageError, match="k1's of cluster c, not k2's"),
+        pytest.raises(StorageError, match="belongs to k1 of cluster c, not to k2 of c"),
     ):
         log.load("k2", "c", CONFIGURATION)
 
