--- a/mothstall/store/raft/early_messages.py
+++ b/mothstall/store/raft/early_messages.py
@@ -59,13 +59,13 @@
         if not is_of_this_term or not self._persistence.is_hard_state_persisted:
             return None
         if isinstance(message, AppendEntries) and self._state.is_leader:
-            return self._heartbeat_of(message)
+            return self._persisted_heartbeat(message)
         if isinstance(message, AppendEntriesResponse) and message.success:
             match_index = min(message.match_index, self._persistence.persisted_index)
             return msgspec.structs.replace(message, match_index=match_index)
         return None
 
-    def _heartbeat_of(self, message: AppendEntries) -> AppendEntries | None:
+    def _persisted_heartbeat(self, message: AppendEntries) -> AppendEntries | None:
         """Return a heartbeat at an index where the logs surely agree, so it is not rejected."""
         match_index = self._progress.replicas[message.recipient].match_index
         prev_log_index = min(match_index, self._persistence.persisted_index)
--- a/mothstall/store/raft/follower.py
+++ b/mothstall/store/raft/follower.py
@@ -50,7 +50,7 @@
             self.answer(request, success=False, match_index=self._retry_index(request))
             return
         for entry in request.entries:
-            self._take(entry)
+            self._append_entry(entry)
         match_index = prev_log_index + len(request.entries)
         state.commit_index = max(state.commit_index, min(request.leader_commit, match_index))
         if request.leader_commit <= match_index:
@@ -72,11 +72,11 @@
             request.sender, success, request.prev_log_index, match_index, request.read_round
         )
 
-    def reject_old_leader(self, name: str) -> None:
+    def reject_stale_leader(self, name: str) -> None:
         """Reject a leader of an older term; the response carries the current term."""
         self._send_answer(name, False, 0, 0, 0)
 
-    def _take(self, entry: Entry) -> None:
+    def _append_entry(self, entry: Entry) -> None:
         """Append an entry; a conflicting one at its index and all after it are removed first."""
         log = self._state.log
         existing_term = log.term_at(entry.index)
--- a/mothstall/store/raft/node.py
+++ b/mothstall/store/raft/node.py
@@ -374,7 +374,7 @@
         elif message.term < self.current_term:
             if is_from_leader:
                 # Guards against a stale leader that gets no response and never steps down.
-                self._follower.reject_old_leader(message.sender)
+                self._follower.reject_stale_leader(message.sender)
             return False
         return True
 
--- a/mothstall/store/raft/progress.py
+++ b/mothstall/store/raft/progress.py
@@ -70,19 +70,17 @@
 
     def quorum_match_index(self) -> int:
         """Return the highest index up to which a quorum of voters has the log."""
-        return self._reached_by_quorum(lambda progress: progress.match_index, otherwise=0)
+        return self._quorum_value(lambda progress: progress.match_index, default=0)
 
     def quorum_read_round(self) -> int:
         """Return the newest round of reads that a quorum of voters has confirmed."""
-        return self._reached_by_quorum(
-            lambda progress: progress.acknowledged_read_round, otherwise=-1
-        )
+        return self._quorum_value(lambda progress: progress.acknowledged_read_round, default=-1)
 
     def active_voter_count(self) -> int:
         """Return how many voters, the leader included, have responded since the last check."""
         count = 0
         for name in self._state.configuration.voters:
-            is_active = self.replicas[name].is_recently_active and self._counts(name)
+            is_active = self.replicas[name].is_recently_active and self._counts_in_quorum(name)
             count += name == self._state.name or is_active
         return count
 
@@ -94,15 +92,15 @@
     def _unknown_progress(self) -> Progress:
         return Progress(next_index=self._state.log.last_index + 1, is_recently_active=True)
 
-    def _counts(self, name: str) -> bool:
+    def _counts_in_quorum(self, name: str) -> bool:
         """Whether a replica counts in a quorum; not while its disk may have lost promises."""
         is_normal = self.replicas[name].recovery_status == RecoveryStatus.NORMAL
         return name == self._state.name or is_normal
 
-    def _reached_by_quorum(self, value_of: Callable[[Progress], int], *, otherwise: int) -> int:
+    def _quorum_value(self, value_of: Callable[[Progress], int], *, default: int) -> int:
         configuration = self._state.configuration
         values: Iterable[int] = (
-            value_of(self.replicas[name]) if self._counts(name) else otherwise
+            value_of(self.replicas[name]) if self._counts_in_quorum(name) else default
             for name in configuration.voters
         )
         return sorted(values, reverse=True)[configuration.quorum_size - 1]
--- a/mothstall/store/raft/recovery.py
+++ b/mothstall/store/raft/recovery.py
@@ -56,7 +56,7 @@
         self._state = state
         self._outbox = outbox
         self.observed: dict[str, ObservedPromises] = {}
-        self._at_start = ObservedPromises(
+        self._promises_at_start = ObservedPromises(
             state.current_term, state.log.last_term, state.log.last_index
         )
         self._answered_voters: set[str] = set()
@@ -103,8 +103,8 @@
             return
         self._lost_promises_term = max(self._lost_promises_term, report.seen_term)
         reported_position = (report.last_log_term, report.last_log_index)
-        is_term_lost = report.seen_term > self._at_start.term
-        if is_term_lost or reported_position > self._at_start.log_position:
+        is_term_lost = report.seen_term > self._promises_at_start.term
+        if is_term_lost or reported_position > self._promises_at_start.log_position:
             state.recovery_status = RecoveryStatus.RECOVERING
         if state.recovery_status == RecoveryStatus.RECOVERING:
             return
@@ -117,8 +117,8 @@
         if state.recovery_status != RecoveryStatus.RECOVERING:
             return
         is_learner = state.name in state.configuration.learners
-        is_late_enough = state.current_term >= self._lost_promises_term
-        if state.is_configuration_committed and is_learner and is_late_enough:
+        is_term_recent_enough = state.current_term >= self._lost_promises_term
+        if state.is_configuration_committed and is_learner and is_term_recent_enough:
             state.recovery_status = RecoveryStatus.NORMAL
 
     def _query_other_voters(self) -> None:
--- a/mothstall/store/raft/replication.py
+++ b/mothstall/store/raft/replication.py
@@ -89,7 +89,7 @@
             progress.snapshot_offset = NO_SNAPSHOT
             self.advance_commit_index()
         elif _is_rejection_current(response, progress):
-            self._step_back(response, progress)
+            self._retry_from_earlier_index(response, progress)
         if progress.is_streaming and progress.next_index <= self._state.log.last_index:
             self._send(response.sender, is_heartbeat=False)
         self._reads.release_confirmed()
@@ -117,7 +117,9 @@
         self.is_broadcast_due = True
         self._reads.release_confirmed()
 
-    def _step_back(self, response: AppendEntriesResponse, progress: Progress) -> None:
+    def _retry_from_earlier_index(
+        self, response: AppendEntriesResponse, progress: Progress
+    ) -> None:
         """Retry from an earlier index, since the follower's log did not agree."""
         progress.is_streaming = False
         if response.recovery_status != RecoveryStatus.NORMAL:
@@ -144,8 +146,8 @@
         entries: tuple[Entry, ...] = ()
         if progress.next_index <= state.log.last_index:
             entries = state.log.entries_from(progress.next_index, self._options.max_batch_bytes)
-        has_news = bool(entries) or progress.sent_commit_index < state.commit_index
-        if is_heartbeat or has_news:
+        has_updates = bool(entries) or progress.sent_commit_index < state.commit_index
+        if is_heartbeat or has_updates:
             self._send_append(name, progress, entries)
 
     def _send_append(self, name: str, progress: Progress, entries: tuple[Entry, ...]) -> None:
--- a/mothstall/store/raft/snapshot_transfer.py
+++ b/mothstall/store/raft/snapshot_transfer.py
@@ -11,7 +11,7 @@
 
 MAX_CHUNK_BYTES = 256 * 1024  # of a snapshot in one message; takes a few ms on a slow link
 MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # bounds the memory of a follower that receives one
-NOTHING_RECEIVED = (0, 0)  # index and term of no snapshot
+NO_SNAPSHOT_RECEIVED = (0, 0)  # index and term of no snapshot
 
 
 class SnapshotSender:
@@ -71,14 +71,14 @@
         self._outbox = outbox
         self._persistence = persistence
         self._received = bytearray()
-        self._received_of = NOTHING_RECEIVED
+        self._received_identity = NO_SNAPSHOT_RECEIVED
 
     def handle(self, request: InstallSnapshot) -> None:
         """Store a chunk of a snapshot that goes beyond the commit index, and respond."""
         identity = (request.last_included_index, request.last_included_term)
-        if identity != self._received_of or request.offset == 0:
+        if identity != self._received_identity or request.offset == 0:
             self._received = bytearray()
-            self._received_of = identity
+            self._received_identity = identity
         if request.offset == len(self._received):
             self._received += request.data
         received_bytes = len(self._received)
@@ -103,7 +103,7 @@
             bytes(self._received),
         )
         self._received = bytearray()
-        self._received_of = NOTHING_RECEIVED
+        self._received_identity = NO_SNAPSHOT_RECEIVED
         self._state.log = RaftLog(snapshot)
         self._state.commit_index = snapshot.last_included_index
         self._state.last_applied = snapshot.last_included_index
--- a/mothstall/store/state/validation.py
+++ b/mothstall/store/state/validation.py
@@ -55,12 +55,12 @@
     return ""
 
 
-def _is_name(text: str) -> bool:
+def _is_valid_name(text: str) -> bool:
     return 0 < len(text) <= MAX_NAME_LENGTH
 
 
 def _check_acquire_lease(change: AcquireLease, tables: StateTables) -> str:
-    if not _is_name(change.owner) or not _is_name(change.name):
+    if not _is_valid_name(change.owner) or not _is_valid_name(change.name):
         return f"names of leases and owners have 1 to {MAX_NAME_LENGTH} letters"
     if not 0 < change.duration_ms <= MAX_LEASE_MS:
         return f"a term lasts 1 to {MAX_LEASE_MS} ms"
@@ -93,7 +93,7 @@
 
 
 def _check_put_value(change: PutValue, tables: StateTables) -> str:
-    if not _is_name(change.key):
+    if not _is_valid_name(change.key):
         return f"a key has 1 to {MAX_NAME_LENGTH} letters"
     if change.value is None:
         return ""
@@ -106,10 +106,10 @@
 
 def _check_put_drain(change: PutDrain, tables: StateTables) -> str:
     drain = change.drain
-    if drain.kind not in DRAIN_KINDS or not _is_name(drain.name):
+    if drain.kind not in DRAIN_KINDS or not _is_valid_name(drain.name):
         return f"a drain is of a box or a zone, with a name of 1 to {MAX_NAME_LENGTH} letters"
     if (
-        not _is_name(drain.requested_by)
+        not _is_valid_name(drain.requested_by)
         or len(drain.requested_at) > MAX_NAME_LENGTH
         or len(drain.reason) > MAX_REASON_LENGTH
     ):
--- a/mothstall/store/storage.py
+++ b/mothstall/store/storage.py
@@ -76,7 +76,7 @@
         self._before_commit = before_commit
         self._connection: sqlite3.Connection | None = None
 
-    def load(self, name: str, cluster: str, first: Configuration) -> LoadedLog:
+    def load(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
         """Opens the file, creates it where there is none, and reads all of it.
 
         A file that is not a database is renamed and replaced by a new one that is in recovery.
@@ -84,7 +84,7 @@
         Args:
             name: The replica; another replica's file is rejected.
             cluster: The cluster; another cluster's file is rejected.
-            first: The configuration of a replica that has no snapshot yet.
+            initial_configuration: The configuration of a replica that has no snapshot yet.
 
         Raises:
             StorageError: The file cannot be opened, or belongs to another replica.
@@ -92,13 +92,13 @@
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
             self._connection = self._open()
-            return self._read(name, cluster, first)
+            return self._read(name, cluster, initial_configuration)
         except StorageError:
             raise  # it is an OSError too, but names the file already
         except sqlite3.OperationalError as error:
             raise StorageError(f"{self.path}: {error}") from error
         except sqlite3.DatabaseError as error:
-            return self._begin_anew(name, cluster, first, error)
+            return self._replace_damaged_file(name, cluster, initial_configuration, error)
         except OSError as error:
             raise StorageError(f"{self.path}: {error.strerror or error}") from error
 
@@ -145,8 +145,12 @@
         database.executescript(_TABLES)
         return database
 
-    def _begin_anew(
-        self, name: str, cluster: str, first: Configuration, error: sqlite3.DatabaseError
+    def _replace_damaged_file(
+        self,
+        name: str,
+        cluster: str,
+        initial_configuration: Configuration,
+        error: sqlite3.DatabaseError,
     ) -> LoadedLog:
         """Renames a file that is not a database, and begins a new one that is in recovery.
 
@@ -154,10 +158,12 @@
             StorageError: The new file cannot be written.
         """
         try:
-            renamed = self._set_aside()
+            renamed = self._rename_damaged_file()
             self._connection = self._open()
-            self._read(name, cluster, first)
-            loaded = LoadedLog(HardState(is_recovering=True), Snapshot(0, 0, first, b""))
+            self._read(name, cluster, initial_configuration)
+            loaded = LoadedLog(
+                HardState(is_recovering=True), Snapshot(0, 0, initial_configuration, b"")
+            )
             loaded.damage = f"{self.path}: {error}; the file is kept as {renamed}"
             self._write_hard_state(loaded.hard_state)
         except (sqlite3.Error, OSError) as second_error:
@@ -165,7 +171,7 @@
             raise StorageError(reason) from second_error
         return loaded
 
-    def _set_aside(self) -> Path:
+    def _rename_damaged_file(self) -> Path:
         """Renames the file to the first free name with the suffix `.damaged-N`."""
         if self._connection:
             self._connection.close()
@@ -182,10 +188,10 @@
     def _damaged_path(self, number: int) -> Path:
         return self.path.with_suffix(f".damaged-{number}")
 
-    def _read(self, name: str, cluster: str, first: Configuration) -> LoadedLog:
+    def _read(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
         """Reads all records; if one is damaged, marks the replica and drops the entries behind."""
         self._check_owner(name, cluster)
-        loaded = LoadedLog(HardState(), Snapshot(0, 0, first, b""))
+        loaded = LoadedLog(HardState(), Snapshot(0, 0, initial_configuration, b""))
         self._read_hard_state(loaded)
         self._read_snapshot(loaded)
         self._read_entries(loaded)
