--- a/tests/compatibility/fixture_files.py
+++ b/tests/compatibility/fixture_files.py
@@ -15,26 +15,26 @@
 
 
 @functools.cache
-def _all_expected() -> dict[str, Any]:
+def _all_expected_values() -> dict[str, Any]:
     found: dict[str, Any] = json.loads((FIXTURES / "expected.json").read_bytes())
     return found
 
 
 def expected(path: str) -> Any:
     """What a file means, as plain values: structs by position, bytes in base64."""
-    return _all_expected()[path]
+    return _all_expected_values()[path]
 
 
-def plain(value: Any) -> Any:
+def to_plain(value: Any) -> Any:
     """A value in the form of `expected`."""
     return json.loads(msgspec.json.encode(value))
 
 
-def content(path: str) -> bytes:
+def fixture_bytes(path: str) -> bytes:
     return (FIXTURES / path).read_bytes()
 
 
-def files(folder: str) -> list[str]:
+def fixture_paths(folder: str) -> list[str]:
     """The files of a folder, relative to all fixtures."""
     return sorted(f"{folder}/{file.name}" for file in (FIXTURES / folder).iterdir())
 
@@ -44,5 +44,5 @@
     return Path(path).stem.partition("-")[0]
 
 
-def folders() -> list[str]:
+def fixture_folders() -> list[str]:
     return sorted(folder.name for folder in FIXTURES.iterdir() if folder.is_dir())
--- a/tests/compatibility/test_field_positions.py
+++ b/tests/compatibility/test_field_positions.py
@@ -27,7 +27,7 @@
 from mothstall.store.state import changes
 from mothstall.store.state.changes import ChangeResult, MemberJoin, MemberLeave, Proposal
 from mothstall.store.state.rows import Drain, Lease, Member, StateDelta, StoredValue
-from tests.compatibility.fixture_files import content
+from tests.compatibility.fixture_files import fixture_bytes
 
 HINT = HealthHint(
     is_unhealthy=True,
@@ -323,14 +323,14 @@
 
 
 @pytest.mark.parametrize("path", STRUCTS)
-def test_a_struct_made_by_names_gives_the_bytes(path: str) -> None:
-    assert msgspec.msgpack.encode(STRUCTS[path]) == content(f"{path}.msgpack")
+def test_a_struct_built_by_field_names_encodes_to_the_fixture(path: str) -> None:
+    assert msgspec.msgpack.encode(STRUCTS[path]) == fixture_bytes(f"{path}.msgpack")
 
 
-def test_an_aggregate_made_by_names_gives_the_bytes() -> None:
-    assert encode_report(AGGREGATE) == content("values/Report-sum.msgpack")
+def test_an_aggregate_built_by_field_names_encodes_to_the_fixture() -> None:
+    assert encode_report(AGGREGATE) == fixture_bytes("values/Report-sum.msgpack")
 
 
-def test_a_durable_file_made_by_names_gives_the_bytes() -> None:
+def test_a_persisted_state_built_by_field_names_encodes_to_the_fixture() -> None:
     state = PersistedState(drains=[DRAIN, ZONE_DRAIN], tokens={"failover": 4, "probe/backend-1": 2})
-    assert msgspec.json.encode(state) == content("proxy/p1.agent")
+    assert msgspec.json.encode(state) == fixture_bytes("proxy/p1.agent")
--- a/tests/compatibility/test_frames.py
+++ b/tests/compatibility/test_frames.py
@@ -9,17 +9,24 @@
 
 from mothstall.store.protocol.frames import FrameCodec
 from tests.compatibility import wire_types
-from tests.compatibility.fixture_files import CLUSTER, KEY, content, expected, files, plain
-
-PAYLOADS = [(folder, path) for folder in wire_types.RECEIVED for path in files(folder)]
+from tests.compatibility.fixture_files import (
+    CLUSTER,
+    KEY,
+    expected,
+    fixture_bytes,
+    fixture_paths,
+    to_plain,
+)
+
+PAYLOADS = [(folder, path) for folder in wire_types.RECEIVED for path in fixture_paths(folder)]
 DIALLED, ACCEPTED = "frames/dialled.bin", "frames/accepted.bin"
 
 
 @pytest.mark.parametrize(("folder", "path"), PAYLOADS, ids=[path for _, path in PAYLOADS])
-def test_a_payload_means_the_same_and_is_sent_the_same(folder: str, path: str) -> None:
-    payload = content(path)
+def test_a_payload_is_decoded_and_encoded_unchanged(folder: str, path: str) -> None:
+    payload = fixture_bytes(path)
     value = msgspec.msgpack.decode(payload, type=wire_types.RECEIVED[folder])
-    assert plain(value) == expected(path)
+    assert to_plain(value) == expected(path)
     assert msgspec.msgpack.encode(value) == payload
 
 
@@ -27,27 +34,27 @@
     return base64.b64decode(expected(path)[0][2])
 
 
-def _codec(sends: str) -> FrameCodec:
+def _codec(sent_path: str) -> FrameCodec:
     """The end of the connection whose bytes are in this file."""
-    return FrameCodec(CLUSTER, KEY, sends == DIALLED, _nonce(sends))
+    return FrameCodec(CLUSTER, KEY, sent_path == DIALLED, _nonce(sent_path))
 
 
-@pytest.mark.parametrize(("sent", "answered"), [(DIALLED, ACCEPTED), (ACCEPTED, DIALLED)])
-def test_frames_of_a_connection_are_read(sent: str, answered: str) -> None:
-    receiver = _codec(answered)
-    greeting, payloads = expected(sent)
-    found = receiver.receive_data(content(sent))
+@pytest.mark.parametrize(("sent_path", "peer_path"), [(DIALLED, ACCEPTED), (ACCEPTED, DIALLED)])
+def test_frames_of_a_connection_are_decoded(sent_path: str, peer_path: str) -> None:
+    receiving_codec = _codec(peer_path)
+    greeting, payloads = expected(sent_path)
+    found = receiving_codec.receive_data(fixture_bytes(sent_path))
     assert [base64.b64encode(payload).decode() for payload in found] == payloads
-    assert receiver.peer is not None
-    assert plain(receiver.peer) == greeting
+    assert receiving_codec.peer is not None
+    assert to_plain(receiving_codec.peer) == greeting
 
 
-@pytest.mark.parametrize(("sent", "answered"), [(DIALLED, ACCEPTED), (ACCEPTED, DIALLED)])
-def test_frames_of_a_connection_are_sent_the_same(sent: str, answered: str) -> None:
-    sender = _codec(sent)
-    (name, role, _), payloads = expected(sent)
-    data = sender.encode_greeting(name, role)
-    sender.receive_data(content(answered))
+@pytest.mark.parametrize(("sent_path", "peer_path"), [(DIALLED, ACCEPTED), (ACCEPTED, DIALLED)])
+def test_frames_of_a_connection_are_encoded_unchanged(sent_path: str, peer_path: str) -> None:
+    sending_codec = _codec(sent_path)
+    (name, role, _), payloads = expected(sent_path)
+    data = sending_codec.encode_greeting(name, role)
+    sending_codec.receive_data(fixture_bytes(peer_path))
     for payload in payloads:
-        data += sender.encode_frame(base64.b64decode(payload))
-    assert data == content(sent)
+        data += sending_codec.encode_frame(base64.b64decode(payload))
+    assert data == fixture_bytes(sent_path)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -27,10 +27,10 @@
 from tests.compatibility.fixture_files import (
     CLUSTER,
     FIXTURES,
-    content,
     expected,
-    files,
-    plain,
+    fixture_bytes,
+    fixture_paths,
+    to_plain,
     wire_name,
 )
 
@@ -38,12 +38,12 @@
 TABLES = ("sqlite_master", "entries", "hard", "snapshot", "owner")
 
 
-@pytest.mark.parametrize("path", files("values"))
-def test_a_value_means_the_same_and_is_written_the_same(path: str) -> None:
-    name, data = wire_name(path), content(path)
+@pytest.mark.parametrize("path", fixture_paths("values"))
+def test_a_value_is_decoded_and_encoded_unchanged(path: str) -> None:
+    name, data = wire_name(path), fixture_bytes(path)
     value = wire_types.VALUE_READERS[name](data)
     assert value is not None
-    assert plain(value) == expected(path)
+    assert to_plain(value) == expected(path)
     written = wire_types.VALUE_WRITERS[name](value)
     if path.endswith("-whole-weights.msgpack"):  # a weight of 120 comes back as 120.0
         assert msgspec.msgpack.decode(written) == msgspec.msgpack.decode(data)
@@ -51,11 +51,13 @@
         assert written == data
 
 
-@pytest.mark.parametrize("path", files("keeper_records"))
-def test_a_keeper_record_means_the_same_and_is_written_the_same(path: str) -> None:
-    value = msgspec.msgpack.decode(content(path), type=wire_types.KEEPER_RECORDS[wire_name(path)])
-    assert plain(value) == expected(path)
-    assert msgspec.msgpack.encode(value) == content(path)
+@pytest.mark.parametrize("path", fixture_paths("keeper_records"))
+def test_a_keeper_record_is_decoded_and_encoded_unchanged(path: str) -> None:
+    value = msgspec.msgpack.decode(
+        fixture_bytes(path), type=wire_types.KEEPER_RECORDS[wire_name(path)]
+    )
+    assert to_plain(value) == expected(path)
+    assert msgspec.msgpack.encode(value) == fixture_bytes(path)
 
 
 # A keeper's file
@@ -74,7 +76,7 @@
 
 
 def contents(state: StateMachine) -> Any:
-    return plain(
+    return to_plain(
         {
             "applied_index": state.applied_index,
             "version": state.version,
@@ -88,24 +90,24 @@
     )
 
 
-def test_a_keeper_file_is_sound(keeper_file: Path) -> None:
+def test_a_keeper_file_is_loaded_without_damage(keeper_file: Path) -> None:
     assert storage_inspection.find_damage(keeper_file) == ""
     loaded = load(keeper_file)
-    meaning = expected(KEEPER_FILE)
+    expected_file = expected(KEEPER_FILE)
     assert loaded.damage == ""
-    assert plain(loaded.hard_state) == meaning["hard_state"]
-    assert plain(loaded.snapshot) == meaning["snapshot"]
-    assert plain(loaded.entries) == meaning["entries"]
+    assert to_plain(loaded.hard_state) == expected_file["hard_state"]
+    assert to_plain(loaded.snapshot) == expected_file["snapshot"]
+    assert to_plain(loaded.entries) == expected_file["entries"]
 
 
-def test_a_snapshot_gives_its_state_and_is_written_the_same(keeper_file: Path) -> None:
+def test_a_snapshot_is_decoded_and_encoded_unchanged(keeper_file: Path) -> None:
     image = load(keeper_file).snapshot.data
     state = StateMachine.from_snapshot(image)
     assert contents(state) == expected(KEEPER_FILE)["at_snapshot"]
     assert state.encode_snapshot() == image
 
 
-def test_entries_behind_a_snapshot_make_the_same_changes(keeper_file: Path) -> None:
+def test_entries_behind_a_snapshot_are_applied_with_the_same_results(keeper_file: Path) -> None:
     loaded = load(keeper_file)
     state = StateMachine.from_snapshot(loaded.snapshot.data)
     results = []
@@ -113,14 +115,14 @@
         if entry.kind == EntryKind.COMMAND:
             _, result = state.apply(entry.index, entry.data)
             reason, *rest = msgspec.structs.astuple(result)
-            results.append([entry.index, bool(reason), *plain(rest)])
-    meaning = expected(KEEPER_FILE)
-    assert results == meaning["results"]
-    assert contents(state) == meaning["in_the_end"]
-    assert state.encode_snapshot() == base64.b64decode(meaning["image_in_the_end"])
+            results.append([entry.index, bool(reason), *to_plain(rest)])
+    expected_file = expected(KEEPER_FILE)
+    assert results == expected_file["results"]
+    assert contents(state) == expected_file["in_the_end"]
+    assert state.encode_snapshot() == base64.b64decode(expected_file["image_in_the_end"])
 
 
-def test_entries_behind_the_snapshot_hold_every_kind_of_change(keeper_file: Path) -> None:
+def test_entries_behind_the_snapshot_include_every_kind_of_change(keeper_file: Path) -> None:
     found, kinds = set(), set()
     for entry in load(keeper_file).entries:
         kinds.add(entry.kind)
@@ -130,23 +132,23 @@
             assert msgspec.msgpack.encode(proposal) == entry.data
         elif entry.kind == EntryKind.CONFIGURATION:
             members = msgspec.msgpack.decode(entry.data, type=Configuration)
-            assert plain(members) == [["k1", "k2", "k3", "k4"], []]
+            assert to_plain(members) == [["k1", "k2", "k3", "k4"], []]
     assert found == wire_types.tags(wire_types.CHANGE)
     assert kinds == set(EntryKind)
 
 
-def test_a_keeper_file_is_written_the_same(keeper_file: Path, tmp_path: Path) -> None:
+def test_a_keeper_file_is_written_with_the_same_rows(keeper_file: Path, tmp_path: Path) -> None:
     """So an earlier version can go on from it."""
     loaded = load(keeper_file)
-    fresh = tmp_path / "fresh.db"
-    disk = storage.DiskLog(fresh)
+    new_path = tmp_path / "fresh.db"
+    disk = storage.DiskLog(new_path)
     disk.load("k1", CLUSTER, Configuration())
     disk.write(
         Ready(hard_state=loaded.hard_state, snapshot=loaded.snapshot, entries=loaded.entries)
     )
     disk.close()
     for table in TABLES:
-        assert rows(fresh, table) == rows(keeper_file, table)
+        assert rows(new_path, table) == rows(keeper_file, table)
 
 
 def rows(path: Path, table: str) -> list[Any]:
@@ -154,37 +156,39 @@
         return database.execute(f"SELECT * FROM {table} ORDER BY 1, 2").fetchall()
 
 
-def test_a_stopped_keepers_file_is_shown(keeper_file: Path) -> None:
-    shown: dict[str, Any] = plain(storage_inspection.read_summary(keeper_file))
+def test_the_summary_of_a_stopped_keepers_file_lists_its_leases_and_drains(
+    keeper_file: Path,
+) -> None:
+    summary: dict[str, Any] = to_plain(storage_inspection.read_summary(keeper_file))
     in_the_end = expected(KEEPER_FILE)["in_the_end"]
     for key in ("leases", "drains"):
-        assert shown[key] == list(in_the_end[key].values())
+        assert summary[key] == list(in_the_end[key].values())
 
 
-def test_a_backup_gives_its_state() -> None:
-    state = StateMachine.from_snapshot(zlib.decompress(content("keeper/backup.z")))
+def test_a_backup_is_decoded_to_its_state() -> None:
+    state = StateMachine.from_snapshot(zlib.decompress(fixture_bytes("keeper/backup.z")))
     assert contents(state) == expected("keeper/backup.z")
 
 
 # What a proxy keeps
 
 
-def test_a_durable_file_means_the_same_and_is_written_the_same(tmp_path: Path) -> None:
+def test_a_persisted_state_file_is_decoded_and_encoded_unchanged(tmp_path: Path) -> None:
     shutil.copy(FIXTURES / "proxy/p1.agent", tmp_path / "p1.agent")
-    memory = PersistedStateFile(str(tmp_path), "p1").load()
-    assert plain(memory) == expected("proxy/p1.agent")
-    PersistedStateFile(str(tmp_path), "p2").save(msgspec.json.encode(memory))
-    assert (tmp_path / "p2.agent").read_bytes() == content("proxy/p1.agent")
+    state = PersistedStateFile(str(tmp_path), "p1").load()
+    assert to_plain(state) == expected("proxy/p1.agent")
+    PersistedStateFile(str(tmp_path), "p2").save(msgspec.json.encode(state))
+    assert (tmp_path / "p2.agent").read_bytes() == fixture_bytes("proxy/p1.agent")
 
 
-def test_a_known_endpoint_list_means_the_same() -> None:
+def test_a_cached_endpoint_list_is_parsed_unchanged() -> None:
     names = Names(("read",), ("c1",), ("z1", "z2"), ("small", "large"))
-    update = protocol.parse_endpoint_list(json.loads(content("proxy/known.json")), names)
-    assert plain(dataclasses.astuple(update)) == expected("proxy/known.json")
+    update = protocol.parse_endpoint_list(json.loads(fixture_bytes("proxy/known.json")), names)
+    assert to_plain(dataclasses.astuple(update)) == expected("proxy/known.json")
 
 
-def test_measured_points_mean_the_same_and_are_written_the_same() -> None:
+def test_measured_points_are_decoded_and_encoded_unchanged() -> None:
     path = "points/scale-example.json"
-    found = points.decode(content(path))
-    assert plain(found) == expected(path)
-    assert points.encode(found) == content(path)
+    found = points.decode(fixture_bytes(path))
+    assert to_plain(found) == expected(path)
+    assert points.encode(found) == fixture_bytes(path)
--- a/tests/compatibility/test_stored_names.py
+++ b/tests/compatibility/test_stored_names.py
@@ -28,7 +28,7 @@
 from mothstall.store.state.rows import Drain, DrainKind, drain_key
 
 
-def test_names_of_leases_and_values_stay() -> None:
+def test_names_of_leases_and_values_are_unchanged() -> None:
     assert (MEMBER_LEASE_PREFIX, PROBE_LEASE_PREFIX, HEALTH_HINT_PREFIX) == (
         "member/",
         "probe/",
@@ -47,24 +47,24 @@
     assert drain_key("box", "backend-1") == "box:backend-1"
 
 
-def test_words_of_greetings_drains_and_admin_commands_stay() -> None:
+def test_values_of_drain_kinds_peer_roles_and_admin_verbs_are_unchanged() -> None:
     assert [kind.value for kind in DrainKind] == ["box", "zone"]
     assert [role.value for role in PeerRole] == ["keeper", "observer", "agent", "tool"]
     assert [verb.value for verb in AdminVerb] == ["status", "add", "remove", "transfer", "backup"]
 
 
 @pytest.mark.parametrize("word", [DrainKind.BACKEND, PeerRole.TOOL, AdminVerb.STATUS])
-def test_a_word_is_sent_as_its_plain_string(word: StrEnum) -> None:
+def test_an_enum_value_is_encoded_as_its_plain_string(word: StrEnum) -> None:
     assert msgspec.msgpack.encode(word) == msgspec.msgpack.encode(str(word.value))
     assert f"{word}" == word.value
 
 
 @pytest.mark.parametrize("kind", ["box", "zone"])
-def test_kinds_of_drains_are_taken(kind: str) -> None:
+def test_stored_kinds_of_drains_are_accepted(kind: str) -> None:
     assert StateMachine().rejection_reason(PutDrain(Drain(kind, "name", "ada", "now", ""))) == ""
 
 
-def test_a_change_of_members_is_tagged_as_the_others() -> None:
+def test_a_change_of_members_is_tagged_attach() -> None:
     assert (
         msgspec.msgpack.decode(msgspec.msgpack.encode(UpdateMembers("observer/o1", 1)))[0]
         == "Attach"
--- a/tests/compatibility/wire_types.py
+++ b/tests/compatibility/wire_types.py
@@ -56,9 +56,9 @@
 }
 
 PACKAGES = (store, keeper, observer, fleet)
-NEVER_SENT = (Subscription,)
-IMAGE = StateImage  # what a snapshot's data is
-OPERATOR_FILE = operator_config.__name__  # its structs are read from TOML
+UNSENT_STRUCTS = (Subscription,)
+SNAPSHOT_IMAGE = StateImage  # what a snapshot's data is
+OPERATOR_CONFIG_MODULE = operator_config.__name__  # its structs are read from TOML
 
 
 def members_of(union: Any) -> tuple[Any, ...]:
@@ -86,7 +86,7 @@
         struct
         for struct in _subclasses(msgspec.Struct)
         if struct.__module__.startswith(prefixes)
-        and struct.__module__ != OPERATOR_FILE
+        and struct.__module__ != OPERATOR_CONFIG_MODULE
         and not struct.__subclasses__()
     }
 
--- a/tests/store/protocol/test_frames.py
+++ b/tests/store/protocol/test_frames.py
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.store.errors import FrameError
 from mothstall.store.protocol.frames import MAX_FRAME_BYTES, NONCE_BYTES, FrameCodec, PeerRole
@@ -94,14 +94,14 @@
         keeper.receive_data(header)
 
 
-def test_a_payload_that_fits_in_no_frame_is_not_encoded() -> None:
+def test_a_payload_too_large_for_a_frame_is_not_encoded() -> None:
     with pytest.raises(FrameError, match="more than"):
         dialer().encode_frame(b"x" * MAX_FRAME_BYTES)
 
 
 @settings(max_examples=200, deadline=None)
-@given(some.binary(max_size=4000), some.booleans())
-def test_arbitrary_bytes_never_give_a_payload(data: bytes, has_header: bool) -> None:
+@given(st.binary(max_size=4000), st.booleans())
+def test_arbitrary_bytes_are_never_decoded_to_a_payload(data: bytes, has_header: bool) -> None:
     _, keeper = greeted_pair()
     header = agent_greeting()[:HEADER_BYTES] if has_header else b""
 
--- a/tests/store/raft/test_early_messages.py
+++ b/tests/store/raft/test_early_messages.py
@@ -40,7 +40,7 @@
     assert all(x.entries == () and x.leader_commit == 0 for x in heartbeats)
 
 
-def test_disk_that_stands_still_ends_the_leadership() -> None:
+def test_early_messages_end_when_a_write_takes_too_long() -> None:
     leader = _leader_with_write_in_progress()
     heartbeats = _heartbeats(leader)
     for _ in range(2 * leader.timing.election_ticks + 1):
--- a/tests/store/raft/test_election.py
+++ b/tests/store/raft/test_election.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("is_leadership_transfer", [False, True])
-def test_vote_request_is_ignored_while_a_leader_is_heard_unless_it_transfers(
+def test_vote_request_is_ignored_while_a_leader_is_active_unless_it_transfers(
     is_leadership_transfer: bool,
 ) -> None:
     voter = replica("k2", HardState(3))
--- a/tests/store/raft/test_exploration.py
+++ b/tests/store/raft/test_exploration.py
@@ -25,7 +25,7 @@
     assert bool(found.committed) is bool(bounds.entries)
 
 
-def test_commit_of_an_older_term_is_caught() -> None:
+def test_commit_without_an_entry_of_the_own_term_violates_safety() -> None:
     """Figure 8 of the paper, found by the search: four terms, one entry in each message."""
     bounds = explore.Bounds(
         terms=4, entries=0, crashes=0, candidates=("k1", "k2"), batch=1, own_term_only=False
--- a/tests/store/raft/test_log.py
+++ b/tests/store/raft/test_log.py
@@ -24,7 +24,7 @@
     return log
 
 
-def test_truncation_takes_back_the_configurations_that_it_drops() -> None:
+def test_truncation_restores_the_configuration_before_the_removed_entries() -> None:
     log = _log()
     assert log.configuration == SECOND
     log.truncate_from(3)
@@ -32,7 +32,7 @@
     assert log.term_at(3) == UNKNOWN_TERM
 
 
-def test_compaction_keeps_some_entries_and_the_configuration_before_them() -> None:
+def test_compaction_retains_entries_and_the_configuration_before_them() -> None:
     log = _log()
     log.compact(Snapshot(5, 1, SECOND, b"state"), 1)
     assert [entry.index for entry in log.entries] == [5, 6]
--- a/tests/store/raft/test_membership.py
+++ b/tests/store/raft/test_membership.py
@@ -35,7 +35,7 @@
     assert [x.recipient for x in requests] == ["k3"]
 
 
-def test_transfer_is_given_up_after_an_election_timeout() -> None:
+def test_transfer_is_cancelled_after_an_election_timeout() -> None:
     leader = _elected_leader()
     complete_write(leader)
     assert leader.transfer_leadership("k3") == ""
--- a/tests/store/raft/test_simulated_runs.py
+++ b/tests/store/raft/test_simulated_runs.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(("guards", "settings", "seeds", "violation"), WITHOUT_SAFEGUARD)
-def test_run_without_a_safeguard_is_caught(
+def test_run_without_a_safeguard_shows_the_violation(
     guards: Guards, settings: dict[str, Any], seeds: int | tuple[int, ...], violation: str
 ) -> None:
     for seed in range(1, seeds + 1) if isinstance(seeds, int) else seeds:
@@ -94,7 +94,7 @@
     assert sum(elections(seed, False) for seed in (1, 2, 3)) >= 6
 
 
-def test_history_that_is_not_linearizable_is_recognized() -> None:
+def test_history_that_is_not_linearizable_is_detected() -> None:
     operation = linear.Op
     linearizable = [
         operation(0, 10, True, 1),
@@ -110,11 +110,11 @@
     ]
     assert linear.linear(stale_read) is False
     assert linear.linear(linearizable, 2) is None
-    read_going_back = [
+    non_monotonic_reads = [
         operation(0, 50, True, 1),
         operation(10, 20, False, 1),
         operation(21, 30, False, 0),
     ]
-    assert linear.linear(read_going_back) is False, (
+    assert linear.linear(non_monotonic_reads) is False, (
         "once a read has returned it, no later one may miss it"
     )
--- a/tests/store/state/test_machine.py
+++ b/tests/store/state/test_machine.py
@@ -7,7 +7,7 @@
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from mothstall.store.errors import SnapshotError
 from mothstall.store.state import machine
@@ -60,16 +60,16 @@
     log.expire("x", 1)
     successor = log.change(acquire("p2"))
 
-    late = log.change(PutValue("x", 1, "key", b"late"))
+    stale_result = log.change(PutValue("x", 1, "key", b"late"))
 
     assert successor.token == 2
-    assert late.rejected_reason == "x: token 1 is over, p2 holds 2"
-    assert late.is_token_stale
+    assert stale_result.rejected_reason == "x: token 1 is over, p2 holds 2"
+    assert stale_result.is_token_stale
     assert not log.state.values
     assert not log.change(PutValue("x", 2, "key", b"good")).rejected_reason
 
 
-def test_the_expiry_of_an_earlier_term_leaves_the_later_one_alone(log: AppliedLog) -> None:
+def test_an_expiry_with_a_stale_token_keeps_the_current_lease(log: AppliedLog) -> None:
     log.change(acquire("p1"))
     log.expire("x", 1)
     log.change(acquire("p2"))
@@ -137,7 +137,7 @@
     assert len(complete.drains) == 8
 
 
-def test_after_a_snapshot_every_delta_is_complete(log: AppliedLog) -> None:
+def test_a_state_restored_from_a_snapshot_returns_complete_deltas(log: AppliedLog) -> None:
     for number in range(1, 10):
         log.change(drain(number))
 
@@ -147,7 +147,7 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(some.binary(max_size=4000))
+@given(st.binary(max_size=4000))
 def test_arbitrary_bytes_change_nothing_and_are_no_snapshot(data: bytes) -> None:
     state = StateMachine()
 
--- a/tests/store/test_errors.py
+++ b/tests/store/test_errors.py
@@ -8,12 +8,12 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "second_base"),
+    ("error", "built_in_base"),
     [(FrameError, ValueError), (SnapshotError, ValueError), (StorageError, OSError)],
 )
-def test_an_error_of_the_store_is_also_of_the_built_in_kind(
-    error: type[Exception], second_base: type[Exception]
+def test_a_store_error_is_also_a_built_in_exception(
+    error: type[Exception], built_in_base: type[Exception]
 ) -> None:
     assert issubclass(error, StoreError)
-    assert issubclass(error, second_base)
+    assert issubclass(error, built_in_base)
     assert str(error("one line")) == "one line"
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -41,7 +41,7 @@
     return log
 
 
-def damage(path: Path, statement: str) -> None:
+def execute_on_file(path: Path, statement: str) -> None:
     with closing(sqlite3.connect(path)) as database, database:
         database.execute(statement)
 
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("statement", "damage_text", "intact_entries"),
+    ("statement", "damage_message", "intact_entries"),
     [
         ("UPDATE entries SET data = x'00' WHERE idx = 3", "entry 3 is damaged", 2),
         ("UPDATE entries SET term = 9 WHERE idx = 2", "entry 2 is damaged", 1),
@@ -67,16 +67,16 @@
         ("UPDATE hard SET data = x'93000000'", "term and vote", 5),
     ],
 )
-def test_a_damaged_record_is_named_and_nothing_behind_it_is_used(
-    path: Path, statement: str, damage_text: str, intact_entries: int
+def test_a_damaged_record_is_reported_and_no_entry_behind_it_is_loaded(
+    path: Path, statement: str, damage_message: str, intact_entries: int
 ) -> None:
     filled_log(path).close()
-    damage(path, statement)
+    execute_on_file(path, statement)
 
     assert storage_inspection.find_damage(path)
     loaded = load(path)
 
-    assert damage_text in loaded.damage
+    assert damage_message in loaded.damage
     assert loaded.hard_state.is_recovering
     assert len(loaded.entries) == intact_entries
     # The mark is on disk: after a second start the replica does not vote either.
@@ -148,7 +148,7 @@
         log.load("k2", "c", CONFIGURATION)
 
 
-def test_the_file_of_another_replica_is_named_once(path: Path) -> None:
+def test_the_error_about_another_replicas_file_names_the_path_once(path: Path) -> None:
     """The error is an OSError, and was wrapped in a second one that named the file again."""
     filled_log(path).close()
 
@@ -158,7 +158,7 @@
     assert str(error.value).count(str(path)) == 1
 
 
-def test_fault_of_the_file_that_replaces_a_damaged_one_is_a_storage_error(
+def test_failed_write_to_the_file_that_replaces_a_damaged_one_is_a_storage_error(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A second `sqlite3` error, behind the one that had the file set aside, left as it was."""
