--- a/mothstall/store/protocol/keeper_messages.py
+++ b/mothstall/store/protocol/keeper_messages.py
@@ -187,10 +187,10 @@
     | PublishReport
     | SubscribeReports
 )
-"""What a keeper accepts from its clients."""
+"""Messages that a keeper accepts from its clients."""
 
 KeeperMessage = ProposeResponse | ReadResponse | WatchEvent | AdminResponse | ReportBatch
-"""What a keeper sends to its clients."""
+"""Messages that a keeper sends to its clients."""
 
 
 class LocalDrainRequest(_Message, frozen=True, tag="Here"):
--- a/mothstall/store/protocol/observer_messages.py
+++ b/mothstall/store/protocol/observer_messages.py
@@ -111,7 +111,7 @@
     | keeper_messages.SubscribeReports
     | keeper_messages.AdminCommand
 )
-"""What an observer accepts from proxies and operators' tools."""
+"""Messages that an observer accepts from proxies and operators' tools."""
 
 ObserverMessage = (
     StateUpdate
@@ -121,4 +121,4 @@
     | keeper_messages.ReportBatch
     | keeper_messages.AdminResponse
 )
-"""What an observer sends to proxies and operators' tools."""
+"""Messages that an observer sends to proxies and operators' tools."""
--- a/mothstall/store/raft/early_messages.py
+++ b/mothstall/store/raft/early_messages.py
@@ -22,7 +22,7 @@
 from mothstall.store.raft.progress import ProgressTracker
 from mothstall.store.raft.replica_state import ReplicaState
 
-MAX_WRITE_ELECTIONS = 2  # a write that takes more election timeouts ends early messages
+MAX_WRITE_ELECTIONS = 2  # election timeouts after which a running write ends early messages
 
 
 class EarlyMessages:
@@ -66,7 +66,7 @@
         return None
 
     def _persisted_heartbeat(self, message: AppendEntries) -> AppendEntries | None:
-        """Return a heartbeat at an index where the logs surely agree, so it is not rejected."""
+        """Return a heartbeat at an index where the logs are known to agree: it is not rejected."""
         match_index = self._progress.replicas[message.recipient].match_index
         prev_log_index = min(match_index, self._persistence.persisted_index)
         prev_log_term = self._state.log.term_at(prev_log_index)
--- a/mothstall/store/raft/leader.py
+++ b/mothstall/store/raft/leader.py
@@ -1,4 +1,4 @@
-"""What a replica does while it leads: replication, reads, membership and transfer. Pure."""
+"""A leader's tasks: replication, reads, configuration changes and transfer. Pure."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
         return has_quorum
 
     def tick(self) -> None:
-        """Send heartbeats, and change the configuration where that is due."""
+        """Send heartbeats, and propose an automatic configuration change if one is due."""
         self.replication.tick()
         if not self._state.has_committed_in_term or not self._state.is_configuration_committed:
             return
--- a/mothstall/store/raft/messages.py
+++ b/mothstall/store/raft/messages.py
@@ -12,7 +12,7 @@
 
 
 class EntryKind(IntEnum):
-    """What the data of a log entry holds; the numbers are stored."""
+    """The kind of a log entry's data; the numbers are stored."""
 
     COMMAND = 0  # a change of the replicated state
     NO_OP = 1  # the first entry of a new leader: once committed, so are all entries before it
@@ -62,7 +62,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `data` is encoded as `kind` says."""
+    """One entry of the log; `kind` determines the encoding of `data`."""
 
     index: int
     term: int
--- a/mothstall/store/raft/node.py
+++ b/mothstall/store/raft/node.py
@@ -59,7 +59,7 @@
         options: Options of the replica.
         state: Term, vote, log, role and indexes.
         outbox: Messages that wait for the next write.
-        persistence: What is on disk, and what is being written.
+        persistence: Which part of the state is on disk, and which is being written.
         recovery: The check that no promise from before the start is lost.
         election: Election timeout and votes.
     """
@@ -73,7 +73,7 @@
         snapshot: Snapshot,
         entries: Sequence[Entry] = (),
     ) -> None:
-        """Start a replica from what its disk holds.
+        """Start a replica from the contents of its disk.
 
         Args:
             name: Its name in the configuration.
@@ -251,7 +251,7 @@
                 self._campaign(is_pre_vote=self.options.is_pre_vote_enabled)
 
     def ready(self) -> Ready:
-        """Return what is to be written, sent and applied since the last call, in this order."""
+        """Return the records to write, messages to send and entries to apply, in this order."""
         self._leader.replication.broadcast_if_due()
         ready = self.persistence.begin_write()
         ready.messages = self.outbox.take_all()
--- a/mothstall/store/raft/recovery.py
+++ b/mothstall/store/raft/recovery.py
@@ -46,10 +46,10 @@
 
 
 class PromiseRecovery:
-    """What this replica has observed of the others, and the check of its own promises.
+    """The observed promises of the other replicas, and the check of this one's own promises.
 
     Attributes:
-        observed: By name, what other replicas have promised.
+        observed: The promises of other replicas, by name.
     """
 
     def __init__(self, state: ReplicaState, outbox: Outbox) -> None:
@@ -80,7 +80,7 @@
         self._finish_verification_if_answered()
 
     def answer(self, query: RecoveryQuery) -> None:
-        """Report what this replica has observed of the sender."""
+        """Report the promises of the sender that this replica has observed."""
         known = self.observed.get(query.sender, ObservedPromises())
         self._outbox.send(
             RecoveryReport(
--- a/mothstall/store/state/changes.py
+++ b/mothstall/store/state/changes.py
@@ -40,7 +40,7 @@
         name: Name of the lease.
         owner: The process that acquires it.
         duration_ms: Milliseconds for which it stays valid after each renewal.
-        info: What the owner publishes about itself.
+        info: Data that the owner publishes about itself.
     """
 
     name: str
--- a/mothstall/store/state/limits.py
+++ b/mothstall/store/state/limits.py
@@ -1,4 +1,4 @@
-"""Limits of what the replicated state accepts, so that memory, frames and snapshots stay bounded.
+"""Limits on the replicated state, so that memory, frames and snapshots stay bounded.
 
 All replicas must have the same limits: with different ones they would apply the same log to
 different states.
--- a/mothstall/store/state/membership.py
+++ b/mothstall/store/state/membership.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchOutcome:
-    """What a batch changed.
+    """The result of a batch.
 
     Attributes:
         changed_members: Names of rows that differ now, each once.
--- a/mothstall/store/state/rows.py
+++ b/mothstall/store/state/rows.py
@@ -12,7 +12,7 @@
 
 
 class DrainKind(StrEnum):
-    """What a drain takes out of service; the values are stored and sent, and never change."""
+    """The kind of a drain's target; the values are stored and sent, and never change."""
 
     BACKEND = "box"
     ZONE = "zone"
@@ -40,7 +40,7 @@
         duration_ms: Milliseconds for which it stays valid after each renewal.
         token: The fencing token; grows over all leases, so that a later holder always has a greater
             one.
-        info: What the owner publishes about itself, such as its zone.
+        info: Data that the owner publishes about itself, such as its zone.
     """
 
     name: str
@@ -105,7 +105,7 @@
 
 
 class StateDelta(msgspec.Struct, frozen=True, array_like=True):
-    """What differs between two versions of the state; a row of None was removed.
+    """The rows that differ between two versions of the state; None marks a removed row.
 
     Attributes:
         since_version: The version it starts from; 0: this is the complete state.
--- a/mothstall/store/storage.py
+++ b/mothstall/store/storage.py
@@ -38,8 +38,8 @@
     """The contents of a file.
 
     Attributes:
-        hard_state: Term and vote; marked as recovering where the file was damaged.
-        snapshot: The newest snapshot; of index 0 where there is none.
+        hard_state: Term and vote; marked as recovering if the file was damaged.
+        snapshot: The newest snapshot; its index is 0 if there is none.
         entries: The intact entries behind the snapshot, without a gap.
         damage: Names the first record that cannot be used; empty: none.
     """
@@ -59,7 +59,7 @@
 
 
 class DiskLog:
-    """The file of one replica, which alone reads and writes it.
+    """The file of one replica, which is its only reader and writer.
 
     Attributes:
         path: The file.
@@ -69,7 +69,7 @@
         """Prepares a log; `load` opens the file.
 
         Args:
-            path: The file; its folder is created where it is missing.
+            path: The file; its folder is created if it is missing.
             before_commit: Called before each commit; lets the lab delay a write or make it fail.
         """
         self.path = path
@@ -77,7 +77,7 @@
         self._connection: sqlite3.Connection | None = None
 
     def load(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
-        """Opens the file, creates it where there is none, and reads all of it.
+        """Opens the file, or creates it if it is missing, and reads all records.
 
         A file that is not a database is renamed and replaced by a new one that is in recovery.
 
--- a/mothstall/store/storage_inspection.py
+++ b/mothstall/store/storage_inspection.py
@@ -84,7 +84,7 @@
     """Returns the contents of a stopped replica's file, with its entries applied to its snapshot.
 
     Raises:
-        sqlite3.Error: The file cannot be read; `find_damage` says why.
+        sqlite3.Error: The file cannot be read; `find_damage` returns the reason.
     """
     with contextlib.closing(_open_read_only(path)) as database:
         hard_row = database.execute("SELECT data FROM hard").fetchone()
--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""What earlier versions stored or sent is read by this one."""
+"""Tests that this version reads the data that earlier versions stored or sent."""
--- a/tests/compatibility/fixture_files.py
+++ b/tests/compatibility/fixture_files.py
@@ -1,4 +1,4 @@
-"""The bytes that earlier versions wrote, and what they mean."""
+"""Access to the bytes that earlier versions wrote, and to their expected contents."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def expected(path: str) -> Any:
-    """What a file means, as plain values: structs by position, bytes in base64."""
+    """The expected contents of a file as plain values: structs by position, bytes in base64."""
     return _all_expected_values()[path]
 
 
@@ -35,12 +35,12 @@
 
 
 def fixture_paths(folder: str) -> list[str]:
-    """The files of a folder, relative to all fixtures."""
+    """The files of a folder, relative to the folder of all fixtures."""
     return sorted(f"{folder}/{file.name}" for file in (FIXTURES / folder).iterdir())
 
 
 def wire_name(path: str) -> str:
-    """The tag or type that a file is named for, without its variant."""
+    """The tag or type in a file's name, without the variant."""
     return Path(path).stem.partition("-")[0]
 
 
--- a/tests/compatibility/test_field_positions.py
+++ b/tests/compatibility/test_field_positions.py
@@ -1,7 +1,8 @@
-"""Each field keeps its place: structs made by the names of fields give the bytes of earlier versions.
+"""Fields keep their positions: structs built by field names give the bytes of earlier versions.
 
-Structs are encoded as arrays. Two fields of one type that change places would still be decoded and encoded
-alike, with each value taken for the other; here each name meets its own value.
+Structs are encoded as arrays. If two fields of one type were swapped, a decoded struct would still
+be encoded to the same bytes, with the values under the wrong names. Here each name has its own
+value.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/test_frames.py
+++ b/tests/compatibility/test_frames.py
@@ -1,4 +1,4 @@
-"""Payloads and frames of earlier versions: this version decodes them, and sends the same bytes."""
+"""Payloads and frames of earlier versions: this version decodes and encodes them unchanged."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def _codec(sent_path: str) -> FrameCodec:
-    """The end of the connection whose bytes are in this file."""
+    """The codec of the end that sent the bytes in a file."""
     return FrameCodec(CLUSTER, KEY, sent_path == DIALLED, _nonce(sent_path))
 
 
--- a/tests/compatibility/test_handover_messages.py
+++ b/tests/compatibility/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""Messages between two processes of one proxy, of which one may be of an earlier version."""
+"""Handover messages between two processes of one proxy, one of which may be an earlier version."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files and values that earlier versions stored: this version reads them, and writes the same."""
+"""Files and values that earlier versions stored: this version reads and writes them unchanged."""
 
 from __future__ import annotations
 
@@ -138,7 +138,7 @@
 
 
 def test_a_keeper_file_is_written_with_the_same_rows(keeper_file: Path, tmp_path: Path) -> None:
-    """So an earlier version can go on from it."""
+    """Guards against a file that an earlier version can no longer read."""
     loaded = load(keeper_file)
     new_path = tmp_path / "fresh.db"
     disk = storage.DiskLog(new_path)
@@ -170,7 +170,7 @@
     assert contents(state) == expected("keeper/backup.z")
 
 
-# What a proxy keeps
+# Files of a proxy
 
 
 def test_a_persisted_state_file_is_decoded_and_encoded_unchanged(tmp_path: Path) -> None:
--- a/tests/compatibility/test_stored_names.py
+++ b/tests/compatibility/test_stored_names.py
@@ -1,4 +1,4 @@
-"""Words that stand in stored data, or are compared by other processes, keep their values."""
+"""Names and enum values in stored data, or compared by other processes, are unchanged."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/wire_types.py
+++ b/tests/compatibility/wire_types.py
@@ -1,4 +1,4 @@
-"""The types of this version that read the fixtures: the one place where tests of compatibility name them."""
+"""The types of this version that decode the fixtures, named in this module alone."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from mothstall.store.state.changes import Change, Proposal
 from mothstall.store.state.snapshot import StateImage
 
-# What a receiver decodes, by the folder of fixtures.
+# The types that a receiver decodes, by the folder of fixtures.
 RECEIVED: Mapping[str, Any] = {
     "calls_to_keeper": keeper_messages.CallerMessage,
     "calls_to_observer": observer_messages.ProxyMessage,
@@ -57,12 +57,12 @@
 
 PACKAGES = (store, keeper, observer, fleet)
 UNSENT_STRUCTS = (Subscription,)
-SNAPSHOT_IMAGE = StateImage  # what a snapshot's data is
+SNAPSHOT_IMAGE = StateImage  # the type of a snapshot's data
 OPERATOR_CONFIG_MODULE = operator_config.__name__  # its structs are read from TOML
 
 
 def members_of(union: Any) -> tuple[Any, ...]:
-    """The classes of a union, or the one class that is given."""
+    """The classes of a union, or the single class given."""
     return get_args(union) or (union,)
 
 
@@ -77,7 +77,7 @@
 
 
 def declared_structs() -> set[type[msgspec.Struct]]:
-    """Structs of the packages that store or send them; base classes and the operator file's are none."""
+    """The structs of `PACKAGES`, without base classes and the structs of the operator file."""
     for package in PACKAGES:
         for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
             importlib.import_module(module.name)
--- a/tests/store/protocol/test_frames.py
+++ b/tests/store/protocol/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of the frame codec: payloads in any pieces, and all that is rejected."""
+"""Tests of the frame codec: payloads received in pieces of any size, and invalid frames."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_early_messages.py
+++ b/tests/store/raft/test_early_messages.py
@@ -1,4 +1,4 @@
-"""Messages that are sent while a write is in progress."""
+"""Tests of messages that are sent while a write is in progress."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_election.py
+++ b/tests/store/raft/test_election.py
@@ -1,4 +1,4 @@
-"""Votes and the election timeout."""
+"""Tests of votes and the election timeout."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_exploration.py
+++ b/tests/store/raft/test_exploration.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of the consensus within small bounds."""
+"""Tests by exhaustive exploration of the consensus states within small bounds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_commit_without_an_entry_of_the_own_term_violates_safety() -> None:
-    """Figure 8 of the paper, found by the search: four terms, one entry in each message."""
+    """The search finds Figure 8 of the Raft paper: four terms, one entry in each message."""
     bounds = explore.Bounds(
         terms=4, entries=0, crashes=0, candidates=("k1", "k2"), batch=1, own_term_only=False
     )
--- a/tests/store/raft/test_log.py
+++ b/tests/store/raft/test_log.py
@@ -1,4 +1,4 @@
-"""The log in memory: truncation, compaction and configurations."""
+"""Tests of the log in memory: truncation, compaction and configurations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _log() -> RaftLog:
-    """Commands at 1, 2 and 4 to 6, a configuration at 3."""
+    """Returns a log with commands at 1, 2 and 4 to 6, and a configuration at 3."""
     log = RaftLog(Snapshot(0, 0, FIRST, b""))
     for index in range(1, 7):
         if index == 3:
--- a/tests/store/raft/test_membership.py
+++ b/tests/store/raft/test_membership.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration and transfer of the leadership."""
+"""Tests of configuration changes and leadership transfer."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_reads.py
+++ b/tests/store/raft/test_reads.py
@@ -1,4 +1,4 @@
-"""Reads by read index."""
+"""Tests of reads by read index."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_recovery.py
+++ b/tests/store/raft/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of replicas that have lost promises with their disk."""
+"""Tests of the recovery of replicas that have lost promises with their disk."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_replication.py
+++ b/tests/store/raft/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication of the log and the commit index."""
+"""Tests of the replication of the log and the commit index."""
 
 from __future__ import annotations
 
--- a/tests/store/raft/test_simulated_runs.py
+++ b/tests/store/raft/test_simulated_runs.py
@@ -1,4 +1,4 @@
-"""Simulated runs by seed: safety holds under faults, and runs without a safeguard are caught."""
+"""Simulated runs by seed: safety holds under faults, and each missing safeguard is detected."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         replicas.play(Plan(seed, replicas=3 if seed % 2 else 5))
         for seed in range(first, first + 10)
     ]
-    # The runs had elections, writes, and effects that came too late, so that the checks could fail.
+    # The runs had elections, writes and effects with stale tokens, so that the checks could fail.
     assert sum(run.elections for run in runs) > 15
     assert sum(run.acknowledged for run in runs) > 50
     assert sum(run.refused for run in runs) > 0
@@ -45,7 +45,7 @@
         {"kinds": ("crash",), "crash_odds": 0.05},
         60,
         "seed",
-    ),  # whichever check fails first
+    ),  # any check may fail first
     (Guards(fresh_terms=False), {}, 20, "both act"),
     (
         Guards(token_on_apply=False),
@@ -80,13 +80,13 @@
 
 
 def test_slow_disk_does_not_depose_the_leader() -> None:
-    """Found with processes beside a busy disk: seven elections in as many seconds, and no leader."""
+    """Guards against seven elections in seven seconds without a leader, beside a busy disk."""
 
     def elections(seed: int, sends_early: bool) -> int:
         guards = Guards(hurried=sends_early)
         plan = Plan(seed, seconds=10.0, loss=0.0, doubled=0.0, crash_odds=0.0, guards=guards)
         run = replicas.World(replace(plan, faults_every=1e9, write_ms=50.0))
-        with contextlib.suppress(Breach):  # without a leader at the end
+        with contextlib.suppress(Breach):  # there may be no leader at the end
             run.play()
         return run.elections
 
--- a/tests/store/state/factories.py
+++ b/tests/store/state/factories.py
@@ -1,4 +1,4 @@
-"""A state machine with a session, for tests that apply changes one after another."""
+"""A state machine with an open session, for tests that apply a series of changes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class AppliedLog:
-    """A log of which each entry is applied at once.
+    """A log whose entries are applied as soon as they are added.
 
     Attributes:
         state: The state machine.
-        session: A session that is open.
+        session: Number of an open session.
     """
 
     def __init__(self) -> None:
--- a/tests/store/state/test_validation.py
+++ b/tests/store/state/test_validation.py
@@ -1,4 +1,4 @@
-"""Tests of the checks: what cannot be is rejected with its reason, before and when it is applied."""
+"""Tests of the checks: an invalid change is rejected with its reason, before and on apply."""
 
 from __future__ import annotations
 
--- a/tests/store/test_errors.py
+++ b/tests/store/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests of the hierarchy of exceptions."""
+"""Tests of the exception hierarchy."""
 
 from __future__ import annotations
 
--- a/tests/store/test_storage.py
+++ b/tests/store/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of a replica's file: what is written comes back, and damage is found."""
+"""Tests of a replica's file: written records are loaded again, and damage is detected."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     assert damage_message in loaded.damage
     assert loaded.hard_state.is_recovering
     assert len(loaded.entries) == intact_entries
-    # The mark is on disk: after a second start the replica does not vote either.
+    # The mark is on disk, so the replica does not vote after a second start either.
     assert load(path).hard_state.is_recovering
 
 
@@ -149,7 +149,7 @@
 
 
 def test_the_error_about_another_replicas_file_names_the_path_once(path: Path) -> None:
-    """The error is an OSError, and was wrapped in a second one that named the file again."""
+    """Guards against wrapping the error, itself an OSError, in one that names the file again."""
     filled_log(path).close()
 
     with closing(DiskLog(path)) as log, pytest.raises(StorageError) as error:
@@ -161,7 +161,7 @@
 def test_failed_write_to_the_file_that_replaces_a_damaged_one_is_a_storage_error(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A second `sqlite3` error, behind the one that had the file set aside, left as it was."""
+    """Guards against a `sqlite3` error that leaves `load` unwrapped after the file was renamed."""
     path.write_bytes(b"no database at all" * 100)
 
     def fail(log: DiskLog, hard_state: HardState) -> None:
