--- a/mothstall/store/state/limits.py
+++ b/mothstall/store/state/limits.py
@@ -1,7 +1,7 @@
 """Limits on the replicated state, so that memory, frames and snapshots stay bounded.
 
-All replicas must have the same limits: with different ones they would apply the same log to
-different states.
+All replicas must have the same limits: with different ones they would reach different states from
+the same log.
 """
 
 MAX_SESSIONS = 4096  # the longest idle one is evicted; its client then opens another
