--- a/mothstall/store/state/validation.py
+++ b/mothstall/store/state/validation.py
@@ -1,9 +1,9 @@
 """Checks of a change against the tables it would be applied to.
 
-The same checks run twice: before a change is proposed, and again when the log applies it, where
-alone the result counts. Each returns the reason for a rejection, empty where there is none. A
-session stores its last result, so that the reasons are part of snapshots: their wording stays the
-same between versions.
+The same checks run twice: before a change is proposed, and when it is applied; only the second
+result counts. Each check returns the reason for a rejection, or an empty string. A session stores
+its last result, so the reasons are part of snapshots: their wording must not change between
+versions.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
 
 
 def rejection_reason(change: Change, tables: StateTables, *, check_token: bool = True) -> str:
-    """Returns why a change cannot be made; empty where it can.
+    """Returns why a change is rejected; empty if it is accepted.
 
     Args:
         change: The change.
         tables: The rows as they are now.
-        check_token: False skips the fencing token of writes; tests alone do that.
+        check_token: False skips the check of fencing tokens; only tests use it.
     """
     check = _CHECKS.get(type(change))
     reason = check(change, tables) if check is not None else ""
@@ -55,12 +55,12 @@
     return ""
 
 
-def _is_name(text: str) -> bool:
+def _is_valid_name(text: str) -> bool:
     return 0 < len(text) <= MAX_NAME_LENGTH
 
 
 def _check_acquire_lease(change: AcquireLease, tables: StateTables) -> str:
-    if not _is_name(change.owner) or not _is_name(change.name):
+    if not _is_valid_name(change.owner) or not _is_valid_name(change.name):
         return f"names of leases and owners have 1 to {MAX_NAME_LENGTH} letters"
     if not 0 < change.duration_ms <= MAX_LEASE_MS:
         return f"a term lasts 1 to {MAX_LEASE_MS} ms"
@@ -93,7 +93,7 @@
 
 
 def _check_put_value(change: PutValue, tables: StateTables) -> str:
-    if not _is_name(change.key):
+    if not _is_valid_name(change.key):
         return f"a key has 1 to {MAX_NAME_LENGTH} letters"
     if change.value is None:
         return ""
@@ -106,10 +106,10 @@
 
 def _check_put_drain(change: PutDrain, tables: StateTables) -> str:
     drain = change.drain
-    if drain.kind not in DRAIN_KINDS or not _is_name(drain.name):
+    if drain.kind not in DRAIN_KINDS or not _is_valid_name(drain.name):
         return f"a drain is of a box or a zone, with a name of 1 to {MAX_NAME_LENGTH} letters"
     if (
-        not _is_name(drain.requested_by)
+        not _is_valid_name(drain.requested_by)
         or len(drain.requested_at) > MAX_NAME_LENGTH
         or len(drain.reason) > MAX_REASON_LENGTH
     ):
--- a/mothstall/store/storage.py
+++ b/mothstall/store/storage.py
@@ -1,8 +1,8 @@
 """The durable log of a replica: entries, hard state and snapshot in one SQLite file.
 
-Each record carries a checksum. All records are verified when the file is opened: nothing behind a
-torn or damaged one is used, and such a replica is marked as one that has lost promises. A write is
-one transaction (WAL, full sync); where it fails, nothing of it counts.
+Each record has a checksum, which is verified when the file is opened: no record behind a torn or
+damaged one is used, and such a replica is marked as one that has lost promises. A write is one
+transaction (WAL, full sync); a failed write changes nothing.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from mothstall.store.raft.ready import Ready
 
 FILE_MODE = 0o600  # read and written by the keeper's user alone
-SIDE_FILE_SUFFIXES = ("-wal", "-shm")  # that SQLite keeps next to the file
+SIDE_FILE_SUFFIXES = ("-wal", "-shm")  # of the files that SQLite keeps next to the database
 
 _TABLES = """
 CREATE TABLE IF NOT EXISTS entries
@@ -38,8 +38,8 @@
     """The contents of a file.
 
     Attributes:
-        hard_state: Term and vote; marked as recovering where the file was damaged.
-        snapshot: The newest snapshot; of index 0 where there is none.
+        hard_state: Term and vote; marked as recovering if the file was damaged.
+        snapshot: The newest snapshot; its index is 0 if there is none.
         entries: The intact entries behind the snapshot, without a gap.
         damage: Names the first record that cannot be used; empty: none.
     """
@@ -59,7 +59,7 @@
 
 
 class DiskLog:
-    """The file of one replica, which alone reads and writes it.
+    """The file of one replica, which is its only reader and writer.
 
     Attributes:
         path: The file.
@@ -69,44 +69,44 @@
         """Prepares a log; `load` opens the file.
 
         Args:
-            path: The file; its folder is created where it is missing.
-            before_commit: Called before each commit; the lab's way to delay or to fail a write.
+            path: The file; its folder is created if it is missing.
+            before_commit: Called before each commit; lets the lab delay a write or make it fail.
         """
         self.path = path
         self._before_commit = before_commit
         self._connection: sqlite3.Connection | None = None
 
-    def load(self, name: str, cluster: str, first: Configuration) -> LoadedLog:
-        """Opens the file, creates it where there is none, and reads all of it.
+    def load(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
+        """Opens the file, or creates it if it is missing, and reads all records.
 
-        A file that is no database is renamed, and a new one is begun in recovery.
+        A file that is not a database is renamed and replaced by a new one that is in recovery.
 
         Args:
-            name: The replica; the file of another one is rejected.
-            cluster: The cluster; the file of another one is rejected.
-            first: The configuration of a replica that has no snapshot yet.
+            name: The replica; another replica's file is rejected.
+            cluster: The cluster; another cluster's file is rejected.
+            initial_configuration: The configuration of a replica that has no snapshot yet.
 
         Raises:
-            StorageError: The file cannot be opened, or is another replica's.
+            StorageError: The file cannot be opened, or belongs to another replica.
         """
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
             self._connection = self._open()
-            return self._read(name, cluster, first)
+            return self._read(name, cluster, initial_configuration)
         except StorageError:
-            raise  # an OSError too, which names the file already
+            raise  # it is an OSError too, but names the file already
         except sqlite3.OperationalError as error:
             raise StorageError(f"{self.path}: {error}") from error
         except sqlite3.DatabaseError as error:
-            return self._begin_anew(name, cluster, first, error)
+            return self._replace_damaged_file(name, cluster, initial_configuration, error)
         except OSError as error:
             raise StorageError(f"{self.path}: {error.strerror or error}") from error
 
     def write(self, ready: Ready) -> None:
-        """Writes all that `ready` holds, or nothing.
+        """Writes all records of `ready`, or none.
 
         Raises:
-            StorageError: Nothing of it was written.
+            StorageError: The write failed, and no record was written.
         """
         database = self._database
         try:
@@ -128,7 +128,7 @@
 
     @property
     def _database(self) -> sqlite3.Connection:
-        assert self._connection, "the log is loaded first"
+        assert self._connection, "load() has to be called first"
         return self._connection
 
     # Opening and reading
@@ -145,19 +145,25 @@
         database.executescript(_TABLES)
         return database
 
-    def _begin_anew(
-        self, name: str, cluster: str, first: Configuration, error: sqlite3.DatabaseError
+    def _replace_damaged_file(
+        self,
+        name: str,
+        cluster: str,
+        initial_configuration: Configuration,
+        error: sqlite3.DatabaseError,
     ) -> LoadedLog:
-        """Renames a file that is no database, and begins a new one that is in recovery.
+        """Renames a file that is not a database, and begins a new one that is in recovery.
 
         Raises:
             StorageError: The new file cannot be written.
         """
         try:
-            renamed = self._set_aside()
+            renamed = self._rename_damaged_file()
             self._connection = self._open()
-            self._read(name, cluster, first)
-            loaded = LoadedLog(HardState(is_recovering=True), Snapshot(0, 0, first, b""))
+            self._read(name, cluster, initial_configuration)
+            loaded = LoadedLog(
+                HardState(is_recovering=True), Snapshot(0, 0, initial_configuration, b"")
+            )
             loaded.damage = f"{self.path}: {error}; the file is kept as {renamed}"
             self._write_hard_state(loaded.hard_state)
         except (sqlite3.Error, OSError) as second_error:
@@ -165,8 +171,8 @@
             raise StorageError(reason) from second_error
         return loaded
 
-    def _set_aside(self) -> Path:
-        """Renames the file to the first name of its kind that is free."""
+    def _rename_damaged_file(self) -> Path:
+        """Renames the file to the first free name with the suffix `.damaged-N`."""
         if self._connection:
             self._connection.close()
         number = 1
@@ -182,10 +188,10 @@
     def _damaged_path(self, number: int) -> Path:
         return self.path.with_suffix(f".damaged-{number}")
 
-    def _read(self, name: str, cluster: str, first: Configuration) -> LoadedLog:
-        """Reads all records; where one is damaged, drops what follows and marks the replica."""
+    def _read(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
+        """Reads all records; if one is damaged, marks the replica and drops the entries behind."""
         self._check_owner(name, cluster)
-        loaded = LoadedLog(HardState(), Snapshot(0, 0, first, b""))
+        loaded = LoadedLog(HardState(), Snapshot(0, 0, initial_configuration, b""))
         self._read_hard_state(loaded)
         self._read_snapshot(loaded)
         self._read_entries(loaded)
@@ -200,7 +206,7 @@
             database.execute("INSERT INTO owner VALUES (1, ?, ?)", (name, cluster))
         elif row != (name, cluster):
             raise StorageError(
-                f"{self.path} is {row[0]}'s of cluster {row[1]}, not {name}'s of {cluster}"
+                f"{self.path} belongs to {row[0]} of cluster {row[1]}, not to {name} of {cluster}"
             )
 
     def _read_hard_state(self, loaded: LoadedLog) -> None:
--- a/tests/store/raft/test_log.py
+++ b/tests/store/raft/test_log.py
@@ -1,4 +1,4 @@
-"""The log in memory: truncation, compaction and configurations."""
+"""Tests of the log in memory: truncation, compaction and configurations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _log() -> RaftLog:
-    """Commands at 1, 2 and 4 to 6, a configuration at 3."""
+    """Returns a log with commands at 1, 2 and 4 to 6, and a configuration at 3."""
     log = RaftLog(Snapshot(0, 0, FIRST, b""))
     for index in range(1, 7):
         if index == 3:
@@ -24,7 +24,7 @@
     return log
 
 
-def test_truncation_takes_back_the_configurations_that_it_drops() -> None:
+def test_truncation_restores_the_configuration_before_the_removed_entries() -> None:
     log = _log()
     assert log.configuration == SECOND
     log.truncate_from(3)
@@ -32,7 +32,7 @@
     assert log.term_at(3) == UNKNOWN_TERM
 
 
-def test_compaction_keeps_some_entries_and_the_configuration_before_them() -> None:
+def test_compaction_retains_entries_and_the_configuration_before_them() -> None:
     log = _log()
     log.compact(Snapshot(5, 1, SECOND, b"state"), 1)
     assert [entry.index for entry in log.entries] == [5, 6]
--- a/tests/store/raft/test_membership.py
+++ b/tests/store/raft/test_membership.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration and transfer of the leadership."""
+"""Tests of configuration changes and leadership transfer."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     assert "own term" in leader.propose_configuration(VOTERS[:2], ["k3"])
     complete_write(leader)
     leader.step(acknowledgement(leader, prev_log_index=0, match_index=1))
-    assert "one voter" in leader.propose_configuration(["k1"], ["k2", "k3"])
-    assert "transfer first" in leader.propose_configuration(["k2", "k3"], ["k1"])
+    assert "only one voter" in leader.propose_configuration(["k1"], ["k2", "k3"])
+    assert "transfer the leadership first" in leader.propose_configuration(["k2", "k3"], ["k1"])
     assert leader.propose_configuration(["k1", "k2"], ["k3"]) == ""
     assert "not committed yet" in leader.propose_configuration(VOTERS, [])
 
@@ -35,7 +35,7 @@
     assert [x.recipient for x in requests] == ["k3"]
 
 
-def test_transfer_is_given_up_after_an_election_timeout() -> None:
+def test_transfer_is_cancelled_after_an_election_timeout() -> None:
     leader = _elected_leader()
     complete_write(leader)
     assert leader.transfer_leadership("k3") == ""
--- a/tests/store/raft/test_simulated_runs.py
+++ b/tests/store/raft/test_simulated_runs.py
@@ -1,4 +1,4 @@
-"""Simulated runs by seed: safety holds under faults, and runs without a safeguard are caught."""
+"""Simulated runs by seed: safety holds under faults, and each missing safeguard is detected."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         replicas.play(Plan(seed, replicas=3 if seed % 2 else 5))
         for seed in range(first, first + 10)
     ]
-    # The runs had elections, writes, and effects that came too late, so that the checks could fail.
+    # The runs had elections, writes and effects with stale tokens, so that the checks could fail.
     assert sum(run.elections for run in runs) > 15
     assert sum(run.acknowledged for run in runs) > 50
     assert sum(run.refused for run in runs) > 0
@@ -45,7 +45,7 @@
         {"kinds": ("crash",), "crash_odds": 0.05},
         60,
         "seed",
-    ),  # whichever check fails first
+    ),  # any check may fail first
     (Guards(fresh_terms=False), {}, 20, "both act"),
     (
         Guards(token_on_apply=False),
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(("guards", "settings", "seeds", "violation"), WITHOUT_SAFEGUARD)
-def test_run_without_a_safeguard_is_caught(
+def test_run_without_a_safeguard_shows_the_violation(
     guards: Guards, settings: dict[str, Any], seeds: int | tuple[int, ...], violation: str
 ) -> None:
     for seed in range(1, seeds + 1) if isinstance(seeds, int) else seeds:
@@ -80,13 +80,13 @@
 
 
 def test_slow_disk_does_not_depose_the_leader() -> None:
-    """Found with processes beside a busy disk: seven elections in as many seconds, and no leader."""
+    """Guards against seven elections in seven seconds without a leader, beside a busy disk."""
 
     def elections(seed: int, sends_early: bool) -> int:
         guards = Guards(hurried=sends_early)
         plan = Plan(seed, seconds=10.0, loss=0.0, doubled=0.0, crash_odds=0.0, guards=guards)
         run = replicas.World(replace(plan, faults_every=1e9, write_ms=50.0))
-        with contextlib.suppress(Breach):  # without a leader at the end
+        with contextlib.suppress(Breach):  # there may be no leader at the end
             run.play()
         return run.elections
 
@@ -94,7 +94,7 @@
     assert sum(elections(seed, False) for seed in (1, 2, 3)) >= 6
 
 
-def test_history_that_is_not_linearizable_is_recognized() -> None:
+def test_history_that_is_not_linearizable_is_detected() -> None:
     operation = linear.Op
     linearizable = [
         operation(0, 10, True, 1),
@@ -110,11 +110,11 @@
     ]
     assert linear.linear(stale_read) is False
     assert linear.linear(linearizable, 2) is None
-    read_going_back = [
+    non_monotonic_reads = [
         operation(0, 50, True, 1),
         operation(10, 20, False, 1),
         operation(21, 30, False, 0),
     ]
-    assert linear.linear(read_going_back) is False, (
+    assert linear.linear(non_monotonic_reads) is False, (
         "once a read has returned it, no later one may miss it"
     )
