--- a/mothstall/lab/__init__.py
+++ b/mothstall/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: a model of a fleet and its troubles, played against the decisions or real proxies, and judged."""
+"""The lab: simulated fleets with faults, run on policies or real proxies, and checked by rules."""
--- a/mothstall/lab/box.py
+++ b/mothstall/lab/box.py
@@ -1,8 +1,8 @@
-"""One web box: cores behind a queue, cold at first, with open connections, troubles and load reports.
+"""A simulated backend: cores behind a queue, slow start, connections, faults and load reports.
 
-Pure: time comes from a timeline, luck from a given generator. A job's work is in ns on one warm core of
-speed 1. Whoever carries requests calls `connect`, `offer`, `withdraw` and `disconnect`, and gets one call of
-`reply(job, fate)` for each job that ends with an answer or a broken connection.
+Pure: time comes from a timeline, random numbers from a given generator. A job's work is in ns on
+one warm core of speed 1. A driver calls `connect`, `receive`, `cancel` and `disconnect`, and gets
+one call of `reply(job, outcome)` for each job that ends with a response or a broken connection.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from mothstall.lab.timeline import Timeline
 
 QUEUED, RUNNING, WAITING, HELD, OVER = range(5)
-UTIL_NS = 500_000_000.0  # time constant of the reported utilisation
-REPEAT_COST = 0.05  # of its work: what answering a repeat of a finished key takes
-MEMORY_SLACK_NS = 300_000_000  # a key is remembered so much longer than promised
-RAN_HALF = 0.5  # a withdrawn job past this part of its work has had its effect
+UTIL_NS = 500_000_000.0  # time constant of the reported utilization
+REPEAT_COST = 0.05  # part of its work that a duplicate of a finished key costs
+MEMORY_SLACK_NS = 300_000_000  # how much longer than its window a key is kept
+RAN_HALF = 0.5  # a cancelled job has had its effect after this part of its work
 
 
 class Memo:
-    """A key that a group of boxes remembers."""
+    """The state of one idempotency key in a group of backends."""
 
     __slots__ = ("done", "until")
 
@@ -34,7 +34,7 @@
 
 
 class Memory:
-    """The keys that one group of boxes remembers; bounded by what comes within a window."""
+    """The idempotency keys of one group of backends; expired keys are removed."""
 
     def __init__(self) -> None:
         self._memos: dict[int, Memo] = {}
@@ -54,7 +54,7 @@
 
 
 class Job:
-    """One attempt in a box."""
+    """One attempt at a backend."""
 
     __slots__ = (
         "arrival",
@@ -85,15 +85,17 @@
         self.state, self.token, self.since, self.speed = QUEUED, 0, 0, 0.0
         self.memo: Memo | None = None
         self.reset_after = False
-        self.carry: Any = None  # of whoever carries requests
+        self.carry: Any = None  # data of the driver
 
 
 class Shared:
-    """What boxes share: keys remembered by group, and what each class stands on."""
+    """State that backends share: idempotency keys by group, and dependency faults by class."""
 
     def __init__(self) -> None:
         self.memories: dict[tuple[str, int], Memory] = {}
-        self.broken: dict[int, tuple[str, float]] = {}  # class: how what it stands on fails
+        self.broken: dict[
+            int, tuple[str, float]
+        ] = {}  # by class: mode and factor of its dependency's fault
 
     def memory(self, group: str, place: int) -> Memory:
         return self.memories.setdefault((group, place), Memory())
@@ -131,8 +133,8 @@
         self.connections = 0
         self.queue: deque[Job] = deque()
         self.running: list[Job] = []
-        self.waiting: set[Job] = set()  # no core needed, or none given: on others, stuck, held
-        self._stuck: list[tuple[Job, Fate]] = []  # answers that wait for a pause to end
+        self.waiting: set[Job] = set()  # jobs without a core: on a dependency, paused, or hung
+        self._stuck: list[tuple[Job, Fate]] = []  # responses held back until a pause ends
         self._sent: deque[tuple[int, int, int]] = deque()
         self._sent_sum = 0
         self._subjects: dict[int, None] = {}
@@ -143,10 +145,10 @@
         self.life = BoxLife(number, zone, group.cell, group.cores, group.speed, started)
         self.start(started)
 
-    # Life
+    # Start and stop
 
     def start(self, now: int) -> None:
-        """A new, cold process; `now` of 0 is one that has been warm for long."""
+        """Start a new, cold process; with `now` = 0 it is already warm."""
         self.up, self.draining, self.started = True, False, now
         self._sent.clear()
         self._sent_sum = 0
@@ -154,7 +156,7 @@
         self.ledger.lives.append(self.life)
 
     def stop(self, fate: Fate = Fate.LOST) -> None:
-        """The process dies: what it held is lost, its connections break."""
+        """End the process: its jobs and connections are lost."""
         if not self.up:
             return
         self.up, self.life.ended = False, self.time.now
@@ -166,7 +168,7 @@
         self.draining, self.life.drained = True, self.time.now
 
     def break_all(self, fate: Fate) -> None:
-        """Every open job ends as `fate`."""
+        """End every open job with the given outcome."""
         jobs = [*self.running, *self.queue, *self.waiting]
         self.running.clear()
         self.queue.clear()
@@ -177,7 +179,7 @@
             self._end(job, fate)
 
     def warmth(self) -> float:
-        """The part of its capacity that it has now."""
+        """The present part of its full capacity."""
         age = self.time.now - self.started
         if not self.started or age >= self.rules.cold:
             return 1.0
@@ -187,7 +189,7 @@
     # Requests
 
     def connect(self) -> bool:
-        """A new connection, or False where there are too many or no process."""
+        """Open a connection; False if the process is down or the connection limit is reached."""
         if not self.up or self.connections >= self.group.connections:
             return False
         self.connections += 1
@@ -197,7 +199,7 @@
         self.connections = max(0, self.connections - 1)
 
     def offer(self, job: Job, fresh: bool) -> None:
-        """A whole request has come, on a fresh connection or one that is known."""
+        """Receive a whole request, on a new or a reused connection."""
         now, arrival = self.time.now, job.arrival
         if fresh:
             job.work += self.group.handshake
@@ -240,7 +242,7 @@
             self.queue.append(job)
 
     def withdraw(self, job: Job) -> None:
-        """The connection was closed before an answer. Where work runs on it does; else it stops."""
+        """The proxy closed the connection. The job stops, unless the group has `runs_on` set."""
         if job.state == OVER or self.cut_in or self.group.runs_on:
             return
         if job.state == RUNNING:
@@ -263,19 +265,19 @@
         self.time.at(self.time.now + int(job.left / job.speed) + 1, self._finish, job, job.token)
 
     def _speed(self) -> float:
-        """Work that one core does in a ns."""
+        """Work that one core does per ns."""
         crowd = 1.0 + self.group.contention * (len(self.queue) + len(self.running))
         return self.group.speed * self.warmth() / (self.slow * crowd)
 
     def _settle(self, job: Job) -> None:
-        """Counts what has been done on a job until now; what is due for it is void."""
+        """Update the job's remaining work, and invalidate its scheduled completion."""
         if job.state == RUNNING and job.speed:
             job.left = max(0.0, job.left - (self.time.now - job.since) * job.speed)
         job.since, job.speed = self.time.now, 0.0
         job.token += 1
 
     def retime(self) -> None:
-        """After a change of speed, or of standing still: running jobs go on at what holds now."""
+        """Reschedule the running jobs after a change of speed or of the pause."""
         for job in self.running:
             self._settle(job)
             if not self.paused:
@@ -347,7 +349,7 @@
     def _recall(self, job: Job) -> None:
         subjects, subject = self._subjects, job.intent.subject
         if subject in subjects:
-            del subjects[subject]  # moved to the end: the least recently asked for goes first
+            del subjects[subject]  # moved to the end: the least recently used is evicted first
         else:
             job.work *= 1 + self._miss_cost
             job.left = job.work
@@ -355,12 +357,13 @@
                 del subjects[next(iter(subjects))]
         subjects[subject] = None
 
-    # Falling over
+    # Cold overload
 
     def _tips(self, arrival: Arrival) -> bool:
-        """All that reaches a cold box presses on it, also what it turns away; past the multiple it falls.
+        """Record work that reaches a cold backend, and end the backend past the overload limit.
 
-        The bound is a budget: work sent within the window against multiple x present capacity x window.
+        Rejected requests count too. The limit for the work of one window is overload multiple x
+        present capacity x window.
         """
         now, window = self.time.now, self.rules.fall
         sent = self._sent
@@ -376,11 +379,11 @@
             parts[proxy] = parts.get(proxy, 0) + work
         self.ledger.tips.append(Tip(self.id, now, int(window), parts))
         arrival.fate, arrival.end = Fate.LOST, now
-        self.silent = True  # it stays down, and says nothing
+        self.silent = True  # no resets are sent, and no restart follows
         self.stop()
         return True
 
-    # Troubles
+    # Faults
 
     def hang(self, on: bool) -> None:
         if on == self.hung:
@@ -409,12 +412,12 @@
             self.retime()
 
     def release(self, cls: int) -> None:
-        """What a class stands on is back: what waited for it goes on."""
+        """The dependency of a class is available again: complete the jobs that waited for it."""
         for job in sorted(self.waiting, key=lambda j: (j.arrival.at, j.arrival.txn)):
             if job.state == WAITING and job.intent.cls == cls:
                 self._answer(job, Fate.SERVED)
 
-    # What it tells
+    # Load reports
 
     @property
     def in_flight(self) -> int:
@@ -428,7 +431,7 @@
             self._util_at = now
 
     def report(self) -> tuple[float, ...]:
-        """The load report that an answer carries now, in the order of the rules' names; may be old."""
+        """The load report for a response, ordered as the rules name it, up to `report_age` old."""
         now, age = self.time.now, self.rules.report_age
         if self._report_at < 0 or now - self._report_at >= age:
             self._note_util()
--- a/mothstall/lab/clients.py
+++ b/mothstall/lab/clients.py
@@ -1,7 +1,7 @@
-"""Clients and the plain front before the proxies. Pure: time and luck are given, a carrier takes requests.
+"""Simulated clients, and the selection of a proxy for each request.
 
-Arrivals are open: the next one comes whether or not earlier ones were answered, and an intent's latency
-counts from when its client meant to ask.
+Pure: time, random numbers and the request transport are given. Arrivals are an open process: they
+do not wait for earlier responses, and latency counts from the scheduled arrival.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from mothstall.lab.scenario import Scenario
 from mothstall.lab.timeline import Timeline
 
-SLACK_NS = 50_000_000  # an answer so late still counts as given in time
-LEAST_LEFT_NS = 20_000_000  # with less time left nobody asks again
+SLACK_NS = 50_000_000  # a response this late after its deadline still counts as in time
+LEAST_LEFT_NS = 20_000_000  # with less time left a client does not retry
 GOLDEN = 0.6180339887498949
 
 
 class Carrier(Protocol):
-    """Takes a client's request to a proxy. It calls `Clients.answered` or `Clients.unreached` later."""
+    """Sends a client's request to a proxy, and reports its end to `Clients.answered`."""
 
     def ask(self, row: Try, repeated: bool) -> None: ...
 
@@ -30,7 +30,7 @@
 
 
 class Front:
-    """Spreads requests over a zone's proxies; it sees late that one has died, and soon that one is back."""
+    """Distributes requests over a zone's proxies. Deaths are detected late, restarts at once."""
 
     def __init__(self, s: Scenario, time: Timeline, rng: random.Random) -> None:
         self.time, self.rng, self.notice = time, rng, s.network.notice
@@ -59,7 +59,7 @@
         self._rows.clear()
 
     def pick(self, zone: int) -> int:
-        """A proxy for a client of a zone: of that zone where one is thought alive, else of any."""
+        """Draw a proxy believed alive for a client: in its zone if there is one, else in any."""
         row = self._rows.get(zone)
         if row is None:
             alive = [p for p, up in enumerate(self.alive) if up] or list(range(len(self.alive)))
@@ -73,7 +73,7 @@
 
 
 class _Draw:
-    """One of several by weight, the weights multiplied while a burst lasts."""
+    """A weighted random choice; bursts multiply the weights."""
 
     def __init__(self, parts: list[float]) -> None:
         self.parts = parts
@@ -103,7 +103,7 @@
         self.s, self.c, self.time, self.ledger, self.front = s, s.clients, time, ledger, front
         self.rng, self.carrier = rng, carrier
         self.rate, self.burst, self._due = s.rate, 1.0, 0
-        self.until = s.total_ns  # nobody asks from then on; a driver may end a run earlier
+        self.until = s.total_ns  # end of all requests; a driver may set an earlier end
         self.kinds = _Draw([k.part for k in s.classes])
         self.tenants = _Draw([t.part for t in s.tenants] or [1.0])
         self.zones = _Draw(list(s.traffic) or [1.0] * len(s.zones))
@@ -118,14 +118,14 @@
         self.time.at(self._due, self._arrive)
 
     def _gap(self) -> float:
-        """To the next arrival, ns. Bursts of a class or tenant add to the rate what they multiply."""
+        """Time to the next arrival, ns. A burst of a class or tenant raises the total rate."""
         rate = self.rate * self.burst
         for draw in (self.kinds, self.tenants):
             rate *= draw.sums[-1] / sum(draw.parts)
         return self.rng.expovariate(rate / NS)
 
     def _arrive(self) -> None:
-        # Guards against arrivals that wait for a late driver: each counts from when it was meant.
+        # Guards against arrivals delayed by a late driver: latency counts from the due time.
         now, rng = self._due, self.rng
         if now >= self.until:
             return
@@ -153,7 +153,7 @@
         now, kind = self.time.now, self.s.classes[intent.cls]
         left = min(kind.deadline, intent.start + int(self.c.endures * kind.deadline) - now)
         if kind.effect == "keyed" and intent.tries:
-            # A repeat must not outlive what the boxes remember of the first try.
+            # A retry must not outlive the backends' record of the first request's key.
             left = min(left, intent.start + kind.window - now)
         if left < LEAST_LEFT_NS:
             return
@@ -172,7 +172,7 @@
             self._go_on(row, 0)
 
     def answered(self, row: Try, answer: Answer, after_ns: int = 0) -> None:
-        """A final answer has come whole, or the connection ended without one."""
+        """Record a complete final response, or a connection that ended without one."""
         if answer in (Answer.SERVED, Answer.REFUSED, Answer.FAILED):
             row.answers += 1
         if row.answer != Answer.OPEN:
@@ -185,7 +185,7 @@
         self._go_on(row, after_ns)
 
     def _go_on(self, row: Try, after_ns: int) -> None:
-        """Asks again where that is harmless: always after a refusal, else as the class allows."""
+        """Retry where this is safe: always after a rejection, otherwise as the class allows."""
         intent, kind = row.intent, self.s.classes[row.intent.cls]
         harmless = row.answer in (Answer.REFUSED, Answer.UNREACHED) or kind.effect == "safe"
         harmless = harmless or (kind.effect == "keyed" and kind.group == "all")
--- a/mothstall/lab/coldsum.py
+++ b/mothstall/lab/coldsum.py
@@ -1,12 +1,13 @@
-"""The sum that cold boxes get from a whole fleet of proxies: decisions driven straight, on a given clock.
-
-No network: an attempt reaches its box in the instant in which it is decided, and the box is cores behind
-a queue. Each seed draws a fleet, uneven traffic that shifts, a burst, proxies that restart while boxes
-warm up, and boxes that come back, some twice under one name, some with no connection taken at first. A
-box's rule is that of the operators' page: within `fall-ns` at most N + 2 x root of N + 2 requests of mean
-work, N being fall-multiple x its capacity then x `fall-ns`. What counts is all that reaches one life of a
-box: first attempts, repeats, second copies, with their work; probes and new connections with what they
-cost it. Every proxy is told of each start at once. Pure: time is counted here, luck comes from the seed.
+"""Total load on cold backends from a whole fleet of proxies, with policies driven in virtual time.
+
+No network: an attempt reaches its backend at the instant of the decision, and the backend is cores
+behind a queue. Each seed draws a fleet, uneven traffic that shifts, a burst, proxies that restart
+while backends warm up, and backends that restart, some twice under one id, some refusing
+connections at first. The limit of a backend is the one of the operators' page: within `fall-ns` at
+most N + 2 x root of N + 2 requests of mean work, where N is fall-multiple x its present capacity x
+`fall-ns`. Everything that reaches one incarnation of a backend counts: first attempts, retries and
+hedges with their work, probes and new connections with their cost. Every proxy is notified of each
+start at once. Pure: time is simulated, random numbers come from the seed.
 """
 
 from __future__ import annotations
@@ -25,42 +26,45 @@
 from mothstall.lab.policies import parse
 
 MS = NS // 1000
-SIZES = {5: (6, 12), 20: (8, 16, 24), 30: (12, 20, 30), 200: (24, 40, 60)}  # boxes by proxies
+SIZES = {
+    5: (6, 12),
+    20: (8, 16, 24),
+    30: (12, 20, 30),
+    200: (24, 40, 60),
+}  # choices of the number of backends, by number of proxies
 BASE = 1_000_000 * NS  # the clock's start
 WARM_UP_NS, RAMP_NS = (
     6 * NS,
     9 * NS,
-)  # before the cold boxes come, and what is looked at of their ramps
-QUEUE = 4  # a core's requests that may wait in a box before it turns more away
-HANDSHAKE, PROBE = 0.25, 0.02  # of the mean work: what a new connection and a probe cost a box
-LEAST = 2 * HANDSHAKE  # the least work of a request, above any probe's
-DOWN_NS = (NS // 2, 5 * NS)  # between a proxy's end and its new self's first list
-MUTE_NS = 2 * NS  # for so long at most a box that came back takes no connections yet
-LATENCY_NS = 1 * MS  # on the way, both ways together
+)  # before the restarts of backends, and the observed part of their warm-up
+QUEUE = 4  # requests that wait per core before a backend rejects more
+HANDSHAKE, PROBE = 0.25, 0.02  # cost of a new connection and of a probe, in mean requests
+LEAST = 2 * HANDSHAKE  # least work of a request, above that of a probe with a new connection
+DOWN_NS = (NS // 2, 5 * NS)  # least and most downtime of a proxy
+MUTE_NS = 2 * NS  # longest time for which a restarted backend refuses connections
+LATENCY_NS = 1 * MS  # round trip
 ARRIVAL, ENDED, TIMER, WORD, RESTART, BACK, PROBED = range(7)
 
 
 @dataclass(slots=True)
 class Life:
-    """One life of a cold box: what it got, and the nearest it came to its bound."""
+    """One incarnation of a cold backend: its load, and its closest approach to the limit."""
 
     box: int
     started: int
-    got: deque[tuple[int, float]] = field(
-        default_factory=deque
-    )  # within fall-ns: when, and how much work
+    got: deque[tuple[int, float]] = field(default_factory=deque)  # within fall-ns: time, and work
     total: float = 0.0
-    worst: float = -math.inf  # the sum above its bound, in requests of mean work
-    used: float = 0.0  # the greatest sum over its bound
+    worst: float = -math.inf  # greatest excess of the load over the limit, in requests of mean work
+    used: float = 0.0  # greatest ratio of the load to the limit
     sums: list[tuple[float, float, int]] = field(
         default_factory=list
-    )  # each full window: sum, N, attempts
-    hits: int = 0  # attempts in the window that runs
+    )  # of each full window: load, N, attempts
+    hits: int = 0  # attempts in the present window
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one seed gave."""
+    """Result of one seed."""
 
     lives: list[Life]
     asked: int
@@ -76,12 +80,12 @@
 
     @property
     def cold_served(self) -> float:
-        """The mean of what a window got over N."""
+        """Mean ratio of the load of a window to N."""
         rows = [total / n for life in self.lives for total, n, _ in life.sums]
         return sum(rows) / len(rows)
 
     def dispersion(self) -> list[float]:
-        """Of each full window that several lives share: variance over mean of their attempts."""
+        """Variance over mean of attempts, for each window index shared by several incarnations."""
         by_age: dict[int, list[int]] = {}
         for life in self.lives:
             for i, (_, _, hits) in enumerate(life.sums):
@@ -98,14 +102,14 @@
     __slots__ = ("cores", "life", "mute", "open", "started")
 
     def __init__(self, cores: int) -> None:
-        self.cores, self.started = [0.0] * cores, 0  # when each core is free
-        self.mute = 0  # until when it takes no connections
-        self.open: set[tuple[int, int]] = set()  # connections: proxy, and which of its processes
+        self.cores, self.started = [0.0] * cores, 0  # time from which each core is free
+        self.mute = 0  # it refuses connections until then
+        self.open: set[tuple[int, int]] = set()  # connections: proxy, and number of its process
         self.life: Life | None = None
 
 
 class Trial:
-    """One seed: `make` gives a proxy's decisions from settings and a seed."""
+    """The simulation of one seed: `make` builds a proxy's policy from settings and a seed."""
 
     def __init__(self, make: Callable[[io.Settings, int], Any], proxies: int, seed: int) -> None:
         rng = self.rng = random.Random(f"coldsum {proxies} {seed}")
@@ -157,7 +161,7 @@
             "load_names": ("util", "queue"),
             "load_by_probes": rng.random() < 0.3,
         }
-        # Positions may be any numbers: in half of the fleets they have gaps, or begin far off.
+        # Positions need not be contiguous: half of the fleets have gaps or a large first position.
         first, step = (
             (0, 1) if rng.random() < 0.5 else (rng.randrange(1000), rng.choice((1, 2, 3, 7)))
         )
@@ -168,7 +172,9 @@
         self.up = [True] * proxies
         self.process = [0] * proxies
         self.balancers: list[Any] = [self._proxy(k) for k in range(proxies)]
-        self.out: dict[tuple[int, int, int, int], tuple[int, int]] = {}  # attempts: box, sent
+        self.out: dict[
+            tuple[int, int, int, int], tuple[int, int]
+        ] = {}  # attempts in flight: backend, time of sending
         self.tries: dict[tuple[int, int, int], int] = {}
         self.heap: list[tuple[int, int, int, Any]] = []
         self.lives: list[Life] = []
@@ -185,7 +191,7 @@
         self.seq += 1
         heapq.heappush(self.heap, (due, self.seq, kind, what))
 
-    # The day
+    # Event loop
 
     def run(self) -> Outcome:
         rng, start = self.rng, BASE + WARM_UP_NS
@@ -194,9 +200,7 @@
         count = max(2, len(self.boxes) // rng.choice((2, 4, 6)))
         for box in rng.sample(sorted(self.boxes), count):
             self._at(start + rng.randrange(NS // 5), BACK, box)
-            if (
-                rng.random() < 0.3
-            ):  # it comes back a second time under its name, in the middle of its ramp
+            if rng.random() < 0.3:  # a second restart under the same id, during the warm-up
                 self._at(start + rng.randrange(2 * NS, 5 * NS), BACK, box)
         manner, at = rng.choice(("none", "rolling", "herd")), start + rng.randrange(NS, 4 * NS)
         for k in rng.sample(range(self.proxies), self.proxies):
@@ -204,7 +208,7 @@
                 self._at(start + rng.randrange(RAMP_NS), RESTART, k)
             elif manner == "herd" and rng.random() < 0.7:
                 self._at(at, RESTART, k)
-        # Half of the proxies turn hot or quiet, the others the other way.
+        # The traffic of half of the proxies is multiplied by a factor.
         self.shift = (start + rng.randrange(5 * NS), rng.choice((1.0, 0.25, 4.0)))
         self.burst = (start + rng.randrange(0, 5 * NS), rng.uniform(1.5, 2.5))
         end = start + RAMP_NS
@@ -251,7 +255,7 @@
             elif isinstance(act, io.SetTimer):
                 self._at(act.at_ns, TIMER, (k, self.process[k], act.token))
             elif isinstance(act, io.CancelAttempt):
-                # What runs is not stopped, as with most boxes; the proxy hears that it was withdrawn.
+                # Running work is not stopped, as in most backends; the proxy gets the cancellation.
                 key = (k, self.process[k], act.request, act.attempt)
                 if sent := self.out.pop(key, None):
                     ended = io.AttemptEnded(
@@ -276,7 +280,7 @@
         if self.up[what[0]] and self.process[what[0]] == what[1]:
             self._tell(what[0], what[2])
 
-    # Boxes
+    # Backends
 
     def _warmth(self, box: _Box) -> float:
         age, least = self.now - box.started, self.cfg["initial_warmth"]
@@ -285,7 +289,7 @@
         return float(least + (1 - least) * age / self.cfg["slow_start_ns"])
 
     def _press(self, k: int, number: int, work: float) -> None:
-        """Something reaches a box; where it is cold the sum is held against the bound."""
+        """Add work that reaches a backend; for a cold one, compare the load with the limit."""
         box = self.boxes[number]
         if (k, self.process[k]) not in box.open:
             box.open.add((k, self.process[k]))
@@ -312,7 +316,7 @@
         box, rng, key = self.boxes[act.backend], self.rng, (k, self.process[k], act.request)
         attempt = self.tries.get(key, 0)
         self.tries[key] = attempt + 1
-        weight = max(LEAST, rng.gammavariate(4.0, 0.25))  # mean 1, a spread of a half
+        weight = max(LEAST, rng.gammavariate(4.0, 0.25))  # mean 1, standard deviation 0.5
         at = (k, self.process[k], act.request, attempt)
         self.out[at] = (act.backend, self.now)
         if self.now < box.mute:
@@ -358,7 +362,7 @@
                 k, io.LoadProbeEnded(number, AttemptResult.OK, LATENCY_NS, (0.5, float(waits)))
             )
 
-    # Troubles
+    # Faults
 
     def _list(self, scope: UpdateScope, only: Iterable[int] | None = None) -> io.EndpointUpdate:
         rows = self.boxes if only is None else only
@@ -366,14 +370,14 @@
         return io.EndpointUpdate(scope, self.version, entries)
 
     def _back(self, number: int) -> None:
-        """A box starts anew under its name; every proxy that is up is told at once."""
+        """Restart a backend under its id; every proxy that is up is notified at once."""
         box = self.boxes[number] = _Box(self.cores)
         box.started = self.now
         box.mute = self.now + self.rng.randrange(MUTE_NS) if self.mutes else 0
         box.life = Life(number, self.now)
         self.lives.append(box.life)
         self.version += 1
-        # What it held is lost with it.
+        # Its attempts in flight are lost.
         for at in [at for at, sent in self.out.items() if sent[0] == number]:
             self._at(self.now + LATENCY_NS, ENDED, (at, AttemptResult.RESET))
         for k in range(self.proxies):
@@ -381,7 +385,7 @@
                 self._tell(k, self._list(UpdateScope.DELTA, [number]))
 
     def _restart(self, k: int) -> None:
-        """Down at once; its new self begins with a whole list."""
+        """Stop a proxy, or start its next process with a full list."""
         if self.up[k]:
             self.up[k] = False
             self._at(self.now + self.rng.randrange(*DOWN_NS), RESTART, k)
@@ -393,16 +397,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Summary:
-    """Many seeds of one size."""
+    """Summary of many seeds of one fleet size."""
 
     proxies: int
     seeds: int
-    over: int  # seeds on which a life went past its bound
-    worst: float  # the greatest sum above its bound, in requests; below nought: how far below it stayed
-    used: float  # the greatest sum over its bound
-    planned: float  # what a window got over N, in the mean
-    dispersion: float  # variance over mean of the sums of boxes of one age; dice: 1
-    served: float  # attempts that ended well over requests asked for
+    over: int  # seeds in which an incarnation exceeded its limit
+    worst: float  # greatest excess over the limit, in requests; negative: below the limit
+    used: float  # greatest ratio of the load to the limit
+    planned: float  # mean ratio of the load of a window to N
+    dispersion: float  # variance over mean of attempts at backends of one age; 1 for random sending
+    served: float  # successful attempts over requests
 
 
 def play(make: Callable[[io.Settings, int], Any], proxies: int, seed: int) -> Outcome:
@@ -410,7 +414,7 @@
 
 
 def play_named(policy: str, proxies: int, seed: int) -> Outcome:
-    """`play` of a policy by its name (lab/policies.py), for other processes."""
+    """`play` for a policy by name (lab/policies.py), to run in other processes."""
     return play(parse(policy), proxies, seed)
 
 
--- a/mothstall/lab/commons.py
+++ b/mothstall/lab/commons.py
@@ -1,9 +1,10 @@
-"""What a virtual fleet has in common: reports, a maker of plans, and each proxy's way to its plan. Pure.
+"""Zone failover of a virtual fleet: traffic reports, a planner, and each proxy's transition. Pure.
 
-The same modules decide as in service (`zone_counters`, `assessment`, `planner` and `transition` of
-`fleet/failover`); only what carries them is played here: reports and plans take their time, do not pass a lost or cut-off zone, and a maker that was in
-such a zone is followed by another after a term. `truth` plays a maker that knows at once which zones are lost
-or cut off, and whom everybody follows at once: the most that a plan could bring.
+The decisions are those of production (`zone_counters`, `assessment`, `planner` and `transition` of
+`fleet/failover`); only the transport is simulated: reports and plans are delayed, are not delivered
+to or from a cut-off zone, and a planner in such a zone is replaced by another after a term. With
+`truth` the planner gets the state of the zones at once and proxies follow at once: the upper bound
+of what a plan can achieve.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 MS = 1_000_000
 REPORT_MS, STEER_MS, LASTS_MS = 1000, 200, 2000
-CARRY_MS = (20, 150)  # what a report takes to the maker, and a plan to a proxy
-TERM_MS = 2300  # from a maker's loss until the next one makes plans
+CARRY_MS = (20, 150)  # least and most delay of a report to the planner and of a plan to a proxy
+TERM_MS = 2300  # from a planner's loss until its successor makes plans
 
 
 class Fleet(Protocol):
-    """What the commons asks of the world that it is played in."""
+    """The simulated fleet as seen by the failover."""
 
     def zones(self) -> list[str]: ...
 
@@ -42,10 +43,10 @@
     def up(self, proxy: int) -> bool: ...
 
     def apart(self, zone: str) -> bool:
-        """Whether nothing goes between this zone and the others."""
+        """Whether this zone is cut off from the others."""
 
     def lost(self, zone: str) -> bool:
-        """Whether nothing of it answers."""
+        """Whether the zone's backends do not respond."""
 
     def warm(self, proxy: int) -> Mapping[str, float]: ...
 
@@ -69,7 +70,7 @@
 
 
 class Commons:
-    """One run's. `truth`: the maker knows; `at_once`, `terms`: guards that a test takes out."""
+    """The failover of one run. Tests disable guards of the transition by `at_once`, `forever`."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
         self._rng = random.Random(f"commons {seed}")
         self.plan = FailoverPlan()
         self.board = ReportWindow(5000)
-        self.plans: list[tuple[float, FailoverPlan]] = []  # when each was made, s
+        self.plans: list[tuple[float, FailoverPlan]] = []  # with the time of each, s
         self.seats = [
             _Seat(
                 ZoneCounters(f"p{i}", fleet.zone_of_proxy(i), classes, aims_ns),
@@ -98,7 +99,7 @@
             )
             for i in range(count)
         ]
-        self._maker = ""  # the zone that it stands in
+        self._maker = ""  # zone of the planner
         self._due_ms = 0
         self._usual: FailoverPlan = FailoverPlan()
 
@@ -129,7 +130,7 @@
         self.fleet.later(self._rng.randrange(CARRY_MS[0] * MS, CARRY_MS[1] * MS), what, *args)
 
     def _joined(self, proxy: int) -> bool:
-        """Whether words go between a proxy and the maker."""
+        """Whether messages between a proxy and the planner are delivered."""
         zone = self.fleet.zone_of_proxy(proxy)
         return self.fleet.up(proxy) and (zone == self._maker or not self.fleet.apart(zone))
 
@@ -173,7 +174,7 @@
                 self._carry(self._told, i, self.plan)
 
     def _known(self, seen: ZoneEvidence) -> FailoverPlan:
-        """The truth in place of evidence: what is lost or cut off gets nothing from afar."""
+        """A plan state from the true faults: lost or cut-off zones get no remote traffic."""
         pairs = {}
         for origin in self.fleet.zones():
             for zone in self.fleet.zones():
@@ -221,7 +222,7 @@
 
 
 def first_shift_s(plans: list[tuple[float, FailoverPlan]], since: float) -> float:
-    """Seconds from a fault to the first plan after it; nought where there was none."""
+    """Seconds from a fault to the first plan with shifted traffic; 0 if there is none."""
     return next((at - since for at, plan in plans if at >= since and plan.weights), 0.0)
 
 
--- a/mothstall/lab/directory.py
+++ b/mothstall/lab/directory.py
@@ -1,7 +1,8 @@
-"""The discovery service: a list with versions that lags behind the fleet, tells watchers, and goes away.
+"""The simulated discovery service: a versioned list that lags, serves watches, and can fail.
 
-Pure: it holds no connection. A driver calls `ask` for a call, `watch` for what is to be told as it comes, and
-`note` for each word that reached a proxy. Starts of boxes are `base` + the run's time, or 0 for long ago.
+Pure: it holds no connections. A driver calls `accept_call` for a poll, `watch` to subscribe, and
+`record_delivery` for each update that reached a proxy. Start times of backends are `base` + the
+run's time, or 0 for long ago.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from mothstall.lab.scenario import Discovery
 from mothstall.lab.timeline import Timeline
 
-MAX_CHANGES = 5_000  # kept; a watch from before them gets the whole list
+MAX_CHANGES = 5_000  # limit of kept changes; older versions get the full list
 
 
 @dataclass(slots=True, frozen=True)
 class Word:
-    """What a call is answered: the whole list, or what has changed since the version asked for."""
+    """An update of the endpoint list: the full list, or the changes since a version."""
 
     version: int
     full: bool
@@ -35,21 +36,21 @@
         self.listed: dict[int, io.Endpoint] = {}
         self._seeded: dict[int, io.Endpoint] = {}
         self._changes: list[tuple[int, int, io.Endpoint]] = []  # version, time, entry
-        self._held: list[io.Endpoint] = []  # while it is stale
+        self._held: list[io.Endpoint] = []  # changes not published while stale
         self._busy_until = 0
         self._watchers: dict[int, Callable[[Word | None], object]] = {}
         self._contact: dict[int, int] = {}
         self._known: dict[int, set[int]] = {}
 
-    # What the fleet tells
+    # Changes of the fleet
 
     def seed(self, entries: list[io.Endpoint]) -> None:
-        """The list as it stands when the run begins."""
+        """Set the list at the start of the run."""
         self.listed = {entry.backend: entry for entry in entries}
         self._seeded = dict(self.listed)
 
     def change(self, entry: io.Endpoint) -> None:
-        """Something happened to a box just now; the list holds it after the lag."""
+        """Publish a change of a backend after the lag."""
         self.time.at(self.time.now + self.rules.lag, self._publish, entry)
 
     def _publish(self, entry: io.Endpoint) -> None:
@@ -76,17 +77,17 @@
                 self._publish(entry)
 
     def set_down(self, on: bool) -> None:
-        """Going down ends every watch."""
+        """Stop or start the service; both end every watch."""
         self.down = on
         watchers, self._watchers = self._watchers, {}
         for proxy, tell in watchers.items():
             self._contact[proxy] = self.time.now
             tell(None)
 
-    # What it tells
+    # Calls and watches
 
     def ask(self, proxy: int) -> int:
-        """A call has come: when its answer goes out, as calls are worked through in turn; -1: never."""
+        """Accept a call and return the time of its response, served in sequence; -1: none."""
         now = self.time.now
         self._contact[proxy] = now
         if self.down:
@@ -95,7 +96,7 @@
         return self._busy_until
 
     def since(self, version: int) -> Word:
-        """What is newer than a version; the whole list where that is not known any more, or for nought."""
+        """The changes after a version; the full list if they are not kept, or for version 0."""
         if version >= self.version:
             return Word(self.version, False, ())
         oldest = self._changes[0][0] if self._changes else self.version + 1
@@ -104,7 +105,7 @@
         return Word(self.version, False, tuple(e for v, _, e in self._changes if v > version))
 
     def as_of(self, at: int) -> Word:
-        """The list as it stood at a time, for a proxy that starts with what it once knew."""
+        """The list at an earlier time, for a proxy that starts with a cached list."""
         listed = dict(self.listed)
         undo = [row for row in self._changes if row[1] > at]
         if not undo:
@@ -122,17 +123,17 @@
         return Word(first, True, tuple(listed.values()))
 
     def watch(self, proxy: int, tell: Callable[[Word | None], object] | None) -> None:
-        """Begins or ends a watch: `tell` gets each change as it is listed, and None when the watch ends."""
+        """Begin a watch, or end it with None. The callback gets each change, None at the end."""
         self._contact[proxy] = self.time.now
         if tell is None:
             self._watchers.pop(proxy, None)
         else:
             self._watchers[proxy] = tell
 
-    # What proxies have been told
+    # Updates delivered to proxies
 
     def note(self, proxy: int, word: Word) -> None:
-        """A word has reached a proxy."""
+        """Record an update that reached a proxy."""
         now, known = self.time.now, self._known.setdefault(proxy, set())
         if word.full:
             listed = {entry.backend for entry in word.entries}
@@ -156,7 +157,7 @@
             spans.append((now, -1))
 
     def forget(self, proxy: int) -> None:
-        """The proxy's process is new: it knows nothing yet."""
+        """Discard the state of a proxy whose process ended."""
         self._known.pop(proxy, None)
         self._watchers.pop(proxy, None)
         for (who, box), spans in self.ledger.told_out.items():
@@ -164,7 +165,7 @@
                 self.ledger.told_out[who, box][-1] = (spans[-1][0], self.time.now)
 
     def _deem(self, published: int, entry: io.Endpoint) -> None:
-        """A proxy that neither watched nor asked for as long as its settings allow counts as told."""
+        """Count proxies without watch or call within the settings' limit as notified."""
         for proxy, at in sorted(self._contact.items()):
             if proxy not in self._watchers and at < published:
                 self.note(proxy, Word(self.version, False, (entry,)))
--- a/mothstall/lab/former_interface.py
+++ b/mothstall/lab/former_interface.py
@@ -1,14 +1,14 @@
-"""Policies of earlier revisions, in today's names of the interface.
+"""Translates policies of earlier revisions to the present names of the interface.
 
-Until the policy became a package, `mothstall/choice.py` used other names for settings, events and
-actions. What such a text says is not changed, only how it names the interface.
+Before the policy became a package, `mothstall/choice.py` used other names for settings, events and
+actions. Only these names are replaced; the behaviour of the policy stays the same.
 """
 
 from __future__ import annotations
 
 import re
 
-# Names that modules imported, and what they are called now.
+# Former to present name, for names that modules imported.
 _IMPORTED = {"Group": "KeyScope", "Result": "AttemptResult", "Scope": "UpdateScope"}
 
 _RENAMED = {
@@ -61,7 +61,7 @@
 
 
 def in_present_names(text: str) -> str:
-    """Return the text of an earlier single-file policy with the interface's present names."""
+    """Return the source of an earlier single-file policy with the present names."""
     for pattern, name in _RENAMED.items():
         text = re.sub(pattern, name, text)
     return _IMPORT.sub(_present_import, text)
--- a/mothstall/lab/judge.py
+++ b/mothstall/lab/judge.py
@@ -1,18 +1,22 @@
-"""The judge: the four rules and the service, from the ledger alone. It asks no proxy and no policy.
-
-Breaches, by rule:
-
-- `lost`: a request that a running proxy took has no final answer by its deadline, nor did its client leave.
-- `double`: more than one final answer.
-- `sent-after-answer`: an attempt that reached a box after the client had its answer.
-- `repeat`: an attempt that its class does not allow: after one that may have run (unsafe), or then outside
-  the group or the window (keyed).
-- `effect-twice`: an intent took effect more often than once.
-- `false-refusal`: told that trying again is harmless, though an attempt may have run where that is not so.
-- `drain`: an attempt at a box later than the grace after the proxy was told that it drains or is gone.
-- `tipped`: a cold box was pushed over, two thirds of it by proxies that had been told of its start.
-
-Where the driver itself ran late (`Ledger.late`), a breach that rests on a time near it is counted as excused.
+"""The checker: the four rules and the quality of service, from the ledger alone.
+
+Violations, by name:
+
+- `lost`: a request that a running proxy accepted has no complete response by its deadline, and its
+  client did not leave.
+- `double`: more than one final response.
+- `sent-after-answer`: an attempt reached a backend after the client had its response.
+- `repeat`: a retry that the class forbids after an attempt that may have run: any (unsafe), or one
+  outside the group or the window (keyed).
+- `effect-twice`: an intent took effect more than once.
+- `false-refusal`: a rejection that promises a safe retry, though an attempt may have run and the
+  class forbids the retry.
+- `drain`: an attempt at a backend after the drain grace, which starts when the proxy is notified
+  that the backend drains or is gone.
+- `tipped`: a cold backend failed by overload, two thirds of it from proxies notified of its start.
+
+Violations that depend on timing are excused near spans in which the driver ran late
+(`Ledger.late_spans`).
 """
 
 from __future__ import annotations
@@ -40,13 +44,13 @@
     "tipped": "cold boxes not pushed over",
 }
 TIMED = frozenset(("lost", "sent-after-answer", "drain", "tipped", "repeat"))
-TOLD_PART = 2 / 3  # of what pushed a box over: by proxies that knew
+TOLD_PART = 2 / 3  # of the work that overloaded a backend: from proxies notified of its start
 WORST_NS = 10 * NS
 STEP_NS = NS // 2
-RECOVERED = 0.97  # of the service before the first trouble
+RECOVERED = 0.97  # part of the worth before the first fault
 RECOVER_NS = 2 * NS
-MAX_BREACHES = 50  # listed for each kind; all are counted
-LATENESS_NS = 200_000_000  # around a late span, what a late driver may have caused
+MAX_BREACHES = 50  # listed of each kind; all are counted
+LATENESS_NS = 200_000_000  # margin around a late span within which violations are excused
 TOP_US = 60_000_000
 
 
@@ -54,28 +58,26 @@
 class Breach:
     kind: str
     at_ns: int
-    request: int  # 0: of no one request
-    box: int  # 0: of no one box
-    proxy: int  # -1: of no one proxy
+    request: int  # 0: no single request
+    box: int  # 0: no single backend
+    proxy: int  # -1: no single proxy
     what: str
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Figures of one run. Worth is a part of what was asked for, times are seconds unless named otherwise."""
+    """Violations and figures of one run. Worth is a part of the worth of all intents."""
 
     worth: float = 0.0
     worst_10s: float = 0.0
     by_class: dict[str, float] = field(default_factory=dict)
     by_tenant: dict[str, float] = field(default_factory=dict)
     within_share: dict[str, float] = field(default_factory=dict)
-    wasted: dict[str, float] = field(default_factory=dict)  # parts of all work done
+    wasted: dict[str, float] = field(default_factory=dict)  # parts of all work done, by use
     latency: dict[str, dict[str, float]] = field(
         default_factory=dict
-    )  # ms, from the intended start
-    recover_s: float | None = (
-        None  # after the last trouble's end; None: not within the run, or no trouble
-    )
+    )  # ms, from the scheduled arrival
+    recover_s: float | None = None  # s after the last fault's end; None: not recovered, or no fault
     answers: dict[str, int] = field(default_factory=dict)
     rules: dict[str, int] = field(default_factory=dict)
     breaches: list[Breach] = field(default_factory=list)
@@ -85,7 +87,7 @@
     attempts: int = 0
     worth_by_time: list[tuple[float, float, float]] = field(
         default_factory=list
-    )  # s, asked, served
+    )  # s, worth of the intents, worth earned
     histograms: dict[str, HdrHistogram] = field(default_factory=dict)
 
     @property
@@ -94,7 +96,7 @@
 
 
 def judge(s: Scenario, ledger: Ledger) -> Verdict:
-    """The verdict on one run."""
+    """Check one run against the rules and measure its service."""
     verdict = Verdict(
         intents=len(ledger.intents), tries=len(ledger.tries), attempts=len(ledger.arrivals)
     )
@@ -115,7 +117,7 @@
 
 
 class _Late:
-    """Spans in which the driver ran late, widened by what that may cause."""
+    """Spans in which the driver ran late, with a margin on both sides."""
 
     def __init__(self, spans: Sequence[tuple[int, int]]) -> None:
         self.starts = [a - LATENESS_NS for a, _ in sorted(spans)]
@@ -157,7 +159,7 @@
         yield Breach("double", t.at, t.txn, 0, t.proxy, f"{t.answers} final answers")
     if t.answer in (Answer.SERVED, Answer.REFUSED, Answer.FAILED):
         for row in arrivals:
-            # What was on its way when the answer left may still arrive.
+            # Attempts in transit when the response was sent may still arrive.
             if row.at > t.at + SLACK_NS:
                 yield Breach(
                     "sent-after-answer", row.at, t.txn, row.box, t.proxy, "sent on after its answer"
@@ -167,10 +169,10 @@
 def _repeat_breaches(
     kind: Kind, t: Try, arrivals: Sequence[Arrival], lives: dict[int, list[BoxLife]]
 ) -> Iterator[Breach]:
-    """Attempts of one request, in the order of their arrival, against what its class allows."""
+    """Check the attempts of one request, in the order of arrival, against its class."""
     if kind.effect == "safe":
         return
-    first: Arrival | None = None  # that may have run
+    first: Arrival | None = None  # first attempt that may have run
     for row in arrivals:
         if row.fate == Fate.TURNED_AWAY:
             continue
@@ -204,7 +206,7 @@
 
 
 def _drain_breaches(s: Scenario, ledger: Ledger) -> Iterator[Breach]:
-    # An attempt counts from when it was sent; it was on its way for a connection's set-up at most.
+    # The rule is about the time of sending: arrival is later by a connection set-up at most.
     way = 3 * int(max(s.network.near, s.network.far) * (1 + s.network.jitter)) + SLACK_NS
     for row in ledger.arrivals:
         for told, until in ledger.told_out.get((row.proxy, row.box), ()):
@@ -232,11 +234,11 @@
             yield Breach("tipped", tip.at, 0, tip.box, most, what)
 
 
-# The service
+# Quality of service
 
 
 def gain(kind: Kind, intent: Intent) -> float:
-    """What an intent's answer was worth."""
+    """The worth that an intent's response earned."""
     if intent.served_at < 0:
         return 0.0
     latency = intent.served_at - intent.start
@@ -285,7 +287,7 @@
 
 
 def _within_share(s: Scenario, by_tenant: dict[str, list[float]]) -> dict[str, float]:
-    """Of what a tenant may count on: its share of what the warm fleet can do, or what it asked if less."""
+    """Worth earned by each tenant over its share of capacity, or over its demand if less."""
     parts = sum(k.part for k in s.classes)
     worth = sum(k.part * k.worth for k in s.classes) / parts
     work = sum(k.part * k.work for k in s.classes) / parts
@@ -315,7 +317,7 @@
 def _recovery(
     s: Scenario, marks: Sequence[tuple[int, int, str]], asked: Sequence[float], got: Sequence[float]
 ) -> float | None:
-    """Seconds from the last trouble's end until the service is as before the first, and stays so."""
+    """Seconds from the last fault's end until the worth is lastingly as before the first."""
     if not marks:
         return None
     first, last = min(a for a, _, _ in marks), max(b for _, b, _ in marks)
@@ -334,7 +336,7 @@
 
 
 def _waste(ledger: Ledger, verdict: Verdict) -> None:
-    """Work by what became of its request, as parts of all work done."""
+    """Work by the outcome of its attempt and request, as parts of all work done."""
     tries = ledger.tries
     work: Counter[str] = Counter()
     used: set[int] = set()
@@ -347,7 +349,7 @@
         elif row.fate != Fate.SERVED:
             name = "failed"
         elif t.answer == Answer.SERVED:
-            # Two good answers to one request: the later one was for nobody.
+            # With two successful attempts of one request the later one is wasted.
             name = "spare_copy" if row.txn in used else "served"
             used.add(row.txn)
         else:
--- a/mothstall/lab/ledger.py
+++ b/mothstall/lab/ledger.py
@@ -1,4 +1,4 @@
-"""What clients and boxes saw of a run: rows only, no judgement. The judge and the report read them."""
+"""Records of a run as clients and backends saw it, for the checker and the report."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 
 class Unfinished(RuntimeError):
-    """A run could not be finished; the message is one line."""
+    """The run could not be completed; the message is one line."""
 
 
 class Answer(IntEnum):
-    """How one try of a client ended, as the client saw it."""
+    """The end of one client request, as the client saw it."""
 
-    OPEN = 0  # nothing yet
+    OPEN = 0  # no response yet
     SERVED = 1
     REFUSED = 2
     FAILED = 3
-    UNREACHED = 4  # no proxy took it
-    LEFT = 5  # the client went away first
-    SILENT = 6  # its time ran out without a word
-    BROKEN = 7  # the connection ended without a whole answer
+    UNREACHED = 4  # no proxy accepted it
+    LEFT = 5  # the client closed the connection first
+    SILENT = 6  # no response by its deadline
+    BROKEN = 7  # the connection ended without a complete response
 
 
 class Fate(IntEnum):
-    """What became of one attempt at a box."""
+    """The outcome of one attempt at a backend."""
 
     OPEN = 0
     TURNED_AWAY = 1  # never ran
     SERVED = 2
-    REPEAT = 3  # a repeat of a key, dropped: answered from the first
+    REPEAT = 3  # duplicate of a finished key: answered with the stored result
     ERROR = 4  # answered 500, not run
     RESET = 5  # the connection broke
-    SPOILT = 6  # ran, and its answer cannot be read
-    CANCELLED = 7  # withdrawn by the proxy
-    LOST = 8  # the box died with it
+    SPOILT = 6  # ran, and its response is unreadable
+    CANCELLED = 7  # cancelled by the proxy
+    LOST = 8  # the backend died
 
 
 @dataclass(slots=True, eq=False)
 class Intent:
-    """What a client wants done once, however often it must ask. Times are ns since the run's start."""
+    """One operation that a client wants done once, with retries. Times are ns since the start."""
 
     id: int
     cls: int
@@ -52,17 +52,15 @@
     hurried: bool
     heeds: bool  # Retry-After
     at_once: bool
-    luck: float  # 0 to 1: spreads its waits
+    luck: float  # 0 to 1: varies the waits before its retries
     tries: int = 0
-    served_at: int = -1  # of the first good answer
-    effects: list[tuple[int, int]] = field(
-        default_factory=list
-    )  # (time, box) of each time it took effect
+    served_at: int = -1  # time of the first successful response
+    effects: list[tuple[int, int]] = field(default_factory=list)  # (time, backend) of each effect
 
 
 @dataclass(slots=True, eq=False)
 class Try:
-    """One request of a client to a proxy."""
+    """One request of a client to a proxy: the first one of an intent, or a retry."""
 
     txn: int
     intent: Intent
@@ -71,20 +69,20 @@
     deadline: int
     taken: int = -1  # when its last byte reached a running proxy
     answer: Answer = Answer.OPEN
-    at: int = -1  # when the answer was whole
-    answers: int = 0  # final answers that came
-    excused: bool = False  # its proxy died, or was cut off, with it
+    at: int = -1  # when the response was complete
+    answers: int = 0  # number of final responses
+    excused: bool = False  # its proxy died or was cut off
 
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """One attempt as a box saw it."""
+    """One attempt as a backend saw it."""
 
     txn: int
     proxy: int
     box: int
     at: int
-    work: int  # what it would cost here, handshake included
+    work: int  # its full cost here, handshake included
     fate: Fate = Fate.OPEN
     end: int = -1
     done: int = 0  # work spent on it, ns
@@ -92,7 +90,7 @@
 
 @dataclass(slots=True)
 class Tip:
-    """A cold box that was pushed over: who sent it what in the window before."""
+    """The failure of a cold backend by overload, and the work sent to it in the window before."""
 
     box: int
     at: int
@@ -102,7 +100,7 @@
 
 @dataclass(slots=True)
 class BoxLife:
-    """One box from its start to its end."""
+    """One process of a backend, from start to end."""
 
     box: int
     zone: int
@@ -111,11 +109,11 @@
     speed: float
     started: int  # 0: before the run
     ended: int = -1
-    drained: int = -1  # when it began to drain or was taken out
+    drained: int = -1  # when it began to drain
 
 
 class Ledger:
-    """All rows of a run, in the order in which they came."""
+    """All records of a run, in the order of their creation."""
 
     def __init__(self) -> None:
         self.intents: list[Intent] = []
@@ -123,19 +121,19 @@
         self.arrivals: list[Arrival] = []
         self.tips: list[Tip] = []
         self.lives: list[BoxLife] = []
-        # (proxy, box) to the spans in which the proxy knew that the box drains or is gone; -1: still.
+        # (proxy, backend): spans in which the proxy knew that it drains or is gone; end -1: open.
         self.told_out: dict[tuple[int, int], list[tuple[int, int]]] = {}
-        # (proxy, box, start) to when the proxy was first told of this start.
+        # (proxy, backend, start): when the proxy was first notified of this start.
         self.told_start: dict[tuple[int, int, int], int] = {}
         self.proxy_down: list[tuple[int, int, int]] = []  # proxy, from, to
-        self.late: list[tuple[int, int]] = []  # spans in which the driver itself ran late
-        self.marks: list[tuple[int, int, str]] = []  # troubles as played: from, to, what
+        self.late: list[tuple[int, int]] = []  # spans in which the driver ran late
+        self.marks: list[tuple[int, int, str]] = []  # faults as injected: from, to, description
         self.samples: list[
             tuple[int, dict[int, tuple[int, float]]]
-        ] = []  # time, box: (in flight, warmth)
+        ] = []  # time, by backend: (in flight, warmth)
 
     def digest(self) -> str:
-        """The same for two runs in which clients and boxes saw the same at the same times."""
+        """Equal for two runs with the same events at the same times at clients and backends."""
         made = hashlib.blake2b(digest_size=12)
         for t in self.tries:
             made.update(
--- a/mothstall/lab/policies.py
+++ b/mothstall/lab/policies.py
@@ -1,7 +1,7 @@
-"""Policies by name: the project's own, an earlier text of it, and baselines to hold it against.
+"""Policies by name: the project's own, its earlier revisions, and baselines for comparison.
 
-Baselines keep the four rules by simple means and choose by one idea each. `careless` breaks every rule on
-purpose, so that the judge can be seen to catch it.
+Baselines keep the four rules by simple means, and each chooses backends by one simple method.
+`careless` breaks every rule on purpose, to show that the checker detects it.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 ROOT = Path(__file__).parents[2]
 PACKAGE_PATH = "mothstall/policy"
-ASK_NS = 2 * NS  # a baseline's pause between calls to discovery that failed
-COLD_RATE = 0.35  # of the fall multiple: what a baseline deals a cold box
-# Names that fields of interface.Settings had before; they are still read.
+ASK_NS = 2 * NS  # a baseline's delay after a failed call to discovery
+COLD_RATE = 0.35  # part of the overload multiple that a baseline sends to a cold backend
+# Former names of fields of interface.Settings, still accepted.
 FORMER_SETTINGS = {
     "ask_within_ns": "poll_within_ns",
     "cold_from": "initial_warmth",
@@ -37,7 +37,7 @@
 
 
 class InCommon:
-    """The module with failover decided in common: by a plan from reports, or by one who knows the truth."""
+    """The policy with simulated failover, planned from reports or from the true state."""
 
     def __init__(self, commons: str) -> None:
         self.commons = commons
@@ -47,7 +47,7 @@
 
 
 class PolicyError(ValueError):
-    """No such policy; the message is one line."""
+    """The policy does not exist or is invalid; the message is one line."""
 
 
 class _Request:
@@ -59,14 +59,14 @@
         self.out, self.done = 0, False
         self.ran: dict[
             int, tuple[io.Endpoint, int]
-        ] = {}  # attempts that may have run: where, and sent when
+        ] = {}  # attempts that may have run: backend, and time of sending
 
     def first_ran(self) -> tuple[io.Endpoint, int] | None:
         return next(iter(self.ran.values()), None)
 
 
 class Baseline:
-    """Keeps the list, tries again where the class allows it, refuses else. Which box is `choose`."""
+    """Keeps the endpoint list, and retries where the class allows it; subclasses choose."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.cfg, self.rng = settings, random.Random(seed)
@@ -124,7 +124,7 @@
         self.order = sorted(self.boxes.values(), key=lambda e: e.backend)
 
     def warm(self, entry: io.Endpoint) -> bool:
-        """A cold box gets a turn now and then: so many a second as it surely bears."""
+        """Whether the backend may get a request now; a cold one gets a limited rate."""
         age = self.now - entry.started_ns
         if not entry.started_ns or age >= self.cfg.slow_start_ns:
             return True
@@ -136,13 +136,13 @@
         )
         pace = (
             self.sent / max(1, self.now - self.began) / max(1, len(self.boxes))
-        )  # a box's part, per ns
+        )  # mean rate of one backend, per ns
         rate = COLD_RATE * self.cfg.overload_multiple * warmth * pace
         self.cold_due[entry.backend] = self.now + (int(1 / rate) if rate > 0 else NS)
         return True
 
     def able(self, req: _Request) -> list[io.Endpoint]:
-        """The boxes that this request may go to now."""
+        """The backends that this request may be sent to now."""
         rows = [e for e in self.order if e.backend not in req.attempts]
         first, cls = req.first_ran(), req.cls
         if first is not None and cls.effect != Effect.IDEMPOTENT:
@@ -218,14 +218,14 @@
 
 
 class Random(Baseline):
-    """Any box."""
+    """A random backend."""
 
     def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
         return able[self.rng.randrange(len(able))]
 
 
 class RoundRobin(Baseline):
-    """The next box in turn."""
+    """The next backend in order."""
 
     turn = -1
 
@@ -236,7 +236,7 @@
 
 
 class LeastInFlight(Baseline):
-    """The box with the fewest of our own requests; among those, any."""
+    """The backend with the fewest requests in flight of this proxy; ties at random."""
 
     def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
         least = min(self.in_flight.get(e.backend, 0) for e in able)
@@ -245,7 +245,7 @@
 
 
 class TwoChoices(Baseline):
-    """The better of two drawn boxes."""
+    """The less loaded of two random backends."""
 
     def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
         one, other = (able[self.rng.randrange(len(able))] for _ in range(2))
@@ -253,12 +253,12 @@
 
 
 class Careless(Baseline):
-    """Breaks every rule on purpose: for the judge's sake, and never to be run for real."""
+    """Breaks every rule on purpose, to test the checker. Not for production."""
 
     def listed(self, ev: io.EndpointUpdate) -> None:
         gone = dict(self.boxes)
         super().listed(ev)
-        for number, entry in gone.items():  # what drains is kept
+        for number, entry in gone.items():  # draining backends are kept
             self.boxes.setdefault(number, entry)
         self.order = sorted(self.boxes.values(), key=lambda e: e.backend)
 
@@ -274,17 +274,19 @@
 
     def arrived(self, ev: io.RequestArrived) -> None:
         if ev.request % 199 == 0:
-            return  # lost
+            return  # never answered
         super().arrived(ev)
         if ev.request % 101 == 0 and (req := self.requests.get(ev.request)) and self.order:
-            self.go(req, self.rng.choice(self.order))  # a second copy, whatever the class
+            self.go(
+                req, self.rng.choice(self.order)
+            )  # a second copy, also where the class forbids it
 
     def ended(self, ev: io.AttemptEnded) -> None:
         req = self.requests.get(ev.request)
         if req and ev.result == AttemptResult.OK and ev.request % 67 == 0:
-            self.acts.append(io.FailRequest(req.id))  # a second answer
+            self.acts.append(io.FailRequest(req.id))  # a second response
         if req and ev.result == AttemptResult.OK and ev.request % 71 == 0:
-            # Sent on, long after its answer.
+            # An attempt long after the response.
             self.later(
                 self.now + NS // 5, lambda: self.acts.append(io.SendAttempt(req.id, ev.backend, NS))
             )
@@ -306,7 +308,7 @@
 
 
 def at_revision(revision: str) -> Callable[[io.Settings, int], Policy]:
-    """The decisions as they stood at a revision of this repository, on today's interface."""
+    """The policy of a revision of this repository, adapted to the present interface."""
     if not _REVISION.fullmatch(revision) or revision.startswith("-"):
         raise PolicyError(f"policy rev:{revision[:60]}: not a revision")
     listed = _git(revision, "ls-tree", "--name-only", revision, f"{PACKAGE_PATH}/")
@@ -317,13 +319,13 @@
     }
     if texts:
         return policy_source.from_package(texts)
-    # Until it became a package, the policy was a single file.
+    # Revisions before the package hold the policy in a single file.
     text = _git(revision, "show", f"{revision}:mothstall/choice.py")
     return policy_source.from_text(text, f"choice at {revision}")
 
 
 def _git(revision: str, *words: str) -> str:
-    """What a git command prints of a revision."""
+    """Run a git command on a revision and return its output."""
     done = subprocess.run(
         ["git", "-C", str(ROOT), *words],
         capture_output=True,
@@ -337,7 +339,7 @@
 
 
 def parse(word: str) -> MakePolicy:
-    """A policy from `NAME[,setting=value...]`; NAME is one of NAMES, `rev:REVISION` or `file:PATH`.
+    """Make a policy from `NAME[,setting=value...]`: one of NAMES, `rev:REVISION` or `file:PATH`.
 
     Settings are fields of interface.Settings with a number or true/false. Raises PolicyError.
     """
@@ -382,7 +384,7 @@
     kind = io.Settings.__annotations__.get(key)
     if not sep or kind not in ("int", "float", "bool"):
         raise PolicyError(
-            f"policy {name}: {change[:60]!r} is no setting=value of a number or true/false"
+            f"policy {name}: {change[:60]!r} is not setting=value with a number or true/false"
         )
     try:
         value = {"true": True, "false": False}[text] if kind == "bool" else float(text)
--- a/mothstall/lab/policy_source.py
+++ b/mothstall/lab/policy_source.py
@@ -1,4 +1,4 @@
-"""Policies from source text: the package as it stands elsewhere, or the single file that it once was."""
+"""Loads policies from source text: a package, or the single file of earlier revisions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _SourceFinder(importlib.abc.MetaPathFinder, importlib.abc.Loader):
-    """Imports one package from texts in memory."""
+    """Imports one package from source texts in memory."""
 
     def __init__(self, package: str, texts: Mapping[str, str]) -> None:
         self.package = package
@@ -38,7 +38,7 @@
         return importlib.machinery.ModuleSpec(fullname, self, is_package=is_package)
 
     def exec_module(self, module: types.ModuleType) -> None:
-        """Run the text of a module in its namespace."""
+        """Execute the source text of a module in its namespace."""
         file = self._file_of(module.__name__)
         assert file is not None
         text = self._texts[file].replace(PACKAGE, self.package)
@@ -55,7 +55,7 @@
     """Return the `Balancer` of a policy package.
 
     Args:
-        texts: The text of each module by its file name, `__init__.py` among them.
+        texts: The source text of each module by file name, including `__init__.py`.
     """
     finder = _SourceFinder(f"mothstall_lab_policy_{next(_numbers)}", texts)
     sys.meta_path.append(finder)
@@ -67,7 +67,7 @@
 
 
 def from_text(text: str, name: str) -> MakeBalancer:
-    """Return the `Balancer` of a policy that is a single file, as all were before the package."""
+    """Return the `Balancer` of a single-file policy, the form before the package."""
     module = types.ModuleType(f"mothstall_lab_policy_{next(_numbers)}")
     sys.modules[module.__name__] = module
     exec(compile(in_present_names(text), name, "exec"), module.__dict__)
@@ -76,12 +76,12 @@
 
 
 def from_path(path: Path) -> MakeBalancer:
-    """Return the `Balancer` of a file, or of a folder that holds a package."""
+    """Return the `Balancer` of a single file or of a package folder."""
     if path.is_dir():
         return from_package(texts_of(path))
     return from_text(path.read_text(encoding="utf-8"), str(path))
 
 
 def texts_of(folder: Path) -> dict[str, str]:
-    """Return the text of each module in a folder."""
+    """Return the source text of each module in a folder, by file name."""
     return {path.name: path.read_text(encoding="utf-8") for path in sorted(folder.glob("*.py"))}
--- a/mothstall/lab/scenario.py
+++ b/mothstall/lab/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: what a TOML file may say of a fleet, its load and its troubles, read into checked structs.
+"""Scenario files: the TOML schema of a fleet, its load and its faults, with validation.
 
-Durations are text with a unit (`250us`, `40ms`, `1.5s`, `2m`) and become whole nanoseconds. Whatever is
-unknown, of the wrong unit or impossible raises ScenarioError with one line that holds the key's path.
+Durations are text with a unit (`250us`, `40ms`, `1.5s`, `2m`) and become whole nanoseconds. An
+unknown key, a wrong unit or an impossible value raises ScenarioError: one line with the key's path.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario cannot be played; the message is one line and names the key at fault."""
+    """The scenario is invalid; the message is one line and names the key at fault."""
 
 
 class _Part(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
@@ -33,33 +33,33 @@
 
 
 class Boxes(_Part, kw_only=True, frozen=True):
-    """One group of alike web boxes; without a zone they are dealt out over all zones."""
+    """A group of identical backends; without a zone they are assigned to all zones in rotation."""
 
     count: int = 6
     zone: str | None = None
     cores: int = 2
     speed: float = 1.0
-    queue: int = 40  # requests that wait for a core at most; more are turned away
+    queue: int = 40  # most requests that wait for a core; more are rejected
     connections: int = 160
-    handshake: Duration = parse_duration("4ms")  # work that a new connection costs
-    idle: Duration = parse_duration("20s")  # after which an idle connection is closed
-    runs_on: bool = False  # work goes on after its request was cancelled
-    contention: float = 0.0  # how much more work each request in service costs the others
+    handshake: Duration = parse_duration("4ms")  # work that a new connection adds
+    idle: Duration = parse_duration("20s")  # idle timeout of a connection
+    runs_on: bool = False  # work continues after its request is cancelled
+    contention: float = 0.0  # slowdown of each request per request queued or running
     cell: int = 0
 
 
 class Proxies(_Part, frozen=True):
     count: int = 3
-    known_age: Duration = parse_duration("0s")  # how old the list is that a proxy starts with
+    known_age: Duration = parse_duration("0s")  # age of the cached endpoint list at a proxy's start
 
 
 class Rules(_Part, kw_only=True, frozen=True):
-    """What holds for a proxy on its installation: the settings' contract and limits."""
+    """The contract and limits in the settings of every proxy."""
 
     drain_grace: Duration = parse_duration("600ms")
     cold_from: float = 0.2
     cold: Duration = parse_duration("12s")
-    warm_shape: float = 1.0  # capacity rises with age to this power; 1 or less keeps the promise
+    warm_shape: float = 1.0  # exponent of capacity over age; above 1 is slower than linear
     fall_multiple: float = 2.5
     fall: Duration = parse_duration("2s")
     max_attempts: int = 4
@@ -75,13 +75,13 @@
 
 
 class Kind(_Part, kw_only=True, frozen=True):
-    """A class of requests."""
+    """A request class."""
 
     name: str
     part: float  # of all traffic
     work: Duration  # on one core of speed 1, warm
-    spread: float = 0.35  # sigma of the lognormal law of its work
-    waits: Duration = parse_duration("0s")  # on others, without a core
+    spread: float = 0.35  # sigma of the lognormal distribution of its work
+    waits: Duration = parse_duration("0s")  # time on a dependency, without a core
     aim: Duration = parse_duration("300ms")
     deadline: Duration = parse_duration("1500ms")
     worth: float = 1.0
@@ -94,27 +94,27 @@
 class Tenant(_Part, kw_only=True, frozen=True):
     name: str
     part: float  # of all traffic
-    share: float  # of what the fleet can do; an allowance where told
+    share: float  # of the fleet's capacity; sets the quota
     told: bool = True
 
 
 class Clients(_Part, frozen=True):
-    """How clients ask: open arrivals, and what each does when it gets no good answer."""
+    """The clients: an open arrival process, and their retries after an unsuccessful request."""
 
-    fill: float = 0.55  # arrivals' work over what the warm fleet can do
-    rate: float = 0.0  # arrivals a second; goes before fill
+    fill: float = 0.55  # work of the arrivals over the capacity of the warm fleet
+    rate: float = 0.0  # arrivals a second; takes precedence over fill
     tries: int = 3
-    at_once: float = 0.2  # part that asks again at once
-    wait: Duration = parse_duration("250ms")  # the others' mean wait
-    obeys: float = 1.0  # part that heeds Retry-After
-    marks: bool = True  # whether a repeat says that it is one
-    hurried: float = 0.0  # part that leaves at `leaves` of the deadline, though it said the whole
+    at_once: float = 0.2  # part that retries without a wait
+    wait: Duration = parse_duration("250ms")  # mean wait of the others
+    obeys: float = 1.0  # part that obeys Retry-After
+    marks: bool = True  # whether retries are marked as retries
+    hurried: float = 0.0  # part that leaves at `leaves` of the deadline that it sent
     leaves: float = 0.4
-    endures: float = 1.0  # how many deadlines a client goes on asking, from its first try
-    keys: int = 0  # subjects that requests are about; 0: none
+    endures: float = 1.0  # limit of all retries together, in deadlines from the first request
+    keys: int = 0  # number of distinct subjects (cache keys) of requests; 0: none
     zipf: float = 1.1
     miss_cost: float = (
-        0.0  # more work, as a part, where the subject is not among a box's last `warm`
+        0.0  # relative extra work where the subject is not among a backend's last `warm`
     )
     warm: int = 200
 
@@ -123,14 +123,14 @@
     near: Duration = parse_duration("400us")  # one way within a zone
     far: Duration = parse_duration("4ms")
     jitter: float = 0.3
-    notice: Duration = parse_duration("2s")  # until the front sees that a proxy has died
+    notice: Duration = parse_duration("2s")  # until clients avoid a dead proxy
 
 
 class Discovery(_Part, frozen=True):
     mode: Literal["watch", "ask"] = "ask"
-    lag: Duration = parse_duration("800ms")  # from a change to its place in the list
+    lag: Duration = parse_duration("800ms")  # from a change to its publication in the list
     ask_within: Duration = parse_duration("10s")
-    service: Duration = parse_duration("4ms")  # each call, one after another
+    service: Duration = parse_duration("4ms")  # time per call; calls are served in sequence
 
 
 class _Trouble(_Part, tag_field="kind", kw_only=True, frozen=True):
@@ -139,63 +139,63 @@
 
 
 class _OnBoxes(_Trouble, frozen=True):
-    boxes: int = 0  # so many, drawn by seed; 0: by part
+    boxes: int = 0  # number of backends, drawn by seed; 0: use part
     part: float = 0.0
     zone: str | None = None
 
 
 class Slow(_OnBoxes, tag="slow", frozen=True):
-    """Another program takes most of the machine, on and off."""
+    """Another program takes most of the machine, in phases of `on` and `off`."""
 
     factor: float = 6.0
-    on: Duration = parse_duration("0s")  # 0: all the time
+    on: Duration = parse_duration("0s")  # 0: permanently
     off: Duration = parse_duration("0s")
 
 
 class Hang(_OnBoxes, tag="hang", frozen=True):
-    """Takes requests and answers none; what it held is reset at the end."""
+    """Accepts requests and never responds; requests in flight at its end are reset."""
 
 
 class Pause(_OnBoxes, tag="pause", frozen=True):
-    """Stands still as a whole, then goes on where it was."""
+    """The process is stopped, then continues where it was."""
 
 
 class Crash(_OnBoxes, tag="crash", frozen=True):
-    """The process dies and comes back cold under the same id."""
+    """The process dies and restarts cold under the same id."""
 
 
 class Failing(_OnBoxes, tag="failing", frozen=True):
-    """Fast errors for a part of requests."""
+    """Immediate error responses to a part of the requests."""
 
     odds: float = 1.0
 
 
 class Resets(_OnBoxes, tag="resets", frozen=True):
-    """Connections break after the request; half of what was on them has run."""
+    """Connections break after the request arrived; half of these requests have run."""
 
     odds: float = 0.5
 
 
 class Spoilt(_OnBoxes, tag="spoilt", frozen=True):
-    """Answers that cannot be read, to requests that have run."""
+    """Unreadable responses to requests that have run."""
 
     odds: float = 0.5
 
 
 class Cut(_OnBoxes, tag="cut", frozen=True):
-    """The network loses what goes one way, or both."""
+    """The network loses all packets in one direction, or in both."""
 
     way: Literal["in", "out", "both"] = "out"
 
 
 class ZoneLost(_Trouble, tag="zone-lost", kw_only=True, frozen=True):
-    """A zone's boxes and proxies vanish without a word; its boxes come back cold."""
+    """A zone's backends and proxies vanish without a reset; the backends restart cold."""
 
     zone: str
 
 
 class Deploy(_Trouble, tag="deploy", frozen=True):
-    """Boxes are replaced in batches: drained, stopped, a cold successor under a new id."""
+    """Backends are replaced in batches: drained, stopped, then a cold successor with a new id."""
 
     batch: float = 0.2
     every: Duration = parse_duration("3s")
@@ -208,7 +208,7 @@
 
 
 class DiscoveryStale(_Trouble, tag="discovery-stale", frozen=True):
-    """Answers, but tells nothing new."""
+    """The service responds, but publishes no changes."""
 
 
 class ProxyKilled(_Trouble, tag="proxy-killed", frozen=True):
@@ -220,7 +220,7 @@
 
 
 class Dependency(_Trouble, tag="dependency", kw_only=True, frozen=True):
-    """What one class stands on is down: it hangs or fails wherever it is sent."""
+    """The dependency of one class is down: its requests hang, fail or slow down everywhere."""
 
     cls: str
     how: Literal["hang", "fail", "slow"] = "hang"
@@ -289,11 +289,11 @@
 
 
 class Scenario(_Part, kw_only=True, frozen=True):
-    tries: str  # one sentence: what it tries
+    tries: str  # one sentence: what the scenario tests
     name: str = ""
     seconds: float = 40.0
     zones: tuple[str, ...] = ("east", "west")
-    traffic: tuple[float, ...] = ()  # part of the clients in each zone; empty: even
+    traffic: tuple[float, ...] = ()  # share of the clients in each zone; empty: even
     boxes: tuple[Boxes, ...] = (Boxes(),)
     proxies: Proxies = Proxies()
     rules: Rules = Rules()
@@ -314,12 +314,12 @@
 
     @property
     def capacity(self) -> float:
-        """Cores of speed 1 in the warm fleet: seconds of work a second."""
+        """Capacity of the warm fleet in cores of speed 1: seconds of work per second."""
         return sum(group.count * group.cores * group.speed for group in self.boxes)
 
     @property
     def rate(self) -> float:
-        """First tries a second, without bursts."""
+        """First requests per second, without bursts and retries."""
         if self.clients.rate:
             return self.clients.rate
         parts = sum(kind.part for kind in self.classes)
@@ -334,7 +334,7 @@
 
 
 def from_tree(tree: dict[str, Any], name: str) -> Scenario:
-    """A scenario from what a TOML file holds. Raises ScenarioError."""
+    """Convert and validate a parsed TOML document. Raises ScenarioError."""
     try:
         read = msgspec.convert({**tree, "name": name}, Scenario, dec_hook=_hook)
     except msgspec.ValidationError as why:
@@ -346,26 +346,26 @@
 
 
 def _faults(s: Scenario) -> Iterator[tuple[str, str]]:
-    """What no type tells: counts, parts and times that cannot be."""
+    """Find values that the types allow but that are out of range or inconsistent."""
     if not 1 <= s.seconds <= 3600:
         yield "seconds", "must be 1 to 3600"
     if not s.zones or len(set(s.zones)) < len(s.zones):
-        yield "zones", "must be different names, one at least"
+        yield "zones", "must hold at least one name, and each name once"
     if s.traffic and (len(s.traffic) != len(s.zones) or min(s.traffic) < 0 or not sum(s.traffic)):
-        yield "traffic", "must be a part for each zone"
+        yield "traffic", "must hold a share for each zone, none negative, not all 0"
     if not 1 <= s.box_count <= 2000:
         yield "boxes", "must be 1 to 2000 in all"
     for i, group in enumerate(s.boxes):
         if group.zone is not None and group.zone not in s.zones:
             yield f"boxes[{i}].zone", f"no zone is named {group.zone!r}"
         if group.count < 1 or group.cores < 1 or group.speed <= 0 or group.connections < 1:
-            yield f"boxes[{i}]", "count, cores, speed and connections must be above nought"
+            yield f"boxes[{i}]", "count, cores, speed and connections must be above 0"
         if group.queue < 0 or group.contention < 0:
             yield f"boxes[{i}]", "queue and contention must not be negative"
     if not 1 <= s.proxies.count <= 1000:
         yield "proxies.count", "must be 1 to 1000"
     if not s.classes:
-        yield "classes", "must hold one at least"
+        yield "classes", "must hold at least one class"
     lists: tuple[tuple[str, Sequence[Kind | Tenant]], ...] = (
         ("classes", s.classes),
         ("tenants", s.tenants),
@@ -373,17 +373,17 @@
     for label, rows in lists:
         names = [row.name for row in rows]
         if len(set(names)) < len(names):
-            yield label, "names one twice"
+            yield label, "must not hold a name twice"
         for i, row in enumerate(rows):
             if row.part < 0 or not row.name:
-                yield f"{label}[{i}]", "needs a name, and a part of nought or more"
+                yield f"{label}[{i}]", "needs a name, and a part of 0 or more"
         if rows and not sum(row.part for row in rows):
-            yield label, "parts must not all be nought"
+            yield label, "parts must not all be 0"
     for i, kind in enumerate(s.classes):
         if not 0 < kind.aim <= kind.deadline or kind.work <= 0:
             yield f"classes[{i}]", "needs work, and an aim of at most the deadline"
         if kind.effect == "keyed" and not kind.window:
-            yield f"classes[{i}].window", "a keyed class needs one"
+            yield f"classes[{i}].window", "a keyed class needs a window"
     yield from _rule_faults(s)
     for i, trouble in enumerate(s.troubles):
         yield from _trouble_faults(s, f"troubles[{i}]", trouble)
@@ -395,7 +395,7 @@
     if not 0 < s.rules.warm_shape <= 1:
         yield (
             "rules.warm_shape",
-            "must be above 0 and at most 1, else a box is colder than the rules promise",
+            "must be above 0 and at most 1, else a backend is colder than the settings state",
         )
     if s.rules.max_attempts < 1:
         yield "rules.max_attempts", "must be 1 or more"
@@ -404,7 +404,7 @@
             yield "rules.reports", f"must be of {', '.join(REPORTS)}, not {name!r}"
     c = s.clients
     if c.rate < 0 or c.fill <= 0 or c.tries < 1 or not 0 < c.leaves <= 1 or c.endures <= 0:
-        yield "clients", "rate, fill, tries, leaves and endures must be above nought"
+        yield "clients", "fill, tries, leaves, endures must be above 0, rate not negative"
     for name in ("at_once", "obeys", "hurried"):
         if not 0 <= getattr(c, name) <= 1:
             yield f"clients.{name}", "must be 0 to 1"
@@ -414,24 +414,24 @@
 
 def _trouble_faults(s: Scenario, at: str, t: Trouble) -> Iterator[tuple[str, str]]:
     if t.at >= s.total_ns:
-        yield f"{at}.at", f"begins after the run's {s.seconds:g} s are over"
+        yield f"{at}.at", f"begins after the run's end at {s.seconds:g} s"
     if t.lasts <= 0:
-        yield f"{at}.lasts", "must be above nought"
+        yield f"{at}.lasts", "must be above 0"
     if isinstance(t, OnBoxes):
         if not 0 <= t.part <= 1 or not 0 <= t.boxes <= s.box_count or not (t.part or t.boxes):
             yield at, f"needs boxes (at most {s.box_count}) or a part of 0 to 1"
         if isinstance(t, Slow) and bool(t.on) != bool(t.off):
-            yield f"{at}.on", "needs an `off` beside it, and the other way round"
+            yield f"{at}.on", "must be set together with `off`"
     if isinstance(t, OnBoxes | ZoneLost) and t.zone is not None and t.zone not in s.zones:
         yield f"{at}.zone", f"no zone is named {t.zone!r}"
     if isinstance(t, Failing | Resets | Spoilt) and not 0 < t.odds <= 1:
         yield f"{at}.odds", "must be above 0, at most 1"
     if isinstance(t, Slow | ProxyHot | Burst | Dependency) and t.factor <= 0:
-        yield f"{at}.factor", "must be above nought"
+        yield f"{at}.factor", "must be above 0"
     if isinstance(t, ProxyKilled) and not 1 <= t.proxies <= s.proxies.count:
         yield f"{at}.proxies", f"must be 1 to {s.proxies.count}"
     if isinstance(t, Deploy) and (not 0 < t.batch <= 1 or not 0 < t.only <= 1 or t.every <= 0):
-        yield at, "batch and only must be above 0, at most 1; every above nought"
+        yield at, "batch and only must be above 0, at most 1; every above 0"
     if (
         isinstance(t, Dependency | Burst)
         and t.cls is not None
@@ -447,28 +447,28 @@
 
 
 def names() -> list[str]:
-    """The shipped scenarios, in order."""
+    """Names of the shipped scenarios, sorted."""
     return sorted(path.stem for path in SHIPPED.glob("*.toml"))
 
 
 def load(which: str) -> Scenario:
-    """A shipped scenario by name, or the file at a path that ends in .toml. Raises ScenarioError."""
+    """Read a shipped scenario by name, or the file at a .toml path. Raises ScenarioError."""
     path = Path(which) if which.endswith(".toml") else SHIPPED / f"{which}.toml"
     if not which.endswith(".toml") and which not in names():
         raise ScenarioError(
-            f"scenario {which}: not shipped; `mothstall lab list` names those that are"
+            f"scenario {which}: not shipped; `mothstall lab list` shows the shipped ones"
         )
     try:
         tree = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as why:
         raise ScenarioError(f"scenario {which}: cannot be read: {why.strerror}") from why
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as why:
-        raise ScenarioError(f"scenario {which}: is not TOML: {why}") from why
+        raise ScenarioError(f"scenario {which}: not TOML: {why}") from why
     return from_tree(tree, path.stem)
 
 
 def settings_tree(s: Scenario, position: int) -> dict[str, Any]:
-    """What the proxy at a position of the scenario is told: the nested settings of its configuration."""
+    """The settings of the proxy at a position, as the nested tables of its configuration."""
     total = sum(t.share for t in s.tenants) or 1.0
     whole = s.rate / max(s.clients.fill, 0.05) if not s.clients.rate else s.rate * 1.5
     return {
@@ -527,12 +527,12 @@
 
 
 def settings(s: Scenario, position: int) -> io.Settings:
-    """The same in the interface's terms, read by what reads a real proxy's."""
+    """The settings as the policy gets them, read with the parser of real proxies."""
     return from_json(settings_tree(s, position))
 
 
 def lasting(s: Scenario, seconds: float) -> Scenario:
-    """The same for another time; troubles that would begin after it are left out. Raises ScenarioError."""
+    """The scenario with another duration, without later faults. Raises ScenarioError."""
     kept = tuple(t for t in s.troubles if t.at < seconds * NS)
     changed = msgspec.structs.replace(s, seconds=seconds, troubles=kept)
     for path, wrong in _faults(changed):
--- a/mothstall/lab/timeline.py
+++ b/mothstall/lab/timeline.py
@@ -1,4 +1,4 @@
-"""Time for everything in the lab: a heap of what is due. The virtual driver runs it as fast as it can."""
+"""The clock and event queue of the lab, in real or virtual time."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Timeline(Protocol):
-    """The time, ns since the run's start, and a way to be called at one. Real or simulated."""
+    """A clock in ns since the run's start with scheduled calls, real or simulated."""
 
     @property
     def now(self) -> int: ...
 
     def at(self, due: int, what: Callable[..., object], *words: Any) -> None:
-        """Calls `what(*words)` at `due`, or as soon as it can where that is past."""
+        """Calls `what(*words)` at `due`, or as soon as possible if that is past."""
 
 
 class Heap:
-    """Simulated time: what is due at one instant is called in the order in which it was asked for."""
+    """Virtual time: calls due at the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -31,7 +31,7 @@
         heapq.heappush(self._heap, (due if due > self.now else self.now, self._seq, what, words))
 
     def run(self, until: int) -> None:
-        """Calls all that is due before `until`, and leaves the time there."""
+        """Run all calls due before `until`, and set the time to it."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] < until:
             self.now, _, what, words = pop(heap)
--- a/mothstall/lab/virtual.py
+++ b/mothstall/lab/virtual.py
@@ -1,8 +1,8 @@
-"""The virtual driver: a heap of events and no sockets. It plays any policy, for any number of proxies.
+"""The virtual driver: an event loop in virtual time without sockets, for any policy.
 
-The same scenario, policy and seed give the same ledger in every process. A virtual proxy is the thinnest
-shell there can be: it carries out what its policy says, also where a real one would know better, so that the
-judge sees the policy's own mistakes.
+The same scenario, policy and seed give the same ledger in every process. A virtual proxy executes
+its policy's actions without checks, also those that a real proxy would refuse, so that the checker
+sees the mistakes of the policy.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from mothstall.lab.timeline import Heap
 from mothstall.lab.world import World
 
-BASE_NS = 1_000_000 * NS  # what proxies' clocks show when the run begins
-CALL_NS = 2 * NS  # how long a proxy waits for discovery's answer
-BOOT_NS = 600_000_000  # how long a proxy's process takes to start
-PAUSE_NS = NS  # where the list is pushed: before a watch that failed begins again
-KEEP = 0.6  # of the boxes' idle limit: how long a proxy keeps an idle connection
+BASE_NS = 1_000_000 * NS  # reading of the proxies' clocks at the start of the run
+CALL_NS = 2 * NS  # timeout of a proxy's call to discovery
+BOOT_NS = 600_000_000  # start time of a proxy process
+PAUSE_NS = NS  # delay before a failed watch is renewed
+KEEP = 0.6  # part of the backends' idle timeout for which a proxy reuses a connection
 _RESULTS = {
     Fate.SERVED: AttemptResult.OK,
     Fate.REPEAT: AttemptResult.OK,
@@ -39,7 +39,7 @@
 
 
 class Policy(Protocol):
-    """What decides: the interface of mothstall.policy."""
+    """A policy: the interface of mothstall.policy."""
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]: ...
 
@@ -48,7 +48,7 @@
 
 
 class Out:
-    """One attempt that is out."""
+    """One attempt of a request."""
 
     __slots__ = ("box", "dropped", "fresh", "held", "job", "life", "number", "over", "sent", "way")
 
@@ -60,7 +60,7 @@
 
 
 class Held:
-    """One request that a proxy holds."""
+    """One client request at a proxy, with its attempts."""
 
     __slots__ = ("answered", "attempts", "out", "row")
 
@@ -81,7 +81,7 @@
         self.asking = False
         self._news_due = 0
 
-    # Life
+    # Start and stop
 
     def boot(self) -> None:
         run = self.run
@@ -97,7 +97,7 @@
             self.subscribe()
 
     def die(self, silent: bool) -> None:
-        """What it held is the client's to retry; its connections break, or just fall silent."""
+        """Stop the process; its connections break, or with `silent` stop without a reset."""
         self.up = False
         self.life += 1
         run, now = self.run, self.run.time.now
@@ -123,7 +123,7 @@
                 if boxes[number].life is life:
                     boxes[number].disconnect()
 
-    # Events to the policy, and its actions
+    # Policy events and actions
 
     def feed(self, event: io.Event) -> None:
         self.act(self.policy.handle(BASE_NS + self.run.time.now, [event]))
@@ -163,7 +163,7 @@
                 run.time.at(run.time.now, self.probed, self.life, action.backend)
 
     def probed(self, life: int, backend: int) -> None:
-        """No installation of the lab allows probes: they fail."""
+        """Scenarios do not allow load probes: each one fails."""
         if life == self.life:
             self.feed(io.LoadProbeEnded(backend, AttemptResult.ERROR, 0, ()))
 
@@ -201,7 +201,7 @@
         self.forget(held)
 
     def past(self, request: int) -> Held:
-        """A request that is over: what a policy still does for it is done, for the judge to see."""
+        """A finished request. Late actions of a policy on it are carried out, for the checker."""
         held = Held(self.run.ledger.tries[request - 1])
         held.answered = True
         return held
@@ -212,7 +212,7 @@
         run.time.at(due, self.flushed, self.life, held.row, answer, after_ns)
 
     def flushed(self, life: int, row: Try, answer: Answer, after_ns: int) -> None:
-        """An answer whose proxy died while it was on its way has come in half."""
+        """Deliver a response; it arrives incomplete if its proxy died in the meantime."""
         if life != self.life:
             row.excused, answer = True, Answer.BROKEN
         self.run.world.clients.answered(row, answer, after_ns)
@@ -242,7 +242,7 @@
             run.time.at(now + timeout_ns, self.timed_out, self.life, out)
 
     def reuse(self, box: Box, now: int) -> bool:
-        """Whether an idle connection to the box's present life is at hand; the latest goes first."""
+        """Take the latest idle connection to the backend's current process, if there is one."""
         idle = self.idle.get(box.id)
         while idle:
             since, life = idle.pop()
@@ -254,7 +254,7 @@
         return False
 
     def reach(self, out: Out, box: Box) -> None:
-        """The request's last byte is at the box, or would be if it could be reached."""
+        """The request's last byte arrives at the backend, if the backend is reachable."""
         run, now = self.run, self.run.time.now
         gone = box.silent or box.cut_in or (out.fresh and box.cut_out)
         if gone:
@@ -263,7 +263,7 @@
                 run.time.at(due, self.ended, self.life, out, AttemptResult.CONNECT_FAILED, ())
             return
         if out.dropped and out.fresh:
-            return  # given up before it was connected: the request was never written
+            return  # abandoned before the connection was set up: the request was never written
         if not box.up or (out.fresh and not box.connect()):
             result = AttemptResult.CONNECT_FAILED if out.fresh else AttemptResult.RESET
             run.time.at(now + out.way, self.ended, self.life, out, result, ())
@@ -300,7 +300,7 @@
         self.forget(held)
 
     def keep(self, out: Out, result: AttemptResult) -> None:
-        """After an answer the connection is kept; after anything else it is closed."""
+        """Keep the connection after a response; close it after any other result."""
         box = self.run.world.boxes[out.box]
         if box.life is not out.life:
             return
@@ -316,7 +316,7 @@
     def cancel(self, request: int, attempt: int) -> None:
         held = self.held.get(request)
         if held and attempt < len(held.attempts) and not held.attempts[attempt].over:
-            # In the policy's own call its next event would come too soon.
+            # Deferred: a policy gets no event while it handles another one.
             self.run.time.at(self.run.time.now, self.cancelled, self.life, held.attempts[attempt])
 
     def cancelled(self, life: int, out: Out) -> None:
@@ -324,7 +324,7 @@
             self.drop(out, AttemptResult.CANCELLED)
 
     def drop(self, out: Out, result: AttemptResult) -> None:
-        """Gives an attempt up by closing its connection."""
+        """Abandon an attempt by closing its connection."""
         out.dropped = True
         self.run.time.at(self.run.time.now + out.way, self.run.withdraw, out)
         self.ended(self.life, out, result, ())
@@ -362,7 +362,7 @@
         self._told(life, directory.since(self.version), first=True)
 
     def _news(self, life: int, word: Word | None) -> None:
-        # Guards against news that overtakes older news: a watch is one connection.
+        # Guards against reordered updates: a watch is one connection.
         run = self.run
         self._news_due = max(self._news_due, run.time.now + run.delay(self.zone, 0))
         run.time.at(self._news_due, self._told, life, word)
@@ -390,7 +390,7 @@
 
 
 class Ground:
-    """What the commons of a virtual fleet knows of its world."""
+    """The fleet interface of the simulated failover, implemented on a virtual run."""
 
     def __init__(self, run: Virtual) -> None:
         self.run = run
@@ -417,7 +417,7 @@
         return 2 * gone > len(boxes)
 
     def warm(self, proxy: int) -> Mapping[str, float]:
-        """As the list has it, the same for all within half a second."""
+        """Warm weight of each zone by the endpoint list, cached for half a second."""
         run, now = self.run, self.run.time.now
         if now - self._listed[0] >= NS // 2:
             rules, found = run.s.rules, dict.fromkeys(run.s.zones, 0.0)
@@ -442,7 +442,7 @@
 
 
 class Virtual:
-    """One run. `play` gives its ledger. A policy with `commons` has failover decided in common beside it."""
+    """One run; `play` returns its ledger. Failover is simulated if the policy asks for it."""
 
     def __init__(self, s: Scenario, make: MakePolicy, seed: int) -> None:
         self.s, self.make = s, make
@@ -451,7 +451,7 @@
         self.time = Heap()
         self.world = World(s, seed, self.time, self, BASE_NS)
         self.ledger: Ledger = self.world.ledger
-        self.silent: set[int] = set()  # proxies of a lost zone
+        self.silent: set[int] = set()  # proxies of a lost zone, which send no resets
         self.proxies = [Proxy(self, number) for number in range(s.proxies.count)]
         self._luck = self.world.rng("network").random
         self._near, self._far = float(s.network.near), float(s.network.far)
@@ -463,7 +463,7 @@
             )
 
     def play(self, watch: Callable[[int], object] | None = None) -> Ledger:
-        """Plays the whole scenario. `watch` is called with each second of the run that is over."""
+        """Plays the whole scenario. `watch` is called with the time after each simulated second."""
         self.world.prepare()
         self.world.begin()
         for proxy in self.proxies:
@@ -479,11 +479,11 @@
         return self.ledger
 
     def delay(self, one: int, other: int) -> int:
-        """One way between two zones, ns."""
+        """One-way delay between two zones, ns."""
         base = self._near if one == other else self._far
         return int(base * (1.0 + self._jitter * self._luck()))
 
-    # What carries requests
+    # Request transport
 
     def ask(self, row: Try, repeated: bool) -> None:
         proxy = self.proxies[row.proxy]
@@ -500,7 +500,7 @@
         self.world.clients.answered(row, answer)
 
     def replied(self, job: Job, fate: Fate) -> None:
-        """A box has answered an attempt, or its connection broke."""
+        """Pass a backend's response, or the end of its connection, to the proxy."""
         proxy, out = job.carry
         box = self.world.boxes[out.box]
         if box.silent or box.cut_out:
@@ -513,7 +513,7 @@
             self.world.boxes[out.box].withdraw(out.job)
 
     def box_up(self, box: Box) -> None:
-        pass  # whoever sends to it looks at it
+        pass  # senders check the state of the backend at each attempt
 
     def box_changed(self, box: Box) -> None:
         pass
--- a/mothstall/lab/world.py
+++ b/mothstall/lab/world.py
@@ -1,7 +1,7 @@
-"""One world for both drivers: boxes, directory, front, clients, and the troubles that befall them.
+"""The simulated world of both drivers: backends, discovery, clients and the faults of the scenario.
 
-Pure: it runs on whatever timeline it is given. A driver is its carrier: it moves requests, and is told when a
-box starts or stops answering and when a proxy must die or come back.
+Pure: it runs on any timeline. A driver transports the requests, and is called when a backend
+becomes reachable or unreachable and when a proxy must stop or start.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 SAMPLE_NS = 500_000_000
 FIRST_BOX = 101
-BOOT_NS = 800_000_000  # from the end of a box to its successor's start
+BOOT_NS = 800_000_000  # from the end of a backend to its successor's start
 
 
 class Driver(Carrier, Protocol):
     def box_up(self, box: Box) -> None:
-        """A box is about to be listed: it must be reachable from now on."""
+        """Make a backend reachable, before discovery lists it."""
 
     def box_changed(self, box: Box) -> None:
-        """A box stopped, fell silent, was cut off, or can be reached again."""
+        """Apply a change of a backend: stopped, unreachable, cut off, or reachable again."""
 
     def proxy_down(self, proxy: int, silent: bool) -> None: ...
 
     def proxy_up(self, proxy: int, ready: Callable[[], object]) -> None:
-        """A new process may start; `ready` is called once it takes requests."""
+        """Start a new proxy process; `ready` is called once it accepts requests."""
 
 
 class World:
@@ -67,7 +67,7 @@
                 self.add_box(group, zone, 0)
 
     def rng(self, purpose: str) -> random.Random:
-        """A stream of its own for each purpose, so that one more draw here changes nothing there."""
+        """A separate stream for each purpose: an extra draw in one does not change the others."""
         return random.Random(self.seed << 32 | zlib.crc32(purpose.encode()))
 
     def add_box(self, group: sc.Boxes, zone: int, started: int) -> Box:
@@ -96,13 +96,13 @@
         )
 
     def prepare(self) -> None:
-        """Boxes that can be reached, and the list of them."""
+        """Make all backends reachable and list them in discovery."""
         for box in self.boxes.values():
             self.driver.box_up(box)
         self.directory.seed([self.entry(box, Health.READY) for box in self.boxes.values()])
 
     def begin(self) -> None:
-        """Before the first event: the troubles, the first arrival."""
+        """Schedule the faults and the first arrival, before the first event."""
         for trouble in self.s.troubles:
             _PLAY[type(trouble)](self, trouble)
         self.time.at(0, self._sample)
@@ -114,10 +114,10 @@
         if self.time.now < self.s.total_ns:
             self.time.at(self.time.now + SAMPLE_NS, self._sample)
 
-    # Troubles
+    # Faults
 
     def draw(self, t: sc.OnBoxes) -> list[Box]:
-        """The boxes that a trouble befalls, drawn when it is planned so that all policies get the same."""
+        """Draw the affected backends at scheduling time, so that all policies get the same ones."""
         pool = [b for b in self.boxes.values() if t.zone is None or self.s.zones[b.zone] == t.zone]
         count = t.boxes or max(1, round(t.part * len(pool)))
         return sorted(self.luck.sample(pool, min(count, len(pool))), key=lambda b: b.id)
@@ -316,16 +316,16 @@
 
         self.span(t, lambda: put(t.factor), lambda: put(1 / t.factor), f"burst x{t.factor:g}")
 
-    # Boxes and proxies that come and go
+    # Stops and restarts of backends and proxies
 
     def end_box(self, box: Box) -> None:
-        """The process is gone; discovery will say so after its lag."""
+        """End the process; discovery publishes the end after its lag."""
         if box.up:
             box.stop(Fate.LOST)
             self.directory.change(self.entry(box, Health.GONE))
 
     def restart_box(self, box: Box) -> None:
-        """Cold again under the same id. One that was pushed over stays down."""
+        """Restart cold under the same id. A backend that failed by cold overload stays down."""
         if box.up or any(tip.box == box.id and tip.at >= box.started for tip in self.ledger.tips):
             return
         box.silent = False
