--- a/mothstall/lab/bench.py
+++ b/mothstall/lab/bench.py
@@ -29,8 +29,8 @@
 from mothstall import interface as io
 from mothstall.interface import NS, AttemptResult, Health, UpdateScope
 from mothstall.lab import scenario, wire
-from mothstall.lab.directory import Word
-from mothstall.lab.judge import TOP_US
+from mothstall.lab.directory import ListUpdate
+from mothstall.lab.judge import MAX_LATENCY_US
 from mothstall.lab.ledger import Unfinished
 from mothstall.lab.process import ROOT, ServeProcess
 from mothstall.net import protocol
@@ -126,7 +126,7 @@
 
     async def main() -> dict[str, Any]:
         loop, rng = asyncio.get_running_loop(), random.Random(worker)
-        histogram = HdrHistogram(1, TOP_US, 3)
+        histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         numbers = iter(range(1 + worker * 10_000_000_000, 1 << 62))
         idle: list[Asker] = []
         counts = {"good": 0, "bad": 0, "late_us": 0}
@@ -137,7 +137,7 @@
             now, begun, asker.begun = loop.time(), asker.begun, 0.0
             if begin <= now < end:
                 counts["good" if good else "bad"] += 1
-                histogram.record_value(max(1, min(TOP_US, int((now - begun) * 1e6))))
+                histogram.record_value(max(1, min(MAX_LATENCY_US, int((now - begun) * 1e6))))
             if asker.transport.is_closing():
                 return
             if rate:
@@ -176,7 +176,7 @@
 class _List(asyncio.Protocol):
     """Discovery for one proxy: the same list for ever."""
 
-    def __init__(self, word: Word, ports: dict[int, int]) -> None:
+    def __init__(self, word: ListUpdate, ports: dict[int, int]) -> None:
         self.word, self.ports, self.reader = word, ports, wire.Reader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -186,7 +186,7 @@
     def data_received(self, data: bytes) -> None:
         for message in self.reader.feed(data):
             fresh = b"since=0" in message.line or b"since" not in message.line
-            word = self.word if fresh else Word(self.word.version, False, ())
+            word = self.word if fresh else ListUpdate(self.word.version, False, ())
             body = json.dumps(wire.listing(word, TREE.zones, self.ports)).encode()
             wait = 0.0 if fresh or b"timeout_ms=1 " in message.line else 5.0
             asyncio.get_running_loop().call_later(wait, self._tell, wire.answer(200, body))
@@ -217,7 +217,7 @@
         try:
             found: list[int] = await loop.run_in_executor(None, mine.recv)
             entries = tuple(io.Endpoint(1 + i, 0, 0, 0, Health.READY, 1.0, 0) for i in range(BOXES))
-            word, ports = Word(1, True, entries), dict(enumerate(found, 1))
+            word, ports = ListUpdate(1, True, entries), dict(enumerate(found, 1))
             listing = await loop.create_server(lambda: _List(word, ports), "127.0.0.1", 0)
             await proxy.start(
                 {
@@ -258,7 +258,7 @@
     await asyncio.sleep(0.6 * seconds)
     proxy.note_cpu()
     used, span = proxy.cpu_s - cpu, time.monotonic() - began
-    histogram, good, bad, late = HdrHistogram(1, TOP_US, 3), 0, 0, 0
+    histogram, good, bad, late = HdrHistogram(1, MAX_LATENCY_US, 3), 0, 0, 0
     for pipe, process in zip(pipes, workers, strict=True):
         try:
             said = await asyncio.wait_for(loop.run_in_executor(None, pipe.recv), seconds + 30)
--- a/mothstall/lab/command.py
+++ b/mothstall/lab/command.py
@@ -160,7 +160,7 @@
 def _run(args: argparse.Namespace) -> int:
     s = scenario.load(args.scenario)
     if args.seconds is not None:
-        s = scenario.lasting(s, args.seconds)
+        s = scenario.with_duration(s, args.seconds)
     result = _play(s, args.policy, args.seed, args.driver, args.live)
     if args.report:
         _write_report(result, args.report)
@@ -183,7 +183,7 @@
 def _demo(args: argparse.Namespace) -> int:
     s = scenario.load("demo")
     print(
-        f"{s.tries}\nstarting {s.proxies.count} proxies and {s.box_count} web boxes on 127.0.0.1 ..."
+        f"{s.tries}\nstarting {s.proxies.count} proxies and {s.backend_count} web boxes on 127.0.0.1 ..."
     )
     result = _play(s, "module", 1, "sockets", True)
     _write_report(result, args.report)
@@ -333,9 +333,9 @@
         with ProcessPoolExecutor(args.workers) as pool:
             play = partial(coldsum.play_named, args.policy, count)
             it = coldsum.summary(count, list(pool.map(play, range(1, args.seeds + 1))))
-        over += it.over
+        over += it.seeds_over_limit
         print(
-            f"| {count} | {it.seeds} | {it.over} | {it.used:.2f} | {-it.worst:.1f} | {it.planned:.2f} "
+            f"| {count} | {it.seeds} | {it.seeds_over_limit} | {it.max_ratio:.2f} | {-it.max_excess:.1f} | {it.planned:.2f} "
             f"| {it.dispersion:.2f} | {it.served:.3f} |",
             flush=True,
         )
--- a/mothstall/lab/commons.py
+++ b/mothstall/lab/commons.py
@@ -26,31 +26,31 @@
 from mothstall.interface import NS, AttemptResult
 
 MS = 1_000_000
-REPORT_MS, STEER_MS, LASTS_MS = 1000, 200, 2000
-CARRY_MS = (20, 150)  # least and most delay of a report to the planner and of a plan to a proxy
-TERM_MS = 2300  # from a planner's loss until its successor makes plans
+REPORT_INTERVAL_MS, WEIGHTS_INTERVAL_MS, WEIGHTS_LIFETIME_MS = 1000, 200, 2000
+DELIVERY_MS = (20, 150)  # least and most delay of a report to the planner and of a plan to a proxy
+PLANNER_REPLACEMENT_MS = 2300  # from a planner's loss until its successor makes plans
 
 
-class Fleet(Protocol):
+class SimulatedFleet(Protocol):
     """The simulated fleet as seen by the failover."""
 
     def zones(self) -> list[str]: ...
 
-    def zone_of_box(self, number: int) -> str: ...
+    def zone_of_backend(self, number: int) -> str: ...
 
     def zone_of_proxy(self, proxy: int) -> str: ...
 
-    def up(self, proxy: int) -> bool: ...
+    def is_up(self, proxy: int) -> bool: ...
 
-    def apart(self, zone: str) -> bool:
+    def is_cut_off(self, zone: str) -> bool:
         """Whether this zone is cut off from the others."""
 
-    def lost(self, zone: str) -> bool:
+    def is_lost(self, zone: str) -> bool:
         """Whether the zone's backends do not respond."""
 
-    def warm(self, proxy: int) -> Mapping[str, float]: ...
+    def warm_weights(self, proxy: int) -> Mapping[str, float]: ...
 
-    def later(self, wait_ns: int, what: Callable[..., object], *args: Any) -> None: ...
+    def call_later(self, wait_ns: int, callback: Callable[..., object], *args: Any) -> None: ...
 
     def feed(self, proxy: int, event: io.Event) -> None: ...
 
@@ -58,40 +58,40 @@
 
 
 @dataclass(slots=True)
-class _Seat:
-    sums: ZoneCounters
-    helm: PlanTransition
-    told: RoutingWeights = field(default_factory=RoutingWeights)
-    told_ms: int = 0
-    heard_ms: int = 0
-    asked: int = 0
-    refused: int = 0
-    on_plan: int = 0
-
-
-class Commons:
+class _ProxyState:
+    counters: ZoneCounters
+    transition: PlanTransition
+    applied: RoutingWeights = field(default_factory=RoutingWeights)
+    applied_ms: int = 0
+    plan_received_ms: int = 0
+    request_count: int = 0
+    rejected_count: int = 0
+    last_plan_number: int = 0
+
+
+class VirtualFailover:
     """The failover of one run. Tests disable guards of the transition by `at_once`, `forever`."""
 
     def __init__(
         self,
-        fleet: Fleet,
+        fleet: SimulatedFleet,
         count: int,
         classes: list[str],
         aims_ns: list[int],
-        terms: FailoverPolicy,
+        policy: FailoverPolicy,
         seed: int,
         *,
         truth: bool = False,
         at_once: bool = False,
         forever: bool = False,
     ) -> None:
-        self.fleet, self.terms, self.truth = fleet, terms, truth
+        self.fleet, self.policy, self.truth = fleet, policy, truth
         self._rng = random.Random(f"commons {seed}")
         self.plan = FailoverPlan()
-        self.board = ReportWindow(5000)
+        self.report_window = ReportWindow(5000)
         self.plans: list[tuple[float, FailoverPlan]] = []  # with the time of each, s
-        self.seats = [
-            _Seat(
+        self.proxies = [
+            _ProxyState(
                 ZoneCounters(f"p{i}", fleet.zone_of_proxy(i), classes, aims_ns),
                 PlanTransition(
                     f"p{i}", fleet.zone_of_proxy(i), 1000, 10_000, 10_000, truth or at_once, forever
@@ -99,92 +99,120 @@
             )
             for i in range(count)
         ]
-        self._maker = ""  # zone of the planner
-        self._due_ms = 0
+        self._planner_zone = ""  # zone of the planner
+        self._planner_ready_ms = 0
         self._usual: FailoverPlan = FailoverPlan()
 
     def begin(self) -> None:
-        self._maker = self.fleet.zones()[0]
-        for i in range(len(self.seats)):
-            self.fleet.later(self._rng.randrange(REPORT_MS * MS), self._report, i)
-            self.fleet.later(self._rng.randrange(STEER_MS * MS), self._steer, i)
-        self.fleet.later(REPORT_MS * MS, self._make)
+        self._planner_zone = self.fleet.zones()[0]
+        for i in range(len(self.proxies)):
+            self.fleet.call_later(
+                self._rng.randrange(REPORT_INTERVAL_MS * MS), self._send_report, i
+            )
+            self.fleet.call_later(
+                self._rng.randrange(WEIGHTS_INTERVAL_MS * MS), self._update_weights, i
+            )
+        self.fleet.call_later(REPORT_INTERVAL_MS * MS, self._make_plan)
 
     def _ms(self) -> int:
         return self.fleet.now() // MS
 
-    def ended(
-        self, proxy: int, box: int, cls: int, result: AttemptResult, latency_ns: int, util: float
+    def attempt_ended(
+        self,
+        proxy: int,
+        backend: int,
+        cls: int,
+        result: AttemptResult,
+        latency_ns: int,
+        util: float,
     ) -> None:
-        self.seats[proxy].sums.record_attempt(
-            self.fleet.zone_of_box(box), cls, result, latency_ns, util
+        self.proxies[proxy].counters.record_attempt(
+            self.fleet.zone_of_backend(backend), cls, result, latency_ns, util
         )
 
-    def asked(self, proxy: int) -> None:
-        self.seats[proxy].asked += 1
+    def request_arrived(self, proxy: int) -> None:
+        self.proxies[proxy].request_count += 1
 
-    def refused(self, proxy: int) -> None:
-        self.seats[proxy].refused += 1
+    def request_rejected(self, proxy: int) -> None:
+        self.proxies[proxy].rejected_count += 1
 
-    def _carry(self, what: Callable[..., object], *args: Any) -> None:
-        self.fleet.later(self._rng.randrange(CARRY_MS[0] * MS, CARRY_MS[1] * MS), what, *args)
+    def _deliver(self, callback: Callable[..., object], *args: Any) -> None:
+        self.fleet.call_later(
+            self._rng.randrange(DELIVERY_MS[0] * MS, DELIVERY_MS[1] * MS), callback, *args
+        )
 
-    def _joined(self, proxy: int) -> bool:
+    def _is_connected(self, proxy: int) -> bool:
         """Whether messages between a proxy and the planner are delivered."""
         zone = self.fleet.zone_of_proxy(proxy)
-        return self.fleet.up(proxy) and (zone == self._maker or not self.fleet.apart(zone))
+        return self.fleet.is_up(proxy) and (
+            zone == self._planner_zone or not self.fleet.is_cut_off(zone)
+        )
 
-    def _report(self, proxy: int) -> None:
-        self.fleet.later(REPORT_MS * MS, self._report, proxy)
-        if not self.fleet.up(proxy):
+    def _send_report(self, proxy: int) -> None:
+        self.fleet.call_later(REPORT_INTERVAL_MS * MS, self._send_report, proxy)
+        if not self.fleet.is_up(proxy):
             return
-        seat = self.seats[proxy]
-        made = seat.sums.take_report(
-            REPORT_MS, seat.on_plan, seat.asked, seat.refused, self.fleet.warm(proxy)
+        state = self.proxies[proxy]
+        report = state.counters.take_report(
+            REPORT_INTERVAL_MS,
+            state.last_plan_number,
+            state.request_count,
+            state.rejected_count,
+            self.fleet.warm_weights(proxy),
         )
-        seat.asked = seat.refused = 0
-        seat.on_plan = seat.told.plan_number
-        if self._joined(proxy):
-            self._carry(lambda: self.board.add(made, self._ms()))
-
-    def _make(self) -> None:
-        wait = 100 if self.truth else REPORT_MS
-        self.fleet.later(wait * MS, self._make)
+        state.request_count = state.rejected_count = 0
+        state.last_plan_number = state.applied.plan_number
+        if self._is_connected(proxy):
+            self._deliver(lambda: self.report_window.add(report, self._ms()))
+
+    def _make_plan(self) -> None:
+        wait = 100 if self.truth else REPORT_INTERVAL_MS
+        self.fleet.call_later(wait * MS, self._make_plan)
         now = self._ms()
-        if self.fleet.apart(self._maker):
-            home = [zone for zone in self.fleet.zones() if not self.fleet.apart(zone)]
-            self._maker, self._due_ms = (
-                (home or [self._maker])[0],
-                now + (0 if self.truth else TERM_MS),
+        if self.fleet.is_cut_off(self._planner_zone):
+            connected_zones = [
+                zone for zone in self.fleet.zones() if not self.fleet.is_cut_off(zone)
+            ]
+            self._planner_zone, self._planner_ready_ms = (
+                (connected_zones or [self._planner_zone])[0],
+                now + (0 if self.truth else PLANNER_REPLACEMENT_MS),
             )
-        if now < self._due_ms:
+        if now < self._planner_ready_ms:
             return
-        reports = self.board.current_reports(now)
+        reports = self.report_window.current_reports(now)
         if reports:
-            seen = assess_reports(reports, self.plan.number)
-            last = self._known(seen) if self.truth else self.plan
-            done = next_plan(
-                seen, last, self.terms, OperatorOverrides(), 0 if self.truth else REPORT_MS
+            evidence = assess_reports(reports, self.plan.number)
+            previous = self._true_plan(evidence) if self.truth else self.plan
+            result = next_plan(
+                evidence,
+                previous,
+                self.policy,
+                OperatorOverrides(),
+                0 if self.truth else REPORT_INTERVAL_MS,
             )
-            if done.has_changed:
-                self.plans.append((now / 1000, done.plan))
-            self.plan = done.plan
-        for i in range(len(self.seats)):
-            if self._joined(i):
-                self._carry(self._told, i, self.plan)
-
-    def _known(self, seen: ZoneEvidence) -> FailoverPlan:
+            if result.has_changed:
+                self.plans.append((now / 1000, result.plan))
+            self.plan = result.plan
+        for i in range(len(self.proxies)):
+            if self._is_connected(i):
+                self._deliver(self._receive_plan, i, self.plan)
+
+    def _true_plan(self, evidence: ZoneEvidence) -> FailoverPlan:
         """A plan state from the true faults: lost or cut-off zones get no remote traffic."""
         pairs = {}
         for origin in self.fleet.zones():
             for zone in self.fleet.zones():
-                far = origin != zone and (self.fleet.apart(zone) or self.fleet.apart(origin))
-                bad = self.fleet.lost(zone) or far
-                seen.assessments.setdefault(origin, {})[zone] = ZoneAssessment(
-                    100.0, 100.0 * bad, float(bad)
+                is_remote_cut = origin != zone and (
+                    self.fleet.is_cut_off(zone) or self.fleet.is_cut_off(origin)
+                )
+                is_bad = self.fleet.is_lost(zone) or is_remote_cut
+                evidence.assessments.setdefault(origin, {})[zone] = ZoneAssessment(
+                    100.0, 100.0 * is_bad, float(is_bad)
                 )
-                pairs[pair_key(origin, zone)] = ZonePairState(0.0 if bad else 1.0, 0, 0)
-        seen.isolated_zones = {zone for zone in self.fleet.zones() if self.fleet.apart(zone)}
+                pairs[pair_key(origin, zone)] = ZonePairState(0.0 if is_bad else 1.0, 0, 0)
+        evidence.isolated_zones = {
+            zone for zone in self.fleet.zones() if self.fleet.is_cut_off(zone)
+        }
         return FailoverPlan(
             self.plan.number,
             self.plan.weights,
@@ -194,30 +222,30 @@
             self.plan.capacity_per_weight,
         )
 
-    def _told(self, proxy: int, plan: FailoverPlan) -> None:
-        if self._joined(proxy):
-            self.seats[proxy].heard_ms = self._ms()
-            self.seats[proxy].helm.adopt(plan, self._ms())
+    def _receive_plan(self, proxy: int, plan: FailoverPlan) -> None:
+        if self._is_connected(proxy):
+            self.proxies[proxy].plan_received_ms = self._ms()
+            self.proxies[proxy].transition.adopt(plan, self._ms())
 
-    def _steer(self, proxy: int) -> None:
-        self.fleet.later(STEER_MS * MS, self._steer, proxy)
-        if not self.fleet.up(proxy):
+    def _update_weights(self, proxy: int) -> None:
+        self.fleet.call_later(WEIGHTS_INTERVAL_MS * MS, self._update_weights, proxy)
+        if not self.fleet.is_up(proxy):
             return
-        now, seat = self._ms(), self.seats[proxy]
-        course = seat.helm.weights_at(now, now - seat.heard_ms)
-        if course.plan_number != seat.on_plan:
-            seat.on_plan = 0
-        again = course.strength > 0 and now - seat.told_ms > LASTS_MS // 2
+        now, state = self._ms(), self.proxies[proxy]
+        weights = state.transition.weights_at(now, now - state.plan_received_ms)
+        if weights.plan_number != state.last_plan_number:
+            state.last_plan_number = 0
+        is_refresh = weights.strength > 0 and now - state.applied_ms > WEIGHTS_LIFETIME_MS // 2
         if (
-            again
-            or course.plan_number != seat.told.plan_number
-            or not course.is_close_to(seat.told)
+            is_refresh
+            or weights.plan_number != state.applied.plan_number
+            or not weights.is_close_to(state.applied)
         ):
-            seat.told, seat.told_ms = course, now
-            parts = tuple(course.weights.get(zone, 0.0) for zone in self.fleet.zones())
-            until = self.fleet.now() + LASTS_MS * MS
+            state.applied, state.applied_ms = weights, now
+            fractions = tuple(weights.weights.get(zone, 0.0) for zone in self.fleet.zones())
+            until = self.fleet.now() + WEIGHTS_LIFETIME_MS * MS
             self.fleet.feed(
-                proxy, io.ZoneWeights(parts, course.overflow_fraction, course.strength, until)
+                proxy, io.ZoneWeights(fractions, weights.overflow_fraction, weights.strength, until)
             )
 
 
@@ -226,4 +254,4 @@
     return next((at - since for at, plan in plans if at >= since and plan.weights), 0.0)
 
 
-__all__ = ["NS", "Commons", "Fleet", "first_shift_s"]
+__all__ = ["NS", "SimulatedFleet", "VirtualFailover", "first_shift_s"]
--- a/mothstall/lab/compare.py
+++ b/mothstall/lab/compare.py
@@ -82,7 +82,7 @@
 ) -> tuple[float, float, dict[str, int]]:
     s = scenario.load(name)
     if seconds is not None:
-        s = scenario.lasting(s, seconds)
+        s = scenario.with_duration(s, seconds)
     verdict = runs.play(s, policy, seed).verdict
     return verdict.worth, verdict.worst_10s, verdict.rules
 
--- a/mothstall/lab/directory.py
+++ b/mothstall/lab/directory.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class ListUpdate:
     """An update of the endpoint list: the full list, or the changes since a version."""
 
     version: int
@@ -28,34 +28,34 @@
     entries: tuple[io.Endpoint, ...]
 
 
-class Directory:
-    def __init__(self, rules: Discovery, time: Timeline, ledger: Ledger, base: int) -> None:
-        self.rules, self.time, self.ledger, self.base = rules, time, ledger, base
+class DiscoveryService:
+    def __init__(self, config: Discovery, time: Timeline, ledger: Ledger, base: int) -> None:
+        self.config, self.time, self.ledger, self.base = config, time, ledger, base
         self.version = 1
         self.down = self.stale = False
         self.listed: dict[int, io.Endpoint] = {}
-        self._seeded: dict[int, io.Endpoint] = {}
+        self._initial: dict[int, io.Endpoint] = {}
         self._changes: list[tuple[int, int, io.Endpoint]] = []  # version, time, entry
-        self._held: list[io.Endpoint] = []  # changes not published while stale
+        self._withheld: list[io.Endpoint] = []  # changes not published while stale
         self._busy_until = 0
-        self._watchers: dict[int, Callable[[Word | None], object]] = {}
-        self._contact: dict[int, int] = {}
-        self._known: dict[int, set[int]] = {}
+        self._watchers: dict[int, Callable[[ListUpdate | None], object]] = {}
+        self._last_contact: dict[int, int] = {}
+        self._known_backends: dict[int, set[int]] = {}
 
     # Changes of the fleet
 
-    def seed(self, entries: list[io.Endpoint]) -> None:
+    def set_initial(self, entries: list[io.Endpoint]) -> None:
         """Set the list at the start of the run."""
         self.listed = {entry.backend: entry for entry in entries}
-        self._seeded = dict(self.listed)
+        self._initial = dict(self.listed)
 
-    def change(self, entry: io.Endpoint) -> None:
+    def schedule_change(self, entry: io.Endpoint) -> None:
         """Publish a change of a backend after the lag."""
-        self.time.at(self.time.now + self.rules.lag, self._publish, entry)
+        self.time.at(self.time.now + self.config.lag, self._publish, entry)
 
     def _publish(self, entry: io.Endpoint) -> None:
         if self.stale:
-            self._held.append(entry)
+            self._withheld.append(entry)
             return
         self.version += 1
         if entry.health == Health.GONE:
@@ -64,108 +64,113 @@
             self.listed[entry.backend] = entry
         self._changes.append((self.version, self.time.now, entry))
         del self._changes[:-MAX_CHANGES]
-        word = Word(self.version, False, (entry,))
-        for tell in list(self._watchers.values()):
-            tell(word)
-        self.time.at(self.time.now + self.rules.ask_within, self._deem, self.time.now, entry)
+        update = ListUpdate(self.version, False, (entry,))
+        for notify in list(self._watchers.values()):
+            notify(update)
+        self.time.at(
+            self.time.now + self.config.ask_within, self._count_as_notified, self.time.now, entry
+        )
 
     def set_stale(self, on: bool) -> None:
         self.stale = on
         if not on:
-            held, self._held = self._held, []
-            for entry in held:
+            withheld, self._withheld = self._withheld, []
+            for entry in withheld:
                 self._publish(entry)
 
     def set_down(self, on: bool) -> None:
         """Stop or start the service; both end every watch."""
         self.down = on
         watchers, self._watchers = self._watchers, {}
-        for proxy, tell in watchers.items():
-            self._contact[proxy] = self.time.now
-            tell(None)
+        for proxy, notify in watchers.items():
+            self._last_contact[proxy] = self.time.now
+            notify(None)
 
     # Calls and watches
 
-    def ask(self, proxy: int) -> int:
+    def accept_call(self, proxy: int) -> int:
         """Accept a call and return the time of its response, served in sequence; -1: none."""
         now = self.time.now
-        self._contact[proxy] = now
+        self._last_contact[proxy] = now
         if self.down:
             return -1
-        self._busy_until = max(self._busy_until, now) + self.rules.service
+        self._busy_until = max(self._busy_until, now) + self.config.service
         return self._busy_until
 
-    def since(self, version: int) -> Word:
+    def updates_since(self, version: int) -> ListUpdate:
         """The changes after a version; the full list if they are not kept, or for version 0."""
         if version >= self.version:
-            return Word(self.version, False, ())
+            return ListUpdate(self.version, False, ())
         oldest = self._changes[0][0] if self._changes else self.version + 1
         if version < oldest - 1 or version == 0:
-            return Word(self.version, True, tuple(self.listed.values()))
-        return Word(self.version, False, tuple(e for v, _, e in self._changes if v > version))
+            return ListUpdate(self.version, True, tuple(self.listed.values()))
+        return ListUpdate(self.version, False, tuple(e for v, _, e in self._changes if v > version))
 
-    def as_of(self, at: int) -> Word:
+    def as_of(self, at: int) -> ListUpdate:
         """The list at an earlier time, for a proxy that starts with a cached list."""
         listed = dict(self.listed)
-        undo = [row for row in self._changes if row[1] > at]
-        if not undo:
-            return Word(self.version, True, tuple(listed.values()))
-        first = undo[0][0] - 1
+        later_changes = [row for row in self._changes if row[1] > at]
+        if not later_changes:
+            return ListUpdate(self.version, True, tuple(listed.values()))
+        version_before = later_changes[0][0] - 1
         before: dict[int, io.Endpoint] = {}
         for version, _, entry in self._changes:
-            if version <= first:
+            if version <= version_before:
                 before[entry.backend] = entry
-        for _, _, entry in undo:
+        for _, _, entry in later_changes:
             listed.pop(entry.backend, None)
-            old = before.get(entry.backend) or self._seeded.get(entry.backend)
-            if old is not None and old.health != Health.GONE:
-                listed[entry.backend] = old
-        return Word(first, True, tuple(listed.values()))
+            earlier = before.get(entry.backend) or self._initial.get(entry.backend)
+            if earlier is not None and earlier.health != Health.GONE:
+                listed[entry.backend] = earlier
+        return ListUpdate(version_before, True, tuple(listed.values()))
 
-    def watch(self, proxy: int, tell: Callable[[Word | None], object] | None) -> None:
+    def watch(self, proxy: int, notify: Callable[[ListUpdate | None], object] | None) -> None:
         """Begin a watch, or end it with None. The callback gets each change, None at the end."""
-        self._contact[proxy] = self.time.now
-        if tell is None:
+        self._last_contact[proxy] = self.time.now
+        if notify is None:
             self._watchers.pop(proxy, None)
         else:
-            self._watchers[proxy] = tell
+            self._watchers[proxy] = notify
 
     # Updates delivered to proxies
 
-    def note(self, proxy: int, word: Word) -> None:
+    def record_delivery(self, proxy: int, update: ListUpdate) -> None:
         """Record an update that reached a proxy."""
-        now, known = self.time.now, self._known.setdefault(proxy, set())
-        if word.full:
-            listed = {entry.backend for entry in word.entries}
-            for box in sorted(known - listed):
-                self._out(proxy, box, now)
-        for entry in word.entries:
+        now, known = self.time.now, self._known_backends.setdefault(proxy, set())
+        if update.full:
+            listed = {entry.backend for entry in update.entries}
+            for backend in sorted(known - listed):
+                self._record_unavailable(proxy, backend, now)
+        for entry in update.entries:
             if entry.health == Health.READY:
                 known.add(entry.backend)
-                spans = self.ledger.told_out.get((proxy, entry.backend))
+                spans = self.ledger.notified_unavailable.get((proxy, entry.backend))
                 if spans and spans[-1][1] < 0:
                     spans[-1] = (spans[-1][0], now)
                 if entry.started_ns:
                     key = (proxy, entry.backend, entry.started_ns - self.base)
-                    self.ledger.told_start.setdefault(key, now)
+                    self.ledger.notified_start.setdefault(key, now)
             else:
-                self._out(proxy, entry.backend, now)
+                self._record_unavailable(proxy, entry.backend, now)
 
-    def _out(self, proxy: int, box: int, now: int) -> None:
-        spans = self.ledger.told_out.setdefault((proxy, box), [])
+    def _record_unavailable(self, proxy: int, backend: int, now: int) -> None:
+        spans = self.ledger.notified_unavailable.setdefault((proxy, backend), [])
         if not spans or spans[-1][1] >= 0:
             spans.append((now, -1))
 
-    def forget(self, proxy: int) -> None:
+    def forget_proxy(self, proxy: int) -> None:
         """Discard the state of a proxy whose process ended."""
-        self._known.pop(proxy, None)
+        self._known_backends.pop(proxy, None)
         self._watchers.pop(proxy, None)
-        for (who, box), spans in self.ledger.told_out.items():
-            if who == proxy and spans[-1][1] < 0:
-                self.ledger.told_out[who, box][-1] = (spans[-1][0], self.time.now)
-
-    def _deem(self, published: int, entry: io.Endpoint) -> None:
+        for (notified_proxy, backend), spans in self.ledger.notified_unavailable.items():
+            if notified_proxy == proxy and spans[-1][1] < 0:
+                self.ledger.notified_unavailable[notified_proxy, backend][-1] = (
+                    spans[-1][0],
+                    self.time.now,
+                )
+
+    def _count_as_notified(self, published: int, entry: io.Endpoint) -> None:
         """Count proxies without watch or call within the settings' limit as notified."""
-        for proxy, at in sorted(self._contact.items()):
+        for proxy, at in sorted(self._last_contact.items()):
             if proxy not in self._watchers and at < published:
-                self.note(proxy, Word(self.version, False, (entry,)))
+                self.record_delivery(proxy, ListUpdate(self.version, False, (entry,)))
--- a/mothstall/lab/judge.py
+++ b/mothstall/lab/judge.py
@@ -29,8 +29,16 @@
 from hdrh.histogram import HdrHistogram
 
 from mothstall.interface import NS
-from mothstall.lab.clients import SLACK_NS
-from mothstall.lab.ledger import Answer, Arrival, BoxLife, Fate, Intent, Ledger, Try
+from mothstall.lab.clients import DEADLINE_SLACK_NS
+from mothstall.lab.ledger import (
+    Arrival,
+    AttemptOutcome,
+    BackendIncarnation,
+    ClientRequest,
+    Intent,
+    Ledger,
+    Outcome,
+)
 from mothstall.lab.scenario import Kind, Scenario
 
 RULES = {
@@ -43,25 +51,25 @@
     "drain": "drains kept",
     "tipped": "cold boxes not pushed over",
 }
-TIMED = frozenset(("lost", "sent-after-answer", "drain", "tipped", "repeat"))
-TOLD_PART = 2 / 3  # of the work that overloaded a backend: from proxies notified of its start
-WORST_NS = 10 * NS
+TIMING_RULES = frozenset(("lost", "sent-after-answer", "drain", "tipped", "repeat"))
+NOTIFIED_PART = 2 / 3  # of the work that overloaded a backend: from proxies notified of its start
+WORST_WINDOW_NS = 10 * NS
 STEP_NS = NS // 2
-RECOVERED = 0.97  # part of the worth before the first fault
-RECOVER_NS = 2 * NS
-MAX_BREACHES = 50  # listed of each kind; all are counted
-LATENESS_NS = 200_000_000  # margin around a late span within which violations are excused
-TOP_US = 60_000_000
+RECOVERED_PART = 0.97  # part of the worth before the first fault
+RECOVERY_WINDOW_NS = 2 * NS
+MAX_LISTED_VIOLATIONS = 50  # listed of each kind; all are counted
+LATE_MARGIN_NS = 200_000_000  # margin around a late span within which violations are excused
+MAX_LATENCY_US = 60_000_000
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
+class Violation:
     kind: str
     at_ns: int
     request: int  # 0: no single request
-    box: int  # 0: no single backend
+    backend: int  # 0: no single backend
     proxy: int  # -1: no single proxy
-    what: str
+    detail: str
 
 
 @dataclass(slots=True)
@@ -80,10 +88,10 @@
     recover_s: float | None = None  # s after the last fault's end; None: not recovered, or no fault
     answers: dict[str, int] = field(default_factory=dict)
     rules: dict[str, int] = field(default_factory=dict)
-    breaches: list[Breach] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     excused: int = 0
     intents: int = 0
-    tries: int = 0
+    requests: int = 0
     attempts: int = 0
     worth_by_time: list[tuple[float, float, float]] = field(
         default_factory=list
@@ -95,35 +103,35 @@
         return bool(self.rules)
 
 
-def judge(s: Scenario, ledger: Ledger) -> Verdict:
+def check_run(s: Scenario, ledger: Ledger) -> Verdict:
     """Check one run against the rules and measure its service."""
     verdict = Verdict(
-        intents=len(ledger.intents), tries=len(ledger.tries), attempts=len(ledger.arrivals)
+        intents=len(ledger.intents), requests=len(ledger.requests), attempts=len(ledger.attempts)
     )
-    late = _Late(ledger.late)
+    late_spans = _LateSpans(ledger.late_spans)
     shown: Counter[str] = Counter()
-    for breach in sorted(_breaches(s, ledger), key=lambda b: (b.at_ns, b.request)):
-        if breach.kind in TIMED and late.near(breach.at_ns):
+    for violation in sorted(_violations(s, ledger), key=lambda b: (b.at_ns, b.request)):
+        if violation.kind in TIMING_RULES and late_spans.covers(violation.at_ns):
             verdict.excused += 1
             continue
-        verdict.rules[breach.kind] = verdict.rules.get(breach.kind, 0) + 1
-        shown[breach.kind] += 1
-        if shown[breach.kind] <= MAX_BREACHES:
-            verdict.breaches.append(breach)
-    _serve(s, ledger, verdict)
-    _waste(ledger, verdict)
-    verdict.answers = dict(sorted(Counter(t.answer.name.lower() for t in ledger.tries).items()))
+        verdict.rules[violation.kind] = verdict.rules.get(violation.kind, 0) + 1
+        shown[violation.kind] += 1
+        if shown[violation.kind] <= MAX_LISTED_VIOLATIONS:
+            verdict.violations.append(violation)
+    _measure_service(s, ledger, verdict)
+    _measure_waste(ledger, verdict)
+    verdict.answers = dict(sorted(Counter(t.outcome.name.lower() for t in ledger.requests).items()))
     return verdict
 
 
-class _Late:
+class _LateSpans:
     """Spans in which the driver ran late, with a margin on both sides."""
 
     def __init__(self, spans: Sequence[tuple[int, int]]) -> None:
-        self.starts = [a - LATENESS_NS for a, _ in sorted(spans)]
-        self.ends = [b + LATENESS_NS for _, b in sorted(spans)]
+        self.starts = [a - LATE_MARGIN_NS for a, _ in sorted(spans)]
+        self.ends = [b + LATE_MARGIN_NS for _, b in sorted(spans)]
 
-    def near(self, at: int) -> bool:
+    def covers(self, at: int) -> bool:
         i = bisect.bisect(self.starts, at)
         return any(end >= at for end in self.ends[max(0, i - 8) : i])
 
@@ -131,113 +139,132 @@
 # The rules
 
 
-def _breaches(s: Scenario, ledger: Ledger) -> Iterator[Breach]:
-    arrivals: dict[int, list[Arrival]] = defaultdict(list)
-    for row in ledger.arrivals:
-        arrivals[row.txn].append(row)
-    lives: dict[int, list[BoxLife]] = defaultdict(list)
-    for life in ledger.lives:
-        lives[life.box].append(life)
-    for t in ledger.tries:
-        yield from _answer_breaches(s, t, arrivals.get(t.txn, ()))
-        yield from _repeat_breaches(s.classes[t.intent.cls], t, arrivals.get(t.txn, ()), lives)
+def _violations(s: Scenario, ledger: Ledger) -> Iterator[Violation]:
+    attempts: dict[int, list[Arrival]] = defaultdict(list)
+    for row in ledger.attempts:
+        attempts[row.txn].append(row)
+    incarnations: dict[int, list[BackendIncarnation]] = defaultdict(list)
+    for incarnation in ledger.incarnations:
+        incarnations[incarnation.backend].append(incarnation)
+    for t in ledger.requests:
+        yield from _response_violations(s, t, attempts.get(t.txn, ()))
+        yield from _retry_violations(
+            s.classes[t.intent.cls], t, attempts.get(t.txn, ()), incarnations
+        )
     for intent in ledger.intents:
-        yield from _effect_breaches(s.classes[intent.cls], intent)
-    yield from _drain_breaches(s, ledger)
-    yield from _tip_breaches(ledger)
-
-
-def _answer_breaches(s: Scenario, t: Try, arrivals: Sequence[Arrival]) -> Iterator[Breach]:
-    if t.taken >= 0 and not t.excused:
-        if t.answer == Answer.SILENT:
-            yield Breach("lost", t.at, t.txn, 0, t.proxy, "no answer by its deadline")
-        elif t.answer == Answer.BROKEN:
-            yield Breach(
+        yield from _effect_violations(s.classes[intent.cls], intent)
+    yield from _drain_violations(s, ledger)
+    yield from _cold_overload_violations(ledger)
+
+
+def _response_violations(
+    s: Scenario, t: ClientRequest, attempts: Sequence[Arrival]
+) -> Iterator[Violation]:
+    if t.accepted >= 0 and not t.excused:
+        if t.outcome == Outcome.SILENT:
+            yield Violation("lost", t.at, t.txn, 0, t.proxy, "no answer by its deadline")
+        elif t.outcome == Outcome.BROKEN:
+            yield Violation(
                 "lost", t.at, t.txn, 0, t.proxy, "the connection ended without a whole answer"
             )
-    if t.answers > 1:
-        yield Breach("double", t.at, t.txn, 0, t.proxy, f"{t.answers} final answers")
-    if t.answer in (Answer.SERVED, Answer.REFUSED, Answer.FAILED):
-        for row in arrivals:
+    if t.response_count > 1:
+        yield Violation("double", t.at, t.txn, 0, t.proxy, f"{t.response_count} final answers")
+    if t.outcome in (Outcome.SERVED, Outcome.REFUSED, Outcome.FAILED):
+        for row in attempts:
             # Attempts in transit when the response was sent may still arrive.
-            if row.at > t.at + SLACK_NS:
-                yield Breach(
-                    "sent-after-answer", row.at, t.txn, row.box, t.proxy, "sent on after its answer"
+            if row.at > t.at + DEADLINE_SLACK_NS:
+                yield Violation(
+                    "sent-after-answer",
+                    row.at,
+                    t.txn,
+                    row.backend,
+                    t.proxy,
+                    "sent on after its answer",
                 )
 
 
-def _repeat_breaches(
-    kind: Kind, t: Try, arrivals: Sequence[Arrival], lives: dict[int, list[BoxLife]]
-) -> Iterator[Breach]:
+def _retry_violations(
+    kind: Kind,
+    t: ClientRequest,
+    attempts: Sequence[Arrival],
+    incarnations: dict[int, list[BackendIncarnation]],
+) -> Iterator[Violation]:
     """Check the attempts of one request, in the order of arrival, against its class."""
     if kind.effect == "safe":
         return
     first: Arrival | None = None  # first attempt that may have run
-    for row in arrivals:
-        if row.fate == Fate.TURNED_AWAY:
+    for row in attempts:
+        if row.outcome == AttemptOutcome.REJECTED:
             continue
         if first is None:
             first = row
             continue
         if kind.effect == "unsafe":
-            what = f"sent again, though an attempt at box {first.box} may have run"
-            yield Breach("repeat", row.at, t.txn, row.box, t.proxy, what)
-        elif row.at > first.at + kind.window + SLACK_NS:
-            what = f"{(row.at - first.at) / 1e6:.0f} ms after the first, window {kind.window / 1e6:.0f} ms"
-            yield Breach("repeat", row.at, t.txn, row.box, t.proxy, what)
-        elif _place(kind, lives[row.box][0]) != _place(kind, lives[first.box][0]):
-            what = f"outside the group of box {first.box}"
-            yield Breach("repeat", row.at, t.txn, row.box, t.proxy, what)
-    harmless = kind.effect == "keyed" and kind.group == "all"
-    if first and t.answer == Answer.REFUSED and not harmless:
-        what = "refused as harmless to repeat, but may have run"
-        yield Breach("false-refusal", t.at, t.txn, first.box, t.proxy, what)
-
-
-def _place(kind: Kind, life: BoxLife) -> int:
-    return {"all": 0, "zone": life.zone, "cell": life.cell}[kind.group]
-
-
-def _effect_breaches(kind: Kind, intent: Intent) -> Iterator[Breach]:
+            detail = f"sent again, though an attempt at box {first.backend} may have run"
+            yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
+        elif row.at > first.at + kind.window + DEADLINE_SLACK_NS:
+            detail = f"{(row.at - first.at) / 1e6:.0f} ms after the first, window {kind.window / 1e6:.0f} ms"
+            yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
+        elif _group_index(kind, incarnations[row.backend][0]) != _group_index(
+            kind, incarnations[first.backend][0]
+        ):
+            detail = f"outside the group of box {first.backend}"
+            yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
+    is_safe = kind.effect == "keyed" and kind.group == "all"
+    if first and t.outcome == Outcome.REFUSED and not is_safe:
+        detail = "refused as harmless to repeat, but may have run"
+        yield Violation("false-refusal", t.at, t.txn, first.backend, t.proxy, detail)
+
+
+def _group_index(kind: Kind, incarnation: BackendIncarnation) -> int:
+    return {"all": 0, "zone": incarnation.zone, "cell": incarnation.cell}[kind.group]
+
+
+def _effect_violations(kind: Kind, intent: Intent) -> Iterator[Violation]:
     if len(intent.effects) > 1:
-        at, box = intent.effects[1]
-        what = f"intent {intent.id} of {kind.name} took effect {len(intent.effects)} times"
-        yield Breach("effect-twice", at, 0, box, -1, what)
+        at, backend = intent.effects[1]
+        detail = f"intent {intent.id} of {kind.name} took effect {len(intent.effects)} times"
+        yield Violation("effect-twice", at, 0, backend, -1, detail)
 
 
-def _drain_breaches(s: Scenario, ledger: Ledger) -> Iterator[Breach]:
+def _drain_violations(s: Scenario, ledger: Ledger) -> Iterator[Violation]:
     # The rule is about the time of sending: arrival is later by a connection set-up at most.
-    way = 3 * int(max(s.network.near, s.network.far) * (1 + s.network.jitter)) + SLACK_NS
-    for row in ledger.arrivals:
-        for told, until in ledger.told_out.get((row.proxy, row.box), ()):
+    delay = 3 * int(max(s.network.near, s.network.far) * (1 + s.network.jitter)) + DEADLINE_SLACK_NS
+    for row in ledger.attempts:
+        for notified_at, until in ledger.notified_unavailable.get((row.proxy, row.backend), ()):
             last = row.at if until < 0 else min(row.at, until)
-            if last > told + s.rules.drain_grace + way and (until < 0 or row.at < until):
-                what = f"{(row.at - told) / 1e6:.0f} ms after it was told"
-                yield Breach("drain", row.at, row.txn, row.box, row.proxy, what)
+            if last > notified_at + s.rules.drain_grace + delay and (until < 0 or row.at < until):
+                detail = f"{(row.at - notified_at) / 1e6:.0f} ms after it was told"
+                yield Violation("drain", row.at, row.txn, row.backend, row.proxy, detail)
 
 
-def _tip_breaches(ledger: Ledger) -> Iterator[Breach]:
-    for tip in ledger.tips:
-        start = max(x.started for x in ledger.lives if x.box == tip.box and x.started <= tip.at)
-        whole = sum(tip.sent.values())
-        knew = {
+def _cold_overload_violations(ledger: Ledger) -> Iterator[Violation]:
+    for overload in ledger.cold_overloads:
+        start = max(
+            x.started
+            for x in ledger.incarnations
+            if x.backend == overload.backend and x.started <= overload.at
+        )
+        total = sum(overload.sent.values())
+        notified = {
             proxy: work
-            for proxy, work in tip.sent.items()
-            if ledger.told_start.get((proxy, tip.box, start), tip.at + 1) <= tip.at
+            for proxy, work in overload.sent.items()
+            if ledger.notified_start.get((proxy, overload.backend, start), overload.at + 1)
+            <= overload.at
         }
-        if sum(knew.values()) >= TOLD_PART * whole:
-            most = max(knew, key=lambda p: (knew[p], -p))
-            what = (
-                f"{whole / 1e9:.2f} s of work in {tip.window_ns / 1e9:g} s from {len(tip.sent)} proxies, "
+        if sum(notified.values()) >= NOTIFIED_PART * total:
+            most = max(notified, key=lambda p: (notified[p], -p))
+            detail = (
+                f"{total / 1e9:.2f} s of work in {overload.window_ns / 1e9:g} s from {len(overload.sent)} proxies, "
                 f"most from {most}"
             )
-            yield Breach("tipped", tip.at, 0, tip.box, most, what)
+            yield Violation("tipped", overload.at, 0, overload.backend, most, detail)
 
 
 # Quality of service
 
 
-def gain(kind: Kind, intent: Intent) -> float:
+def earned_worth(kind: Kind, intent: Intent) -> float:
     """The worth that an intent's response earned."""
     if intent.served_at < 0:
         return 0.0
@@ -247,34 +274,34 @@
     return kind.worth * kind.late_value if latency <= kind.deadline else 0.0
 
 
-def _serve(s: Scenario, ledger: Ledger, verdict: Verdict) -> None:
+def _measure_service(s: Scenario, ledger: Ledger, verdict: Verdict) -> None:
     steps = int(s.total_ns // STEP_NS) + 1
-    asked, got = [0.0] * steps, [0.0] * steps
+    offered, earned = [0.0] * steps, [0.0] * steps
     by_class = {k.name: [0.0, 0.0] for k in s.classes}
     by_tenant = {t.name: [0.0, 0.0] for t in s.tenants}
-    histograms = {k.name: HdrHistogram(1, TOP_US, 3) for k in s.classes}
+    histograms = {k.name: HdrHistogram(1, MAX_LATENCY_US, 3) for k in s.classes}
     for intent in ledger.intents:
         kind = s.classes[intent.cls]
-        gained = gain(kind, intent)
+        worth = earned_worth(kind, intent)
         step = intent.start // STEP_NS
-        asked[step] += kind.worth
-        got[step] += gained
+        offered[step] += kind.worth
+        earned[step] += worth
         rows = [by_class[kind.name]]
         if s.tenants:
             rows.append(by_tenant[s.tenants[intent.tenant].name])
         for row in rows:
             row[0] += kind.worth
-            row[1] += gained
+            row[1] += worth
         if intent.served_at >= 0:
             histograms[kind.name].record_value(
-                max(1, min(TOP_US, (intent.served_at - intent.start) // 1000))
+                max(1, min(MAX_LATENCY_US, (intent.served_at - intent.start) // 1000))
             )
-    verdict.worth = _part(sum(got), sum(asked))
-    verdict.by_class = {name: _part(g, a) for name, (a, g) in by_class.items() if a}
-    verdict.by_tenant = {name: _part(g, a) for name, (a, g) in by_tenant.items() if a}
+    verdict.worth = _fraction(sum(earned), sum(offered))
+    verdict.by_class = {name: _fraction(g, a) for name, (a, g) in by_class.items() if a}
+    verdict.by_tenant = {name: _fraction(g, a) for name, (a, g) in by_tenant.items() if a}
     verdict.within_share = _within_share(s, by_tenant)
-    verdict.worst_10s = _worst(asked, got)
-    verdict.recover_s = _recovery(s, ledger.marks, asked, got)
+    verdict.worst_10s = _worst_window(offered, earned)
+    verdict.recover_s = _recovery(s, ledger.fault_spans, offered, earned)
     verdict.histograms = histograms
     verdict.latency = {
         name: {f"p{q:g}": h.get_value_at_percentile(q) / 1000 for q in (50, 90, 99, 99.9)}
@@ -282,7 +309,7 @@
         if h.get_total_count()
     }
     verdict.worth_by_time = [
-        (i * STEP_NS / NS, a, g) for i, (a, g) in enumerate(zip(asked, got, strict=True)) if a
+        (i * STEP_NS / NS, a, g) for i, (a, g) in enumerate(zip(offered, earned, strict=True)) if a
     ]
 
 
@@ -291,69 +318,78 @@
     parts = sum(k.part for k in s.classes)
     worth = sum(k.part * k.worth for k in s.classes) / parts
     work = sum(k.part * k.work for k in s.classes) / parts
-    able = s.capacity * NS / work * worth * s.seconds
+    capacity = s.capacity * NS / work * worth * s.seconds
     shares = sum(t.share for t in s.tenants) or 1.0
     return {
         t.name: min(
-            1.0, _part(by_tenant[t.name][1], min(by_tenant[t.name][0], able * t.share / shares))
+            1.0,
+            _fraction(by_tenant[t.name][1], min(by_tenant[t.name][0], capacity * t.share / shares)),
         )
         for t in s.tenants
         if by_tenant[t.name][0]
     }
 
 
-def _part(some: float, whole: float) -> float:
-    return some / whole if whole else 1.0
+def _fraction(part: float, total: float) -> float:
+    return part / total if total else 1.0
 
 
-def _worst(asked: Sequence[float], got: Sequence[float]) -> float:
-    wide = min(len(asked), WORST_NS // STEP_NS)
+def _worst_window(offered: Sequence[float], earned: Sequence[float]) -> float:
+    width = min(len(offered), WORST_WINDOW_NS // STEP_NS)
     return min(
-        _part(sum(got[i : i + wide]), sum(asked[i : i + wide]))
-        for i in range(max(1, len(asked) - wide))
+        _fraction(sum(earned[i : i + width]), sum(offered[i : i + width]))
+        for i in range(max(1, len(offered) - width))
     )
 
 
 def _recovery(
-    s: Scenario, marks: Sequence[tuple[int, int, str]], asked: Sequence[float], got: Sequence[float]
+    s: Scenario,
+    fault_spans: Sequence[tuple[int, int, str]],
+    offered: Sequence[float],
+    earned: Sequence[float],
 ) -> float | None:
     """Seconds from the last fault's end until the worth is lastingly as before the first."""
-    if not marks:
+    if not fault_spans:
         return None
-    first, last = min(a for a, _, _ in marks), max(b for _, b, _ in marks)
+    first, last = min(a for a, _, _ in fault_spans), max(b for _, b, _ in fault_spans)
     if last >= s.total_ns:
         return None
-    wide = RECOVER_NS // STEP_NS
+    width = RECOVERY_WINDOW_NS // STEP_NS
     early = first // STEP_NS
-    before = _part(sum(got[:early]), sum(asked[:early])) if first >= RECOVER_NS else 1.0
+    before = (
+        _fraction(sum(earned[:early]), sum(offered[:early])) if first >= RECOVERY_WINDOW_NS else 1.0
+    )
     end = last // STEP_NS
     found: float | None = None
-    for i in range(len(asked) - wide, end - 1, -1):
-        if _part(sum(got[i : i + wide]), sum(asked[i : i + wide])) < RECOVERED * before:
+    for i in range(len(offered) - width, end - 1, -1):
+        if (
+            _fraction(sum(earned[i : i + width]), sum(offered[i : i + width]))
+            < RECOVERED_PART * before
+        ):
             break
         found = max(0.0, (i * STEP_NS - last) / NS)
     return found
 
 
-def _waste(ledger: Ledger, verdict: Verdict) -> None:
+def _measure_waste(ledger: Ledger, verdict: Verdict) -> None:
     """Work by the outcome of its attempt and request, as parts of all work done."""
-    tries = ledger.tries
+    requests = ledger.requests
     work: Counter[str] = Counter()
     used: set[int] = set()
-    for row in ledger.arrivals:
-        t = tries[row.txn - 1]
-        if row.fate == Fate.REPEAT:
+    for row in ledger.attempts:
+        t = requests[row.txn - 1]
+        if row.outcome == AttemptOutcome.DUPLICATE:
             name = "repeat_dropped"
-        elif row.fate == Fate.CANCELLED:
+        elif row.outcome == AttemptOutcome.CANCELLED:
             name = "cancelled"
-        elif row.fate != Fate.SERVED:
+        elif row.outcome != AttemptOutcome.SERVED:
             name = "failed"
-        elif t.answer == Answer.SERVED:
+        elif t.outcome == Outcome.SERVED:
             # With two successful attempts of one request the later one is wasted.
             name = "spare_copy" if row.txn in used else "served"
             used.add(row.txn)
         else:
-            name = "client_gone" if t.answer in (Answer.LEFT, Answer.SILENT) else "unused"
+            name = "client_gone" if t.outcome in (Outcome.LEFT, Outcome.SILENT) else "unused"
         work[name] += row.done
-    whole = sum(work.values()) or 1
-    verdict.wasted = {name: round(done / whole, 6) for name, done in sorted(work.items()) if done}
+    total = sum(work.values()) or 1
+    verdict.wasted = {name: round(done / total, 6) for name, done in sorted(work.items()) if done}
--- a/mothstall/lab/ledger.py
+++ b/mothstall/lab/ledger.py
@@ -11,7 +11,7 @@
     """The run could not be completed; the message is one line."""
 
 
-class Answer(IntEnum):
+class Outcome(IntEnum):
     """The end of one client request, as the client saw it."""
 
     OPEN = 0  # no response yet
@@ -24,16 +24,16 @@
     BROKEN = 7  # the connection ended without a complete response
 
 
-class Fate(IntEnum):
+class AttemptOutcome(IntEnum):
     """The outcome of one attempt at a backend."""
 
     OPEN = 0
-    TURNED_AWAY = 1  # never ran
+    REJECTED = 1  # never ran
     SERVED = 2
-    REPEAT = 3  # duplicate of a finished key: answered with the stored result
+    DUPLICATE = 3  # its key was finished: answered with the stored result
     ERROR = 4  # answered 500, not run
     RESET = 5  # the connection broke
-    SPOILT = 6  # ran, and its response is unreadable
+    UNREADABLE = 6  # ran, but its response cannot be parsed
     CANCELLED = 7  # cancelled by the proxy
     LOST = 8  # the backend died
 
@@ -49,17 +49,17 @@
     subject: int  # 0: none
     start: int
     work: int  # ns on one warm core of speed 1
-    hurried: bool
-    heeds: bool  # Retry-After
-    at_once: bool
-    luck: float  # 0 to 1: varies the waits before its retries
-    tries: int = 0
+    leaves_early: bool
+    obeys_retry_after: bool
+    retries_at_once: bool
+    retry_jitter: float  # 0 to 1: varies the waits before its retries
+    request_count: int = 0
     served_at: int = -1  # time of the first successful response
     effects: list[tuple[int, int]] = field(default_factory=list)  # (time, backend) of each effect
 
 
 @dataclass(slots=True, eq=False)
-class Try:
+class ClientRequest:
     """One request of a client to a proxy: the first one of an intent, or a retry."""
 
     txn: int
@@ -67,10 +67,10 @@
     proxy: int
     sent: int
     deadline: int
-    taken: int = -1  # when its last byte reached a running proxy
-    answer: Answer = Answer.OPEN
+    accepted: int = -1  # when its last byte reached a running proxy
+    outcome: Outcome = Outcome.OPEN
     at: int = -1  # when the response was complete
-    answers: int = 0  # number of final responses
+    response_count: int = 0  # number of final responses
     excused: bool = False  # its proxy died or was cut off
 
 
@@ -80,29 +80,29 @@
 
     txn: int
     proxy: int
-    box: int
+    backend: int
     at: int
     work: int  # its full cost here, handshake included
-    fate: Fate = Fate.OPEN
+    outcome: AttemptOutcome = AttemptOutcome.OPEN
     end: int = -1
     done: int = 0  # work spent on it, ns
 
 
 @dataclass(slots=True)
-class Tip:
+class ColdOverload:
     """The failure of a cold backend by overload, and the work sent to it in the window before."""
 
-    box: int
+    backend: int
     at: int
     window_ns: int
     sent: dict[int, int]  # work by proxy
 
 
 @dataclass(slots=True)
-class BoxLife:
+class BackendIncarnation:
     """One process of a backend, from start to end."""
 
-    box: int
+    backend: int
     zone: int
     cell: int
     cores: int
@@ -117,28 +117,30 @@
 
     def __init__(self) -> None:
         self.intents: list[Intent] = []
-        self.tries: list[Try] = []
-        self.arrivals: list[Arrival] = []
-        self.tips: list[Tip] = []
-        self.lives: list[BoxLife] = []
+        self.requests: list[ClientRequest] = []
+        self.attempts: list[Arrival] = []
+        self.cold_overloads: list[ColdOverload] = []
+        self.incarnations: list[BackendIncarnation] = []
         # (proxy, backend): spans in which the proxy knew that it drains or is gone; end -1: open.
-        self.told_out: dict[tuple[int, int], list[tuple[int, int]]] = {}
+        self.notified_unavailable: dict[tuple[int, int], list[tuple[int, int]]] = {}
         # (proxy, backend, start): when the proxy was first notified of this start.
-        self.told_start: dict[tuple[int, int, int], int] = {}
-        self.proxy_down: list[tuple[int, int, int]] = []  # proxy, from, to
-        self.late: list[tuple[int, int]] = []  # spans in which the driver ran late
-        self.marks: list[tuple[int, int, str]] = []  # faults as injected: from, to, description
+        self.notified_start: dict[tuple[int, int, int], int] = {}
+        self.proxy_outages: list[tuple[int, int, int]] = []  # proxy, from, to
+        self.late_spans: list[tuple[int, int]] = []  # spans in which the driver ran late
+        self.fault_spans: list[tuple[int, int, str]] = []  # from, to, description
         self.samples: list[
             tuple[int, dict[int, tuple[int, float]]]
         ] = []  # time, by backend: (in flight, warmth)
 
     def digest(self) -> str:
         """Equal for two runs with the same events at the same times at clients and backends."""
-        made = hashlib.blake2b(digest_size=12)
-        for t in self.tries:
-            made.update(
-                b"%d %d %d %d %d %d;" % (t.txn, t.intent.id, t.proxy, t.sent, t.answer, t.at)
+        digest = hashlib.blake2b(digest_size=12)
+        for t in self.requests:
+            digest.update(
+                b"%d %d %d %d %d %d;" % (t.txn, t.intent.id, t.proxy, t.sent, t.outcome, t.at)
             )
-        for a in self.arrivals:
-            made.update(b"%d %d %d %d %d %d;" % (a.txn, a.proxy, a.box, a.at, a.fate, a.end))
-        return made.hexdigest()
+        for a in self.attempts:
+            digest.update(
+                b"%d %d %d %d %d %d;" % (a.txn, a.proxy, a.backend, a.at, a.outcome, a.end)
+            )
+        return digest.hexdigest()
--- a/mothstall/lab/live.py
+++ b/mothstall/lab/live.py
@@ -10,8 +10,8 @@
 from rich.text import Text
 
 from mothstall.interface import NS
-from mothstall.lab.judge import gain
-from mothstall.lab.ledger import Answer, Ledger
+from mothstall.lab.judge import earned_worth
+from mothstall.lab.ledger import Ledger, Outcome
 from mothstall.lab.scenario import Scenario
 from mothstall.lab.world import World
 
@@ -55,7 +55,7 @@
 
     def _line(self, run: Playing, now: int) -> str:
         worth, asked, refused = self._service(run.ledger, now)
-        busy = sum(box.in_flight for box in run.world.boxes.values() if box.up)
+        busy = sum(box.in_flight for box in run.world.backends.values() if box.up)
         troubles = ", ".join(self._troubles(run, now)) or "none"
         return (
             f"{now / NS:5.0f} s  worth {worth:.2f}  {asked:4.0f}/s asked  {refused:3.0f}/s refused  "
@@ -72,17 +72,17 @@
                 break
             if intent.start <= until:
                 kind = self.s.classes[intent.cls]
-                asked, got, count = asked + kind.worth, got + gain(kind, intent), count + 1
+                asked, got, count = asked + kind.worth, got + earned_worth(kind, intent), count + 1
         refused = 0
-        for row in reversed(ledger.tries):
+        for row in reversed(ledger.requests):
             if row.sent < since:
                 break
-            refused += row.answer == Answer.REFUSED and row.sent <= until
+            refused += row.outcome == Outcome.REFUSED and row.sent <= until
         seconds = WINDOW_NS / NS
         return (got / asked if asked else 1.0), count / seconds, refused / seconds
 
     def _troubles(self, run: Playing, now: int) -> list[str]:
-        return [what for since, until, what in run.ledger.marks if since <= now < until]
+        return [what for since, until, what in run.ledger.fault_spans if since <= now < until]
 
     def _table(self, run: Playing, now: int) -> Group:
         worth, asked, refused = self._service(run.ledger, now)
@@ -92,8 +92,8 @@
         )
         for name in ("box", "zone", "state", "warmth", "in flight", ""):
             table.add_column(name, justify="right" if name in ("warmth", "in flight") else "left")
-        for box in run.world.boxes.values():
-            if not box.up and not box.silent and now - max(0, box.life.ended) > 3 * NS:
+        for box in run.world.backends.values():
+            if not box.up and not box.silent and now - max(0, box.incarnation.ended) > 3 * NS:
                 continue
             state, style = self._state(box)
             bar = "#" * min(40, box.in_flight)
@@ -103,7 +103,7 @@
             table.add_row(
                 str(box.id), zone, Text(state, style=style), warmth, held, Text(bar, style)
             )
-        down = [str(i) for i, up in enumerate(run.world.front.alive) if not up]
+        down = [str(i) for i, up in enumerate(run.world.proxy_selector.alive) if not up]
         foot = Text(
             f"worth {worth:.2f}   {asked:.0f}/s asked   {refused:.0f}/s refused   "
             f"proxies {self.s.proxies.count}" + (f" (down: {', '.join(down)})" if down else "")
@@ -119,6 +119,6 @@
                 return name, style
         if box.cut_in or box.cut_out:
             return "cut", "red"
-        if box.slow > 1 or box.fail_odds or box.reset_odds or box.spoil_odds:
+        if box.slowdown > 1 or box.fail_odds or box.reset_odds or box.spoil_odds:
             return "ailing", "red"
         return ("cold", "cyan") if box.warmth() < 1 else ("well", "green")
--- a/mothstall/lab/policies.py
+++ b/mothstall/lab/policies.py
@@ -22,8 +22,8 @@
 
 ROOT = Path(__file__).parents[2]
 PACKAGE_PATH = "mothstall/policy"
-ASK_NS = 2 * NS  # a baseline's delay after a failed call to discovery
-COLD_RATE = 0.35  # part of the overload multiple that a baseline sends to a cold backend
+WATCH_RETRY_NS = 2 * NS  # a baseline's delay after a failed call to discovery
+COLD_RATE_PART = 0.35  # part of the overload multiple that a baseline sends to a cold backend
 # Former names of fields of interface.Settings, still accepted.
 FORMER_SETTINGS = {
     "ask_within_ns": "poll_within_ns",
@@ -36,11 +36,11 @@
 _REVISION = re.compile(r"[0-9A-Za-z_./~^-]{1,80}")
 
 
-class InCommon:
+class WithSimulatedFailover:
     """The policy with simulated failover, planned from reports or from the true state."""
 
-    def __init__(self, commons: str) -> None:
-        self.commons = commons
+    def __init__(self, failover_mode: str) -> None:
+        self.failover_mode = failover_mode
 
     def __call__(self, settings: io.Settings, seed: int) -> Policy:
         return Balancer(settings, seed)
@@ -51,18 +51,18 @@
 
 
 class _Request:
-    __slots__ = ("attempts", "cls", "deadline", "done", "id", "out", "ran")
+    __slots__ = ("attempts", "cls", "deadline", "done", "id", "in_flight", "may_have_run")
 
-    def __init__(self, ev: io.RequestArrived, cls: io.RequestClass, now: int) -> None:
-        self.id, self.cls, self.deadline = ev.request, cls, now + ev.left_ns
+    def __init__(self, event: io.RequestArrived, cls: io.RequestClass, now: int) -> None:
+        self.id, self.cls, self.deadline = event.request, cls, now + event.left_ns
         self.attempts: list[int] = []
-        self.out, self.done = 0, False
-        self.ran: dict[
+        self.in_flight, self.done = 0, False
+        self.may_have_run: dict[
             int, tuple[io.Endpoint, int]
         ] = {}  # attempts that may have run: backend, and time of sending
 
-    def first_ran(self) -> tuple[io.Endpoint, int] | None:
-        return next(iter(self.ran.values()), None)
+    def first_that_may_have_run(self) -> tuple[io.Endpoint, int] | None:
+        return next(iter(self.may_have_run.values()), None)
 
 
 class Baseline:
@@ -70,99 +70,103 @@
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.cfg, self.rng = settings, random.Random(seed)
-        self.boxes: dict[int, io.Endpoint] = {}
-        self.order: list[io.Endpoint] = []
+        self.backends: dict[int, io.Endpoint] = {}
+        self.sorted_backends: list[io.Endpoint] = []
         self.in_flight: dict[int, int] = {}
-        self.cold_due: dict[int, int] = {}
+        self.next_cold_ns: dict[int, int] = {}
         self.requests: dict[int, _Request] = {}
-        self.acts: list[io.Action] = []
-        self.now, self.version, self.sent, self.began = 0, -1, 0, -1
+        self.actions: list[io.Action] = []
+        self.now, self.version, self.sent, self.started_ns = 0, -1, 0, -1
         self.heap: list[tuple[int, int, Callable[[], object]]] = []
         self.seq = 0
 
-    def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
+    def choose(self, eligible: list[io.Endpoint]) -> io.Endpoint:
         raise NotImplementedError
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
-        self.acts, self.now = [], now
-        if self.began < 0:
-            self.began = now
+        self.actions, self.now = [], now
+        if self.started_ns < 0:
+            self.started_ns = now
             if not self.cfg.discovery_push:
-                self.acts.append(io.WatchEndpoints(True))
-        for ev in events:
-            if isinstance(ev, io.RequestArrived):
-                self.arrived(ev)
-            elif isinstance(ev, io.AttemptEnded):
-                self.ended(ev)
-            elif isinstance(ev, io.EndpointUpdate):
-                self.listed(ev)
-            elif isinstance(ev, io.ClientLeft):
-                self.left(ev)
+                self.actions.append(io.WatchEndpoints(True))
+        for event in events:
+            if isinstance(event, io.RequestArrived):
+                self.request_arrived(event)
+            elif isinstance(event, io.AttemptEnded):
+                self.attempt_ended(event)
+            elif isinstance(event, io.EndpointUpdate):
+                self.update_endpoints(event)
+            elif isinstance(event, io.ClientLeft):
+                self.client_left(event)
         while self.heap and self.heap[0][0] <= now:
             heapq.heappop(self.heap)[2]()
-        return self.acts
+        return self.actions
 
-    def later(self, due: int, what: Callable[[], object]) -> None:
+    def call_at(self, due: int, callback: Callable[[], object]) -> None:
         self.seq += 1
-        heapq.heappush(self.heap, (due, self.seq, what))
-        self.acts.append(io.SetTimer(self.seq, due))
+        heapq.heappush(self.heap, (due, self.seq, callback))
+        self.actions.append(io.SetTimer(self.seq, due))
 
-    def listed(self, ev: io.EndpointUpdate) -> None:
-        if ev.scope == UpdateScope.FAILED:
-            self.later(self.now + ASK_NS, lambda: self.acts.append(io.WatchEndpoints(True)))
+    def update_endpoints(self, event: io.EndpointUpdate) -> None:
+        if event.scope == UpdateScope.FAILED:
+            self.call_at(
+                self.now + WATCH_RETRY_NS, lambda: self.actions.append(io.WatchEndpoints(True))
+            )
             return
-        if ev.version < self.version:
+        if event.version < self.version:
             return
-        self.version = ev.version
-        if ev.scope != UpdateScope.DELTA:
-            self.boxes.clear()
-        for entry in ev.entries:
+        self.version = event.version
+        if event.scope != UpdateScope.DELTA:
+            self.backends.clear()
+        for entry in event.entries:
             if entry.health == Health.READY:
-                self.boxes[entry.backend] = entry
+                self.backends[entry.backend] = entry
             else:
-                self.boxes.pop(entry.backend, None)
-        self.order = sorted(self.boxes.values(), key=lambda e: e.backend)
+                self.backends.pop(entry.backend, None)
+        self.sorted_backends = sorted(self.backends.values(), key=lambda e: e.backend)
 
-    def warm(self, entry: io.Endpoint) -> bool:
+    def may_send(self, entry: io.Endpoint) -> bool:
         """Whether the backend may get a request now; a cold one gets a limited rate."""
         age = self.now - entry.started_ns
         if not entry.started_ns or age >= self.cfg.slow_start_ns:
             return True
-        if self.now < self.cold_due.get(entry.backend, 0):
+        if self.now < self.next_cold_ns.get(entry.backend, 0):
             return False
         warmth = (
             self.cfg.initial_warmth
             + (1 - self.cfg.initial_warmth) * max(0, age) / self.cfg.slow_start_ns
         )
-        pace = (
-            self.sent / max(1, self.now - self.began) / max(1, len(self.boxes))
+        backend_rate = (
+            self.sent / max(1, self.now - self.started_ns) / max(1, len(self.backends))
         )  # mean rate of one backend, per ns
-        rate = COLD_RATE * self.cfg.overload_multiple * warmth * pace
-        self.cold_due[entry.backend] = self.now + (int(1 / rate) if rate > 0 else NS)
+        rate = COLD_RATE_PART * self.cfg.overload_multiple * warmth * backend_rate
+        self.next_cold_ns[entry.backend] = self.now + (int(1 / rate) if rate > 0 else NS)
         return True
 
-    def able(self, req: _Request) -> list[io.Endpoint]:
+    def eligible(self, request: _Request) -> list[io.Endpoint]:
         """The backends that this request may be sent to now."""
-        rows = [e for e in self.order if e.backend not in req.attempts]
-        first, cls = req.first_ran(), req.cls
+        rows = [e for e in self.sorted_backends if e.backend not in request.attempts]
+        first, cls = request.first_that_may_have_run(), request.cls
         if first is not None and cls.effect != Effect.IDEMPOTENT:
-            ran, at = first
+            backend, at = first
             if cls.effect == Effect.NON_IDEMPOTENT or self.now >= at + cls.window_ns:
                 return []
             if cls.group == KeyScope.ZONE:
-                rows = [e for e in rows if e.zone == ran.zone]
+                rows = [e for e in rows if e.zone == backend.zone]
             elif cls.group == KeyScope.CELL:
-                rows = [e for e in rows if e.cell == ran.cell]
+                rows = [e for e in rows if e.cell == backend.cell]
         return rows
 
-    def arrived(self, ev: io.RequestArrived) -> None:
-        req = self.requests[ev.request] = _Request(ev, self.cfg.classes[ev.class_index], self.now)
-        self.send(req)
+    def request_arrived(self, event: io.RequestArrived) -> None:
+        request = self.requests[event.request] = _Request(
+            event, self.cfg.classes[event.class_index], self.now
+        )
+        self.send(request)
 
-    def send(self, req: _Request) -> None:
+    def send(self, request: _Request) -> None:
         rows = (
-            self.able(req)
-            if len(req.attempts) < self.cfg.max_attempts and self.now < req.deadline
+            self.eligible(request)
+            if len(request.attempts) < self.cfg.max_attempts and self.now < request.deadline
             else []
         )
         warm = [
@@ -170,131 +174,142 @@
         ]
         while rows:
             entry = self.choose(rows)
-            if self.warm(entry):
-                self.go(req, entry)
+            if self.may_send(entry):
+                self.send_attempt(request, entry)
                 return
             rows = warm or [e for e in rows if e is not entry]
-        self.give_up(req)
+        self.reject(request)
 
-    def go(self, req: _Request, entry: io.Endpoint) -> None:
-        req.ran[len(req.attempts)] = (entry, self.now)
-        req.attempts.append(entry.backend)
-        req.out += 1
+    def send_attempt(self, request: _Request, entry: io.Endpoint) -> None:
+        request.may_have_run[len(request.attempts)] = (entry, self.now)
+        request.attempts.append(entry.backend)
+        request.in_flight += 1
         self.sent += 1
         self.in_flight[entry.backend] = self.in_flight.get(entry.backend, 0) + 1
-        self.acts.append(io.SendAttempt(req.id, entry.backend, max(1, req.deadline - self.now)))
+        self.actions.append(
+            io.SendAttempt(request.id, entry.backend, max(1, request.deadline - self.now))
+        )
 
-    def ended(self, ev: io.AttemptEnded) -> None:
-        self.in_flight[ev.backend] = self.in_flight.get(ev.backend, 1) - 1
-        req = self.requests.get(ev.request)
-        if req is None:
+    def attempt_ended(self, event: io.AttemptEnded) -> None:
+        self.in_flight[event.backend] = self.in_flight.get(event.backend, 1) - 1
+        request = self.requests.get(event.request)
+        if request is None:
             return
-        req.out -= 1
-        if ev.result in io.NEVER_RAN:
-            req.ran.pop(ev.attempt, None)
-        if ev.result == AttemptResult.OK or req.done:
-            req.done = True
-            if not req.out:
-                del self.requests[ev.request]
+        request.in_flight -= 1
+        if event.result in io.NEVER_RAN:
+            request.may_have_run.pop(event.attempt, None)
+        if event.result == AttemptResult.OK or request.done:
+            request.done = True
+            if not request.in_flight:
+                del self.requests[event.request]
             return
-        self.send(req)
+        self.send(request)
 
-    def give_up(self, req: _Request) -> None:
-        harmless = not req.ran or req.cls.effect == Effect.IDEMPOTENT
-        if harmless or (
-            req.cls.effect == Effect.IDEMPOTENT_WITH_KEY and req.cls.group == KeyScope.ALL
+    def reject(self, request: _Request) -> None:
+        is_safe = not request.may_have_run or request.cls.effect == Effect.IDEMPOTENT
+        if is_safe or (
+            request.cls.effect == Effect.IDEMPOTENT_WITH_KEY and request.cls.group == KeyScope.ALL
         ):
-            self.acts.append(io.Reject(req.id, 0))
+            self.actions.append(io.Reject(request.id, 0))
         else:
-            self.acts.append(io.FailRequest(req.id))
-        self.requests.pop(req.id, None)
+            self.actions.append(io.FailRequest(request.id))
+        self.requests.pop(request.id, None)
 
-    def left(self, ev: io.ClientLeft) -> None:
-        req = self.requests.get(ev.request)
-        if req:
-            req.done = True
+    def client_left(self, event: io.ClientLeft) -> None:
+        request = self.requests.get(event.request)
+        if request:
+            request.done = True
             if self.cfg.may_cancel:
-                self.acts += [io.CancelAttempt(req.id, i) for i in range(len(req.attempts))]
+                self.actions += [
+                    io.CancelAttempt(request.id, i) for i in range(len(request.attempts))
+                ]
 
 
 class Random(Baseline):
     """A random backend."""
 
-    def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
-        return able[self.rng.randrange(len(able))]
+    def choose(self, eligible: list[io.Endpoint]) -> io.Endpoint:
+        return eligible[self.rng.randrange(len(eligible))]
 
 
 class RoundRobin(Baseline):
     """The next backend in order."""
 
-    turn = -1
+    last_backend = -1
 
-    def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
-        found = next((e for e in able if e.backend > self.turn), able[0])
-        self.turn = found.backend
+    def choose(self, eligible: list[io.Endpoint]) -> io.Endpoint:
+        found = next((e for e in eligible if e.backend > self.last_backend), eligible[0])
+        self.last_backend = found.backend
         return found
 
 
 class LeastInFlight(Baseline):
     """The backend with the fewest requests in flight of this proxy; ties at random."""
 
-    def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
-        least = min(self.in_flight.get(e.backend, 0) for e in able)
-        few = [e for e in able if self.in_flight.get(e.backend, 0) == least]
-        return few[self.rng.randrange(len(few))]
+    def choose(self, eligible: list[io.Endpoint]) -> io.Endpoint:
+        least = min(self.in_flight.get(e.backend, 0) for e in eligible)
+        least_loaded = [e for e in eligible if self.in_flight.get(e.backend, 0) == least]
+        return least_loaded[self.rng.randrange(len(least_loaded))]
 
 
 class TwoChoices(Baseline):
     """The less loaded of two random backends."""
 
-    def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
-        one, other = (able[self.rng.randrange(len(able))] for _ in range(2))
+    def choose(self, eligible: list[io.Endpoint]) -> io.Endpoint:
+        one, other = (eligible[self.rng.randrange(len(eligible))] for _ in range(2))
         return min(one, other, key=lambda e: self.in_flight.get(e.backend, 0))
 
 
 class Careless(Baseline):
     """Breaks every rule on purpose, to test the checker. Not for production."""
 
-    def listed(self, ev: io.EndpointUpdate) -> None:
-        gone = dict(self.boxes)
-        super().listed(ev)
-        for number, entry in gone.items():  # draining backends are kept
-            self.boxes.setdefault(number, entry)
-        self.order = sorted(self.boxes.values(), key=lambda e: e.backend)
-
-    def choose(self, able: list[io.Endpoint]) -> io.Endpoint:
-        newest = max(able, key=lambda e: (e.started_ns, -self.in_flight.get(e.backend, 0)))
-        return newest if newest.started_ns and self.rng.random() < 0.8 else self.rng.choice(able)
+    def update_endpoints(self, event: io.EndpointUpdate) -> None:
+        previous = dict(self.backends)
+        super().update_endpoints(event)
+        for number, entry in previous.items():  # draining backends are kept
+            self.backends.setdefault(number, entry)
+        self.sorted_backends = sorted(self.backends.values(), key=lambda e: e.backend)
+
+    def choose(self, eligible: list[io.Endpoint]) -> io.Endpoint:
+        newest = max(eligible, key=lambda e: (e.started_ns, -self.in_flight.get(e.backend, 0)))
+        return (
+            newest if newest.started_ns and self.rng.random() < 0.8 else self.rng.choice(eligible)
+        )
 
-    def warm(self, entry: io.Endpoint) -> bool:
+    def may_send(self, entry: io.Endpoint) -> bool:
         return True
 
-    def able(self, req: _Request) -> list[io.Endpoint]:
-        return self.order
+    def eligible(self, request: _Request) -> list[io.Endpoint]:
+        return self.sorted_backends
 
-    def arrived(self, ev: io.RequestArrived) -> None:
-        if ev.request % 199 == 0:
+    def request_arrived(self, event: io.RequestArrived) -> None:
+        if event.request % 199 == 0:
             return  # never answered
-        super().arrived(ev)
-        if ev.request % 101 == 0 and (req := self.requests.get(ev.request)) and self.order:
-            self.go(
-                req, self.rng.choice(self.order)
+        super().request_arrived(event)
+        if (
+            event.request % 101 == 0
+            and (request := self.requests.get(event.request))
+            and self.sorted_backends
+        ):
+            self.send_attempt(
+                request, self.rng.choice(self.sorted_backends)
             )  # a second copy, also where the class forbids it
 
-    def ended(self, ev: io.AttemptEnded) -> None:
-        req = self.requests.get(ev.request)
-        if req and ev.result == AttemptResult.OK and ev.request % 67 == 0:
-            self.acts.append(io.FailRequest(req.id))  # a second response
-        if req and ev.result == AttemptResult.OK and ev.request % 71 == 0:
+    def attempt_ended(self, event: io.AttemptEnded) -> None:
+        request = self.requests.get(event.request)
+        if request and event.result == AttemptResult.OK and event.request % 67 == 0:
+            self.actions.append(io.FailRequest(request.id))  # a second response
+        if request and event.result == AttemptResult.OK and event.request % 71 == 0:
             # An attempt long after the response.
-            self.later(
-                self.now + NS // 5, lambda: self.acts.append(io.SendAttempt(req.id, ev.backend, NS))
+            self.call_at(
+                self.now + NS // 5,
+                lambda: self.actions.append(io.SendAttempt(request.id, event.backend, NS)),
             )
-        super().ended(ev)
+        super().attempt_ended(event)
 
-    def give_up(self, req: _Request) -> None:
-        self.acts.append(io.Reject(req.id, 0))
-        self.requests.pop(req.id, None)
+    def reject(self, request: _Request) -> None:
+        self.actions.append(io.Reject(request.id, 0))
+        self.requests.pop(request.id, None)
 
 
 BASELINES: dict[str, type[Baseline]] = {
@@ -311,10 +326,10 @@
     """The policy of a revision of this repository, adapted to the present interface."""
     if not _REVISION.fullmatch(revision) or revision.startswith("-"):
         raise PolicyError(f"policy rev:{revision[:60]}: not a revision")
-    listed = _git(revision, "ls-tree", "--name-only", revision, f"{PACKAGE_PATH}/")
+    module_paths = _git(revision, "ls-tree", "--name-only", revision, f"{PACKAGE_PATH}/")
     texts = {
         Path(name).name: _git(revision, "show", f"{revision}:{name}")
-        for name in listed.splitlines()
+        for name in module_paths.splitlines()
         if name.endswith(".py")
     }
     if texts:
@@ -338,17 +353,17 @@
     return done.stdout
 
 
-def parse(word: str) -> MakePolicy:
+def parse(spec: str) -> MakePolicy:
     """Make a policy from `NAME[,setting=value...]`: one of NAMES, `rev:REVISION` or `file:PATH`.
 
     Settings are fields of interface.Settings with a number or true/false. Raises PolicyError.
     """
-    name, *changes = word.split(",")
+    name, *changes = spec.split(",")
     make: Callable[[io.Settings, int], Any]
     if name == "module":
         make = Balancer
     elif name in ("plan", "truth"):
-        make = InCommon(name)
+        make = WithSimulatedFailover(name)
     elif name in BASELINES:
         make = BASELINES[name]
     elif name.startswith("rev:"):
@@ -356,8 +371,8 @@
     elif name.startswith("file:"):
         try:
             make = policy_source.from_path(Path(name[5:]))
-        except (OSError, SyntaxError) as why:
-            raise PolicyError(f"policy {name}: {why}") from why
+        except (OSError, SyntaxError) as error:
+            raise PolicyError(f"policy {name}: {error}") from error
     else:
         raise PolicyError(
             f"policy {name[:60]!r}: not one of {', '.join(NAMES)}, rev:REVISION, file:PATH"
@@ -379,8 +394,8 @@
 
 
 def _setting(name: str, change: str) -> tuple[str, Any]:
-    word, sep, text = change.partition("=")
-    key = FORMER_SETTINGS.get(word, word)
+    spec, sep, text = change.partition("=")
+    key = FORMER_SETTINGS.get(spec, spec)
     kind = io.Settings.__annotations__.get(key)
     if not sep or kind not in ("int", "float", "bool"):
         raise PolicyError(
--- a/mothstall/lab/report.py
+++ b/mothstall/lab/report.py
@@ -17,8 +17,8 @@
 from matplotlib.figure import Figure
 
 from mothstall.interface import NS
-from mothstall.lab.judge import RULES, gain
-from mothstall.lab.ledger import Answer
+from mothstall.lab.judge import RULES, earned_worth
+from mothstall.lab.ledger import Outcome
 from mothstall.lab.runs import Result
 
 WIDE, LOW = 9.6, 2.7
@@ -26,12 +26,12 @@
 PERCENTILES = (0, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99)
 COLOURS = ("#2a6f97", "#e07a1f", "#3a8f4d", "#8b5fa8", "#b33951", "#6b7280", "#c9a227", "#16a3a3")
 ENDS = {
-    Answer.REFUSED: "#e0a33a",
-    Answer.FAILED: "#c0392b",
-    Answer.LEFT: "#8e8e93",
-    Answer.UNREACHED: "#6d597a",
-    Answer.BROKEN: "#45302c",
-    Answer.SILENT: "#111111",
+    Outcome.REFUSED: "#e0a33a",
+    Outcome.FAILED: "#c0392b",
+    Outcome.LEFT: "#8e8e93",
+    Outcome.UNREACHED: "#6d597a",
+    Outcome.BROKEN: "#45302c",
+    Outcome.SILENT: "#111111",
 }
 CSS = """
 :root{color-scheme:light}
@@ -81,7 +81,7 @@
         _svg(_turned_away(result), "ends"),
         _who(result),
     ]
-    if v.breaches:
+    if v.violations:
         rows.append(_breaches(result))
     return "\n".join(rows) + "\n"
 
@@ -107,7 +107,7 @@
         ("recovered after", recover),
         ("work for nobody", f"{1 - v.wasted.get('served', 0.0) if v.wasted else 0.0:.1%}"),
         ("requests", f"{v.intents}"),
-        ("tries, attempts", f"{v.tries}, {v.attempts}"),
+        ("tries, attempts", f"{v.requests}, {v.attempts}"),
     ]
     return (
         "<div class='tiles'>"
@@ -133,7 +133,7 @@
 def _mark(axes: Axes, result: Result) -> None:
     """The troubles as bands, named above them on as many lines as they overlap."""
     ends: list[int] = []
-    for since, until, what in sorted(result.ledger.marks):
+    for since, until, what in sorted(result.ledger.fault_spans):
         until = min(until, result.scenario.total_ns)
         line = next((i for i, end in enumerate(ends) if end <= since), len(ends))
         ends[line : line + 1] = [until]
@@ -165,7 +165,7 @@
         for intent in result.ledger.intents:
             if intent.cls == i:
                 asked[intent.start // NS] += kind.worth
-                got[intent.start // NS] += gain(kind, intent)
+                got[intent.start // NS] += earned_worth(kind, intent)
         points = [(t + 0.5, g / a) for t, (a, g) in enumerate(zip(asked, got, strict=True)) if a]
         axes.plot(
             *zip(*points, strict=True),
@@ -245,9 +245,9 @@
     figure, axes = _figure()
     steps = int(result.scenario.total_ns // NS) + 2
     counts = {end: [0] * steps for end in ENDS}
-    for row in result.ledger.tries:
-        if row.answer in counts and row.at >= 0:
-            counts[row.answer][min(steps - 1, row.at // NS)] += 1
+    for row in result.ledger.requests:
+        if row.outcome in counts and row.at >= 0:
+            counts[row.outcome][min(steps - 1, row.at // NS)] += 1
     base = [0] * steps
     for end, colour in ENDS.items():
         if any(counts[end]):
@@ -276,15 +276,15 @@
     ):
         if not names:
             continue
-        asked = Counter(getattr(row.intent, at) for row in result.ledger.tries)
-        ends = Counter((getattr(row.intent, at), row.answer) for row in result.ledger.tries)
+        asked = Counter(getattr(row.intent, at) for row in result.ledger.requests)
+        ends = Counter((getattr(row.intent, at), row.outcome) for row in result.ledger.requests)
         shown = [end for end in ENDS if any(ends[i, end] for i in range(len(names)))]
         head = "".join(
             f"<th>{h}</th>" for h in (label, "tries", "served", *(e.name.lower() for e in shown))
         )
         body = ""
         for i, name in enumerate(names):
-            cells = [asked[i], ends[i, Answer.SERVED], *(ends[i, end] for end in shown)]
+            cells = [asked[i], ends[i, Outcome.SERVED], *(ends[i, end] for end in shown)]
             row = "".join(f"<td class='n'>{n}</td>" for n in cells)
             body += f"<tr><td>{html.escape(name)}</td>{row}</tr>"
         tables.append(f"<table><tr>{head}</tr>{body}</table>")
@@ -293,11 +293,18 @@
 
 def _breaches(result: Result) -> str:
     def row(b: Any) -> str:
-        cells = (f"{b.at_ns / NS:.3f}", RULES[b.kind], b.kind, b.request or "", b.box or "", b.what)
+        cells = (
+            f"{b.at_ns / NS:.3f}",
+            RULES[b.kind],
+            b.kind,
+            b.request or "",
+            b.backend or "",
+            b.detail,
+        )
         return "<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in cells) + "</tr>"
 
     head = "".join(
         f"<th>{h}</th>" for h in ("s", "rule", "breach", "request", "box", "what was seen")
     )
-    rows = "".join(row(b) for b in result.verdict.breaches[:100])
+    rows = "".join(row(b) for b in result.verdict.violations[:100])
     return f"<h2>Breaches</h2><table><tr>{head}</tr>{rows}</table>"
--- a/mothstall/lab/runs.py
+++ b/mothstall/lab/runs.py
@@ -9,10 +9,10 @@
 
 from mothstall.interface import NS
 from mothstall.lab import policies
-from mothstall.lab.judge import RULES, Verdict, judge
+from mothstall.lab.judge import RULES, Verdict, check_run
 from mothstall.lab.ledger import Ledger, Unfinished
 from mothstall.lab.scenario import Scenario
-from mothstall.lab.virtual import MakePolicy, Virtual
+from mothstall.lab.virtual import MakePolicy, VirtualRun
 
 # Given a driver that begins, what to call with each second that is over (ns since the start).
 Watch = Callable[[Any], Callable[[int], object]]
@@ -51,11 +51,11 @@
                     "rule": RULES[b.kind],
                     "at_s": round(b.at_ns / NS, 6),
                     "request": b.request,
-                    "box": b.box,
+                    "box": b.backend,
                     "proxy": b.proxy,
-                    "what": b.what,
+                    "what": b.detail,
                 }
-                for b in v.breaches
+                for b in v.violations
             ],
             "excused": v.excused,
             "by_class": {k: round(x, 6) for k, x in v.by_class.items()},
@@ -66,7 +66,7 @@
             "recover_s": v.recover_s,
             "answers": v.answers,
             "intents": v.intents,
-            "tries": v.tries,
+            "tries": v.requests,
             "attempts": v.attempts,
             **self.notes,
         }
@@ -89,7 +89,7 @@
             + "; ".join(
                 f"{name} p50 {q['p50']:.0f} p99 {q['p99']:.0f} ms" for name, q in v.latency.items()
             ),
-            f"requests   {v.intents} wanted, {v.tries} tries, {v.attempts} attempts at boxes",
+            f"requests   {v.intents} wanted, {v.requests} tries, {v.attempts} attempts at boxes",
             "work       " + _pairs(v.wasted),
         ]
         if v.recover_s is not None:
@@ -105,11 +105,13 @@
         rows.append(
             "rules      BROKEN: " + ", ".join(f"{kind} {n}" for kind, n in sorted(v.rules.items()))
         )
-        for b in v.breaches[:20]:
-            who = [f"request {b.request}"] * bool(b.request) + [f"box {b.box}"] * bool(b.box)
+        for b in v.violations[:20]:
+            who = [f"request {b.request}"] * bool(b.request) + [f"box {b.backend}"] * bool(
+                b.backend
+            )
             who += [f"proxy {b.proxy}"] * (b.proxy >= 0)
-            rows.append(f"  {b.at_ns / NS:9.3f} s  {b.kind}: {', '.join(who)}: {b.what}")
-        if len(v.breaches) > 20:
+            rows.append(f"  {b.at_ns / NS:9.3f} s  {b.kind}: {', '.join(who)}: {b.detail}")
+        if len(v.violations) > 20:
             rows.append(f"  and {sum(v.rules.values()) - 20} more; --json lists up to 50 of a kind")
         return "\n".join(rows)
 
@@ -131,7 +133,7 @@
     s: Scenario, make: MakePolicy, name: str, seed: int, watch: Watch | None = None
 ) -> Result:
     """One run of a policy that the caller has made, on the virtual driver."""
-    run = Virtual(s, make, seed)
+    run = VirtualRun(s, make, seed)
     gc.collect()
     gc.freeze()  # a run makes many rows and next to no cycles: collecting them would only cost time
     gc.disable()
@@ -140,7 +142,7 @@
     finally:
         gc.enable()
         gc.unfreeze()
-    return Result(s, name, "virtual", seed, ledger.digest(), judge(s, ledger), ledger)
+    return Result(s, name, "virtual", seed, ledger.digest(), check_run(s, ledger), ledger)
 
 
 def _sockets(s: Scenario, policy: str, seed: int, watch: Watch | None) -> Result:
@@ -151,4 +153,4 @@
             f"policy {policy}: the sockets driver plays real proxies, and so the module"
         )
     ledger, notes = sockets.run(s, seed, watch)
-    return Result(s, policy, "sockets", seed, ledger.digest(), judge(s, ledger), ledger, notes)
+    return Result(s, policy, "sockets", seed, ledger.digest(), check_run(s, ledger), ledger, notes)
--- a/mothstall/lab/scale/beside.py
+++ b/mothstall/lab/scale/beside.py
@@ -18,7 +18,7 @@
 from mothstall.interface import NS
 from mothstall.lab import scenario
 from mothstall.lab.fleetplay import as_toml
-from mothstall.lab.judge import RULES, Verdict, judge
+from mothstall.lab.judge import RULES, Verdict, check_run
 from mothstall.lab.ledger import Ledger, Unfinished
 from mothstall.lab.scale.hollow import operator_tree, zone_of
 from mothstall.lab.scenario import Scenario
@@ -78,7 +78,7 @@
     for row in ledger.intents:
         seconds.setdefault(row.start // NS, []).append(row.served_at >= 0)
     for second, rows in sorted(seconds.items()):
-        late = any(a < (second + 1) * NS and b > (second - 1) * NS for a, b in ledger.late)
+        late = any(a < (second + 1) * NS and b > (second - 1) * NS for a, b in ledger.late_spans)
         if len(rows) >= FEW and sum(rows) < FLOWS * len(rows) and not late:
             yield f"{sum(rows)} of {len(rows)} requests were served in second {second}"
 
@@ -87,10 +87,10 @@
     """What harmed clients: rules that were broken, and seconds without service; a line for each kind."""
     found = []
     for kind, count in sorted(verdict.rules.items()):
-        first = next(row for row in verdict.breaches if row.kind == kind)
+        first = next(row for row in verdict.violations if row.kind == kind)
         found.append(
             f"clients: {RULES[kind]}: {kind} {count} times, first at {first.at_ns / NS:.3f} s, "
-            f"proxy {first.proxy}: {first.what}"
+            f"proxy {first.proxy}: {first.detail}"
         )
     if still := list(stalls(ledger)):
         more = f", and {len(still) - 1} such seconds more" if len(still) > 1 else ""
@@ -179,11 +179,11 @@
         ledger = await self._playing
         for proxy in range(len(self.names)):
             for told, box in self._drained:
-                ledger.told_out.setdefault((proxy, box), []).append((told, -1))
+                ledger.notified_unavailable.setdefault((proxy, box), []).append((told, -1))
         return ledger
 
     def judged(self, ledger: Ledger) -> Verdict:
-        return judge(self.scene, ledger)
+        return check_run(self.scene, ledger)
 
 
 def box_name(box: int) -> str:
--- a/mothstall/lab/scale/tierfaults.py
+++ b/mothstall/lab/scale/tierfaults.py
@@ -141,7 +141,7 @@
 
     async def drain(self) -> None:
         """One of the boxes, for the whole run: no loss may bring it back."""
-        box = min(self.real.run.world.boxes)
+        box = min(self.real.run.world.backends)
         tool = KeeperClient(
             self.keepers.operator, "drain", PeerRole.TOOL, loop=asyncio.get_running_loop()
         )
--- a/mothstall/lab/scenario.py
+++ b/mothstall/lab/scenario.py
@@ -21,7 +21,7 @@
 NS = io.NS
 _EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 ANSWER_SLACK_NS = 20_000_000
-REPORTS = ("inflight", "queue", "util")
+REPORT_NAMES = ("inflight", "queue", "util")
 
 
 class ScenarioError(ValueError):
@@ -233,7 +233,7 @@
     cls: str | None = None
 
 
-Trouble = (
+Fault = (
     Slow
     | Hang
     | Pause
@@ -251,7 +251,7 @@
     | Dependency
     | Burst
 )
-OnBoxes = Slow | Hang | Pause | Crash | Failing | Resets | Spoilt | Cut
+BackendFault = Slow | Hang | Pause | Crash | Failing | Resets | Spoilt | Cut
 
 _KINDS = (
     Kind(name="search", part=0.55, work=parse_duration("25ms")),
@@ -302,14 +302,14 @@
     clients: Clients = Clients()
     network: Network = Network()
     discovery: Discovery = Discovery()
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[Fault, ...] = ()
 
     @property
     def total_ns(self) -> int:
         return int(self.seconds * NS)
 
     @property
-    def box_count(self) -> int:
+    def backend_count(self) -> int:
         return sum(group.count for group in self.boxes)
 
     @property
@@ -337,15 +337,15 @@
     """Convert and validate a parsed TOML document. Raises ScenarioError."""
     try:
         read = msgspec.convert({**tree, "name": name}, Scenario, dec_hook=_hook)
-    except msgspec.ValidationError as why:
-        text = " ".join(str(why).split())
-        raise ScenarioError(f"scenario {name}: {text}") from why
-    for path, wrong in _faults(read):
-        raise ScenarioError(f"scenario {name}: {wrong} - at `$.{path}`")
+    except msgspec.ValidationError as error:
+        text = " ".join(str(error).split())
+        raise ScenarioError(f"scenario {name}: {text}") from error
+    for path, problem in _defects(read):
+        raise ScenarioError(f"scenario {name}: {problem} - at `$.{path}`")
     return read
 
 
-def _faults(s: Scenario) -> Iterator[tuple[str, str]]:
+def _defects(s: Scenario) -> Iterator[tuple[str, str]]:
     """Find values that the types allow but that are out of range or inconsistent."""
     if not 1 <= s.seconds <= 3600:
         yield "seconds", "must be 1 to 3600"
@@ -353,7 +353,7 @@
         yield "zones", "must hold at least one name, and each name once"
     if s.traffic and (len(s.traffic) != len(s.zones) or min(s.traffic) < 0 or not sum(s.traffic)):
         yield "traffic", "must hold a share for each zone, none negative, not all 0"
-    if not 1 <= s.box_count <= 2000:
+    if not 1 <= s.backend_count <= 2000:
         yield "boxes", "must be 1 to 2000 in all"
     for i, group in enumerate(s.boxes):
         if group.zone is not None and group.zone not in s.zones:
@@ -384,12 +384,12 @@
             yield f"classes[{i}]", "needs work, and an aim of at most the deadline"
         if kind.effect == "keyed" and not kind.window:
             yield f"classes[{i}].window", "a keyed class needs a window"
-    yield from _rule_faults(s)
-    for i, trouble in enumerate(s.troubles):
-        yield from _trouble_faults(s, f"troubles[{i}]", trouble)
+    yield from _rule_defects(s)
+    for i, fault in enumerate(s.troubles):
+        yield from _fault_defects(s, f"troubles[{i}]", fault)
 
 
-def _rule_faults(s: Scenario) -> Iterator[tuple[str, str]]:
+def _rule_defects(s: Scenario) -> Iterator[tuple[str, str]]:
     if not 0 < s.rules.cold_from <= 1 or s.rules.fall_multiple <= 1:
         yield "rules", "cold_from must be 0 to 1, fall_multiple above 1"
     if not 0 < s.rules.warm_shape <= 1:
@@ -400,8 +400,8 @@
     if s.rules.max_attempts < 1:
         yield "rules.max_attempts", "must be 1 or more"
     for name in s.rules.reports:
-        if name not in REPORTS:
-            yield "rules.reports", f"must be of {', '.join(REPORTS)}, not {name!r}"
+        if name not in REPORT_NAMES:
+            yield "rules.reports", f"must be of {', '.join(REPORT_NAMES)}, not {name!r}"
     c = s.clients
     if c.rate < 0 or c.fill <= 0 or c.tries < 1 or not 0 < c.leaves <= 1 or c.endures <= 0:
         yield "clients", "fill, tries, leaves, endures must be above 0, rate not negative"
@@ -412,38 +412,38 @@
         yield "clients.rate", f"comes to {s.rate:.0f} a second, more than 100000"
 
 
-def _trouble_faults(s: Scenario, at: str, t: Trouble) -> Iterator[tuple[str, str]]:
+def _fault_defects(s: Scenario, path: str, t: Fault) -> Iterator[tuple[str, str]]:
     if t.at >= s.total_ns:
-        yield f"{at}.at", f"begins after the run's end at {s.seconds:g} s"
+        yield f"{path}.at", f"begins after the run's end at {s.seconds:g} s"
     if t.lasts <= 0:
-        yield f"{at}.lasts", "must be above 0"
-    if isinstance(t, OnBoxes):
-        if not 0 <= t.part <= 1 or not 0 <= t.boxes <= s.box_count or not (t.part or t.boxes):
-            yield at, f"needs boxes (at most {s.box_count}) or a part of 0 to 1"
+        yield f"{path}.lasts", "must be above 0"
+    if isinstance(t, BackendFault):
+        if not 0 <= t.part <= 1 or not 0 <= t.boxes <= s.backend_count or not (t.part or t.boxes):
+            yield path, f"needs boxes (at most {s.backend_count}) or a part of 0 to 1"
         if isinstance(t, Slow) and bool(t.on) != bool(t.off):
-            yield f"{at}.on", "must be set together with `off`"
-    if isinstance(t, OnBoxes | ZoneLost) and t.zone is not None and t.zone not in s.zones:
-        yield f"{at}.zone", f"no zone is named {t.zone!r}"
+            yield f"{path}.on", "must be set together with `off`"
+    if isinstance(t, BackendFault | ZoneLost) and t.zone is not None and t.zone not in s.zones:
+        yield f"{path}.zone", f"no zone is named {t.zone!r}"
     if isinstance(t, Failing | Resets | Spoilt) and not 0 < t.odds <= 1:
-        yield f"{at}.odds", "must be above 0, at most 1"
+        yield f"{path}.odds", "must be above 0, at most 1"
     if isinstance(t, Slow | ProxyHot | Burst | Dependency) and t.factor <= 0:
-        yield f"{at}.factor", "must be above 0"
+        yield f"{path}.factor", "must be above 0"
     if isinstance(t, ProxyKilled) and not 1 <= t.proxies <= s.proxies.count:
-        yield f"{at}.proxies", f"must be 1 to {s.proxies.count}"
+        yield f"{path}.proxies", f"must be 1 to {s.proxies.count}"
     if isinstance(t, Deploy) and (not 0 < t.batch <= 1 or not 0 < t.only <= 1 or t.every <= 0):
-        yield at, "batch and only must be above 0, at most 1; every above 0"
+        yield path, "batch and only must be above 0, at most 1; every above 0"
     if (
         isinstance(t, Dependency | Burst)
         and t.cls is not None
         and t.cls not in [k.name for k in s.classes]
     ):
-        yield f"{at}.cls", f"no class is named {t.cls!r}"
+        yield f"{path}.cls", f"no class is named {t.cls!r}"
     if (
         isinstance(t, Burst)
         and t.tenant is not None
         and t.tenant not in [x.name for x in s.tenants]
     ):
-        yield f"{at}.tenant", f"no tenant is named {t.tenant!r}"
+        yield f"{path}.tenant", f"no tenant is named {t.tenant!r}"
 
 
 def names() -> list[str]:
@@ -451,26 +451,26 @@
     return sorted(path.stem for path in SHIPPED.glob("*.toml"))
 
 
-def load(which: str) -> Scenario:
+def load(source: str) -> Scenario:
     """Read a shipped scenario by name, or the file at a .toml path. Raises ScenarioError."""
-    path = Path(which) if which.endswith(".toml") else SHIPPED / f"{which}.toml"
-    if not which.endswith(".toml") and which not in names():
+    path = Path(source) if source.endswith(".toml") else SHIPPED / f"{source}.toml"
+    if not source.endswith(".toml") and source not in names():
         raise ScenarioError(
-            f"scenario {which}: not shipped; `mothstall lab list` shows the shipped ones"
+            f"scenario {source}: not shipped; `mothstall lab list` shows the shipped ones"
         )
     try:
         tree = tomllib.loads(path.read_text(encoding="utf-8"))
-    except OSError as why:
-        raise ScenarioError(f"scenario {which}: cannot be read: {why.strerror}") from why
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as why:
-        raise ScenarioError(f"scenario {which}: not TOML: {why}") from why
+    except OSError as error:
+        raise ScenarioError(f"scenario {source}: cannot be read: {error.strerror}") from error
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ScenarioError(f"scenario {source}: not TOML: {error}") from error
     return from_tree(tree, path.stem)
 
 
 def settings_tree(s: Scenario, position: int) -> dict[str, Any]:
     """The settings of the proxy at a position, as the nested tables of its configuration."""
     total = sum(t.share for t in s.tenants) or 1.0
-    whole = s.rate / max(s.clients.fill, 0.05) if not s.clients.rate else s.rate * 1.5
+    total_rate = s.rate / max(s.clients.fill, 0.05) if not s.clients.rate else s.rate * 1.5
     return {
         "classes": [
             {
@@ -490,7 +490,7 @@
             {
                 "name": t.name,
                 "share": t.share / total,
-                "allowance-per-s": round(whole * t.share / total, 6),
+                "allowance-per-s": round(total_rate * t.share / total, 6),
             }
             for t in s.tenants
         ],
@@ -531,10 +531,10 @@
     return from_json(settings_tree(s, position))
 
 
-def lasting(s: Scenario, seconds: float) -> Scenario:
+def with_duration(s: Scenario, seconds: float) -> Scenario:
     """The scenario with another duration, without later faults. Raises ScenarioError."""
     kept = tuple(t for t in s.troubles if t.at < seconds * NS)
     changed = msgspec.structs.replace(s, seconds=seconds, troubles=kept)
-    for path, wrong in _faults(changed):
-        raise ScenarioError(f"scenario {s.name}: {wrong} - at `$.{path}`")
+    for path, problem in _defects(changed):
+        raise ScenarioError(f"scenario {s.name}: {problem} - at `$.{path}`")
     return changed
--- a/mothstall/lab/sockets.py
+++ b/mothstall/lab/sockets.py
@@ -20,10 +20,10 @@
 
 from mothstall.interface import NS
 from mothstall.lab import wire
-from mothstall.lab.box import OVER, Box, Job
-from mothstall.lab.clients import SLACK_NS
-from mothstall.lab.directory import Word
-from mothstall.lab.ledger import Answer, Arrival, Fate, Ledger, Try, Unfinished
+from mothstall.lab.box import DONE, Backend, Job
+from mothstall.lab.clients import DEADLINE_SLACK_NS
+from mothstall.lab.directory import ListUpdate
+from mothstall.lab.ledger import Arrival, AttemptOutcome, ClientRequest, Ledger, Outcome, Unfinished
 from mothstall.lab.process import ServeProcess
 from mothstall.lab.scenario import Scenario, settings_tree
 from mothstall.lab.world import World
@@ -151,7 +151,7 @@
 
     def __init__(self, server: BoxServer) -> None:
         super().__init__()
-        self.server, self.life = server, server.box.life
+        self.server, self.incarnation = server, server.box.incarnation
         self.fresh, self.counted = True, False
         self.job: Job | None = None
         self.idle_since = 0
@@ -168,26 +168,26 @@
     def take(self, message: wire.Message) -> None:
         run, box = self.server.run, self.server.box
         number = wire.txn(message)
-        if not 1 <= number <= len(run.ledger.tries) or self.job is not None:
+        if not 1 <= number <= len(run.ledger.requests) or self.job is not None:
             raise wire.Malformed("a request that no client sent, or two at once")
-        row = run.ledger.tries[number - 1]
-        arrival = Arrival(number, row.proxy, box.id, run.time.now, row.intent.work)
+        row = run.ledger.requests[number - 1]
+        record = Arrival(number, row.proxy, box.id, run.time.now, row.intent.work)
         kind = run.s.classes[row.intent.cls]
-        job = self.job = Job(arrival, row.intent, kind, row.intent.work, self.replied)
+        job = self.job = Job(record, row.intent, kind, row.intent.work, self.replied)
         fresh, self.fresh = self.fresh, False
-        box.offer(job, fresh)
+        box.receive(job, fresh)
 
-    def replied(self, job: Job, fate: Fate) -> None:
+    def replied(self, job: Job, outcome: AttemptOutcome) -> None:
         """The world has an answer; across zones it takes its time."""
         run, box = self.server.run, self.server.box
-        proxy_zone = job.arrival.proxy % len(run.s.zones)
+        proxy_zone = job.record.proxy % len(run.s.zones)
         way = run.s.network.far if proxy_zone != box.zone else 0
-        if way and fate not in (Fate.LOST, Fate.RESET):
-            run.time.at(run.time.now + 2 * way, self.write, job, fate)
+        if way and outcome not in (AttemptOutcome.LOST, AttemptOutcome.RESET):
+            run.time.at(run.time.now + 2 * way, self.write, job, outcome)
         else:
-            self.write(job, fate)
+            self.write(job, outcome)
 
-    def write(self, job: Job, fate: Fate) -> None:
+    def write(self, job: Job, outcome: AttemptOutcome) -> None:
         box = self.server.box
         if self.job is job:
             self.job = None
@@ -195,13 +195,13 @@
             return
         self.idle_since = self.server.run.time.now
         load = wire.load_text(box.rules.reports, box.report()) if box.rules.reports else ""
-        if fate in (Fate.SERVED, Fate.REPEAT):
-            self.transport.write(wire.answer(200, wire.served(job.arrival.txn), load))
-        elif fate == Fate.TURNED_AWAY:
+        if outcome in (AttemptOutcome.SERVED, AttemptOutcome.DUPLICATE):
+            self.transport.write(wire.answer(200, wire.served(job.record.txn), load))
+        elif outcome == AttemptOutcome.REJECTED:
             self.transport.write(wire.answer(503, b"full\n", load, "X-Turned-Away: 1\r\n"))
-        elif fate == Fate.ERROR:
+        elif outcome == AttemptOutcome.ERROR:
             self.transport.write(wire.answer(500, b"failed\n", load))
-        elif fate == Fate.SPOILT:
+        elif outcome == AttemptOutcome.UNREADABLE:
             self.transport.write(b"HTTP/1.1 2\x00\x01 ??\r\nContent-Le\r\n\r\n\x07" + b"\xff" * 40)
             self.transport.close()
         else:
@@ -210,17 +210,17 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.discard(self)
         box = self.server.box
-        if self.job is not None and self.job.state != OVER:
-            box.withdraw(self.job)
+        if self.job is not None and self.job.state != DONE:
+            box.cancel(self.job)
         self.job = None
-        if self.counted and box.life is self.life:
+        if self.counted and box.incarnation is self.incarnation:
             box.disconnect()
 
 
 class BoxServer:
     """A box behind a real listener: one for each life, so that a new process has a new address."""
 
-    def __init__(self, run: Sockets, box: Box) -> None:
+    def __init__(self, run: Sockets, box: Backend) -> None:
         self.run, self.box = run, box
         self.connections: set[BoxConnection] = set()
         self.listener = Listener(run.loop, lambda: BoxConnection(self))
@@ -281,8 +281,8 @@
         )
         self.since = int(query.get("since") or 0)
         wait_ms = int(query.get("timeout_ms") or 0) if "since" in query else 0
-        directory, run = self.run.world.directory, self.run
-        due = directory.ask(self.proxy)
+        directory, run = self.run.world.discovery, self.run
+        due = directory.accept_call(self.proxy)
         if due < 0:
             self.transport.write(wire.answer(503))
             return
@@ -293,8 +293,8 @@
             if turn != self.turn:
                 return
             if (
-                directory.since(self.since).entries
-                or directory.since(self.since).full
+                directory.updates_since(self.since).entries
+                or directory.updates_since(self.since).full
                 or not wait_ms
             ):
                 self.tell(turn)
@@ -304,7 +304,7 @@
 
         run.time.at(due, begin)
 
-    def news(self, turn: int, word: Word | None) -> None:
+    def news(self, turn: int, word: ListUpdate | None) -> None:
         if word is None:
             self.transport.abort()
             return
@@ -316,12 +316,12 @@
             return
         self.turn += 1
         run = self.run
-        if run.world.directory.down:
+        if run.world.discovery.down:
             self.transport.abort()
             return
-        run.world.directory.watch(self.proxy, None)
-        word = run.world.directory.since(self.since)
-        run.world.directory.note(self.proxy, word)
+        run.world.discovery.watch(self.proxy, None)
+        word = run.world.discovery.updates_since(self.since)
+        run.world.discovery.record_delivery(self.proxy, word)
         tree = wire.listing(word, run.s.zones, run.ports)
         self.transport.write(wire.answer(200, json.dumps(tree).encode()))
 
@@ -332,23 +332,23 @@
     def __init__(self, run: Sockets, proxy: int) -> None:
         super().__init__()
         self.run, self.proxy = run, proxy
-        self.row: Try | None = None
-        self.last: Try | None = None
+        self.row: ClientRequest | None = None
+        self.last: ClientRequest | None = None
         self.repeated = self.used = False
 
-    def send(self, row: Try, repeated: bool) -> None:
+    def send(self, row: ClientRequest, repeated: bool) -> None:
         run = self.run
         self.row, self.repeated = row, repeated
         run.open[row.txn] = self
-        row.taken = run.time.now
+        row.accepted = run.time.now
         kind = run.s.classes[row.intent.cls]
-        self.transport.write(wire.request(run.s, row, kind, row.deadline - row.taken, repeated))
+        self.transport.write(wire.request(run.s, row, kind, row.deadline - row.accepted, repeated))
 
     def take(self, message: wire.Message) -> None:
         run, row = self.run, self.row
         if row is None:
             if self.last:  # an answer that nobody asked for
-                run.world.clients.answered(self.last, Answer.FAILED)
+                run.world.clients.record_outcome(self.last, Outcome.FAILED)
             self.transport.abort()
             return
         self.row, self.last, self.used = None, row, True
@@ -360,9 +360,9 @@
         try:
             answer, after = wire.read_answer(message, row)
         except wire.Malformed:
-            run.world.clients.answered(row, Answer.BROKEN)
+            run.world.clients.record_outcome(row, Outcome.BROKEN)
             raise
-        run.world.clients.answered(row, answer, after)
+        run.world.clients.record_outcome(row, answer, after)
 
     def connection_lost(self, exc: Exception | None) -> None:
         run, row = self.run, self.row
@@ -373,16 +373,16 @@
             return
         self.row = None
         run.open.pop(row.txn, None)
-        if row.answer != Answer.OPEN:
+        if row.outcome != Outcome.OPEN:
             return
-        if run.proxy_dead(self.proxy, row.taken):
+        if run.proxy_dead(self.proxy, row.accepted):
             row.excused = True
         elif self.used and not self.reader.begun:
             # Closed by the proxy while our request was on its way: once more, on a new connection.
-            row.taken = -1
+            row.accepted = -1
             run.connect(row, self.repeated)
             return
-        run.world.clients.answered(row, Answer.BROKEN)
+        run.world.clients.record_outcome(row, Outcome.BROKEN)
 
 
 class RealProxy:
@@ -397,8 +397,8 @@
 
     async def start(self) -> None:
         run = self.run
-        known = run.world.directory.as_of(run.time.now - run.s.proxies.known_age)
-        run.world.directory.note(self.number, known)
+        known = run.world.discovery.as_of(run.time.now - run.s.proxies.known_age)
+        run.world.discovery.record_delivery(self.number, known)
         await self.process.start(
             {
                 "name": f"lab-{self.number}",
@@ -455,16 +455,16 @@
         try:
             await asyncio.gather(*(proxy.start() for proxy in self.proxies))
             self.time.begin()
-            self.world.base = self.world.directory.base = time.time_ns()
+            self.world.base = self.world.discovery.base = time.time_ns()
             self.world.begin()
             self.begun.set()
             self._looked = self.time.now
             self._look()
             self._look_at_proxies()
             self._sweep()
-            rest = max(k.deadline for k in self.s.classes) + 2 * SLACK_NS
+            rest = max(k.deadline for k in self.s.classes) + 2 * DEADLINE_SLACK_NS
             while (
-                left := self.world.clients.until + rest - self.time.now
+                left := self.world.clients.stops_at + rest - self.time.now
             ) > 0 and not self.failure:
                 await asyncio.sleep(min(1.0, left / NS))
                 if watch:
@@ -489,11 +489,11 @@
 
     def finish(self) -> None:
         """Nobody asks any more; `play` returns once all that was asked has had its time."""
-        self.world.clients.until = min(self.world.clients.until, self.time.now)
+        self.world.clients.stops_at = min(self.world.clients.stops_at, self.time.now)
 
     def notes(self) -> dict[str, Any]:
         """What the machine did: lateness of this driver and of the proxies, and their CPU."""
-        late = sum(b - a for a, b in self.ledger.late)
+        late = sum(b - a for a, b in self.ledger.late_spans)
         return {
             "late": late > 0.01 * self.time.now,
             "late_s": round(late / NS, 3),
@@ -508,7 +508,7 @@
         now = self.time.now
         lag = now - self._looked - LOOK_NS
         if lag > LATE_NS:
-            self.ledger.late.append((self._looked, now))
+            self.ledger.late_spans.append((self._looked, now))
         self.worst_late = max(self.worst_late, lag)
         self._looked = now
         if not self._over:
@@ -522,7 +522,7 @@
             if not proxy.up:
                 continue
             if proxy.process.starved_ns() > STARVED_NS:
-                self.ledger.late.append((now - LOOK_PROXIES_NS, now))
+                self.ledger.late_spans.append((now - LOOK_PROXIES_NS, now))
             if not proxy.process.running:
                 code = proxy.process.returncode
                 self.failure = Unfinished(f"proxy {proxy.number} ended by itself: {code}")
@@ -536,13 +536,13 @@
 
     # The world's driver
 
-    def box_up(self, box: Box) -> None:
+    def backend_up(self, box: Backend) -> None:
         if former := self.servers.get(box.id):
             former.close()
         server = self.servers[box.id] = BoxServer(self, box)
         self.ports[box.id] = server.listener.port
 
-    def box_changed(self, box: Box) -> None:
+    def backend_changed(self, box: Backend) -> None:
         server = self.servers.get(box.id)
         if server is None:
             return
@@ -576,7 +576,7 @@
 
     # Clients
 
-    def ask(self, row: Try, repeated: bool) -> None:
+    def send_request(self, row: ClientRequest, repeated: bool) -> None:
         idle = self.idle.get(row.proxy, [])
         while idle:
             connection = idle.pop()
@@ -585,27 +585,27 @@
                 return
         self.connect(row, repeated)
 
-    def connect(self, row: Try, repeated: bool) -> None:
+    def connect(self, row: ClientRequest, repeated: bool) -> None:
         task = self.loop.create_task(self._connect(row, repeated))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, row: Try, repeated: bool) -> None:
+    async def _connect(self, row: ClientRequest, repeated: bool) -> None:
         proxy = self.proxies[row.proxy]
         try:
             _, connection = await self.loop.create_connection(
                 lambda: ClientConnection(self, row.proxy), "127.0.0.1", proxy.process.port
             )
         except OSError:
-            self.world.clients.answered(row, Answer.UNREACHED)
+            self.world.clients.record_outcome(row, Outcome.UNREACHED)
             return
-        if row.answer == Answer.OPEN:
+        if row.outcome == Outcome.OPEN:
             connection.send(row, repeated)
         else:
             connection.transport.abort()
 
-    def leave(self, row: Try) -> None:
-        if self.proxy_dead(row.proxy, row.taken):
+    def abandon_request(self, row: ClientRequest) -> None:
+        if self.proxy_dead(row.proxy, row.accepted):
             row.excused = True
         connection = self.open.pop(row.txn, None)
         if connection:
--- a/mothstall/lab/start.py
+++ b/mothstall/lab/start.py
@@ -29,7 +29,7 @@
 from mothstall.interface import Health
 from mothstall.lab import bench, scenario, wire
 from mothstall.lab.bench import TREE
-from mothstall.lab.directory import Word
+from mothstall.lab.directory import ListUpdate
 from mothstall.lab.ledger import Unfinished
 from mothstall.lab.process import ROOT
 
@@ -148,11 +148,13 @@
     return Start(ends[-1], 1000 * took, [b - a for a, b in itertools.pairwise(ends)])
 
 
-def _files(folder: Path, sizes: Sequence[int], port: int) -> Iterator[tuple[str, int, Path, Word]]:
+def _files(
+    folder: Path, sizes: Sequence[int], port: int
+) -> Iterator[tuple[str, int, Path, ListUpdate]]:
     """A configuration for each way and size, and the list that discovery tells."""
     for way, size in itertools.product(WAYS, sizes):
         entries = tuple(io.Endpoint(1 + i, 0, 0, 0, Health.READY, 1.0, 0) for i in range(size))
-        word = Word(1, True, entries)
+        word = ListUpdate(1, True, entries)
         tree = {
             "name": "start",
             "listen": "127.0.0.1:0",
--- a/mothstall/lab/timeline.py
+++ b/mothstall/lab/timeline.py
@@ -13,11 +13,11 @@
     @property
     def now(self) -> int: ...
 
-    def at(self, due: int, what: Callable[..., object], *words: Any) -> None:
-        """Calls `what(*words)` at `due`, or as soon as possible if that is past."""
+    def at(self, due: int, callback: Callable[..., object], *args: Any) -> None:
+        """Calls `callback(*args)` at `due`, or as soon as possible if that is past."""
 
 
-class Heap:
+class VirtualClock:
     """Virtual time: calls due at the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
@@ -26,15 +26,15 @@
         self._heap: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
         self._seq = 0
 
-    def at(self, due: int, what: Callable[..., object], *words: Any) -> None:
+    def at(self, due: int, callback: Callable[..., object], *args: Any) -> None:
         self._seq += 1
-        heapq.heappush(self._heap, (due if due > self.now else self.now, self._seq, what, words))
+        heapq.heappush(self._heap, (due if due > self.now else self.now, self._seq, callback, args))
 
     def run(self, until: int) -> None:
         """Run all calls due before `until`, and set the time to it."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] < until:
-            self.now, _, what, words = pop(heap)
+            self.now, _, callback, args = pop(heap)
             self.calls += 1
-            what(*words)
+            callback(*args)
         self.now = until
--- a/mothstall/lab/virtual.py
+++ b/mothstall/lab/virtual.py
@@ -13,28 +13,28 @@
 from mothstall import interface as io
 from mothstall.fleet.failover.policy import FailoverPolicy
 from mothstall.interface import NS, AttemptResult, Health, UpdateScope
-from mothstall.lab.box import Box, Job
-from mothstall.lab.clients import SLACK_NS
-from mothstall.lab.commons import Commons
-from mothstall.lab.directory import Word
-from mothstall.lab.ledger import Answer, Arrival, Fate, Ledger, Try
+from mothstall.lab.box import Backend, Job
+from mothstall.lab.clients import DEADLINE_SLACK_NS
+from mothstall.lab.commons import VirtualFailover
+from mothstall.lab.directory import ListUpdate
+from mothstall.lab.ledger import Arrival, AttemptOutcome, ClientRequest, Ledger, Outcome
 from mothstall.lab.scenario import Scenario, settings
-from mothstall.lab.timeline import Heap
+from mothstall.lab.timeline import VirtualClock
 from mothstall.lab.world import World
 
 BASE_NS = 1_000_000 * NS  # reading of the proxies' clocks at the start of the run
-CALL_NS = 2 * NS  # timeout of a proxy's call to discovery
-BOOT_NS = 600_000_000  # start time of a proxy process
-PAUSE_NS = NS  # delay before a failed watch is renewed
-KEEP = 0.6  # part of the backends' idle timeout for which a proxy reuses a connection
+CALL_TIMEOUT_NS = 2 * NS  # timeout of a proxy's call to discovery
+PROXY_START_NS = 600_000_000  # start time of a proxy process
+WATCH_RETRY_NS = NS  # delay before a failed watch is renewed
+REUSE_PART = 0.6  # part of the backends' idle timeout for which a proxy reuses a connection
 _RESULTS = {
-    Fate.SERVED: AttemptResult.OK,
-    Fate.REPEAT: AttemptResult.OK,
-    Fate.TURNED_AWAY: AttemptResult.REJECTED,
-    Fate.ERROR: AttemptResult.ERROR,
-    Fate.SPOILT: AttemptResult.ERROR,
-    Fate.RESET: AttemptResult.RESET,
-    Fate.LOST: AttemptResult.RESET,
+    AttemptOutcome.SERVED: AttemptResult.OK,
+    AttemptOutcome.DUPLICATE: AttemptResult.OK,
+    AttemptOutcome.REJECTED: AttemptResult.REJECTED,
+    AttemptOutcome.ERROR: AttemptResult.ERROR,
+    AttemptOutcome.UNREADABLE: AttemptResult.ERROR,
+    AttemptOutcome.RESET: AttemptResult.RESET,
+    AttemptOutcome.LOST: AttemptResult.RESET,
 }
 
 
@@ -47,92 +47,88 @@
 MakePolicy = Callable[[io.Settings, int], Policy]
 
 
-class Out:
-    """One attempt of a request."""
+class Attempt:
+    """One attempt of a request; `peer` is the backend's incarnation that it reached."""
 
-    __slots__ = ("box", "dropped", "fresh", "held", "job", "life", "number", "over", "sent", "way")
+    __slots__ = ("backend", "closed", "done", "index", "job", "lag", "new", "owner", "peer", "sent")
 
-    def __init__(self, held: Held, number: int, box: int, sent: int, way: int) -> None:
-        self.held, self.number, self.box, self.sent, self.way = held, number, box, sent, way
+    def __init__(self, owner: Pending, index: int, backend: int, sent: int, lag: int) -> None:
+        self.owner, self.index, self.backend, self.sent, self.lag = owner, index, backend, sent, lag
         self.job: Job | None = None
-        self.life: object = None
-        self.over = self.dropped = self.fresh = False
+        self.peer: object = None
+        self.done = self.closed = self.new = False  # new: needs a new connection
 
 
-class Held:
+class Pending:
     """One client request at a proxy, with its attempts."""
 
-    __slots__ = ("answered", "attempts", "out", "row")
+    __slots__ = ("attempts", "done", "in_flight", "row")
 
-    def __init__(self, row: Try) -> None:
-        self.row, self.answered, self.out = row, False, 0
-        self.attempts: list[Out] = []
+    def __init__(self, row: ClientRequest) -> None:
+        self.row, self.done, self.in_flight = row, False, 0
+        self.attempts: list[Attempt] = []
 
 
 class Proxy:
-    def __init__(self, run: Virtual, number: int) -> None:
+    def __init__(self, run: VirtualRun, number: int) -> None:
         self.run, self.number, self.zone = run, number, number % len(run.s.zones)
-        self.life = 0
+        self.epoch = 0
         self.up = False
-        self.held: dict[int, Held] = {}
+        self.requests: dict[int, Pending] = {}
         self.idle: dict[int, list[tuple[int, object]]] = {}
         self.used: dict[int, int] = {}  # connections with a request on them
         self.version = 0
-        self.asking = False
-        self._news_due = 0
+        self.subscribing = False
+        self._update_due = 0
 
-    # Start and stop
-
-    def boot(self) -> None:
+    def start(self) -> None:
         run = self.run
-        self.up, self.life = True, self.life + 1
-        self.held, self.idle, self.used, self.asking = {}, {}, {}, False
+        self.up, self.epoch = True, self.epoch + 1
+        self.requests, self.idle, self.used, self.subscribing = {}, {}, {}, False
         config = settings(run.s, self.number)
-        self.policy = run.make(config, run.world.seed * 1009 + self.number * 31 + self.life)
-        known = run.world.directory.as_of(run.time.now - run.s.proxies.known_age)
+        self.policy = run.make(config, run.world.seed * 1009 + self.number * 31 + self.epoch)
+        known = run.world.discovery.as_of(run.time.now - run.s.proxies.known_age)
         self.version = known.version
-        run.world.directory.note(self.number, known)
+        run.world.discovery.record_delivery(self.number, known)
         self.feed(io.EndpointUpdate(UpdateScope.CACHED, known.version, list(known.entries)))
         if config.discovery_push:
             self.subscribe()
 
-    def die(self, silent: bool) -> None:
+    def stop(self, silent: bool) -> None:
         """Stop the process; its connections break, or with `silent` stop without a reset."""
         self.up = False
-        self.life += 1
+        self.epoch += 1
         run, now = self.run, self.run.time.now
-        run.world.directory.watch(self.number, None)
-        for held in self.held.values():
-            if not held.answered:
-                held.row.excused = True
+        run.world.discovery.watch(self.number, None)
+        for request in self.requests.values():
+            if not request.done:
+                request.row.excused = True
                 if not silent:
                     run.time.at(
-                        now + run.delay(self.zone, held.row.intent.zone),
-                        run.answer,
-                        held.row,
-                        Answer.BROKEN,
+                        now + run.delay(self.zone, request.row.intent.zone),
+                        run.deliver,
+                        request.row,
+                        Outcome.BROKEN,
                     )
-            for out in held.attempts:
-                if not out.over and not silent:
-                    out.over = True
-                    if out.job:
-                        run.time.at(now + out.way, run.withdraw, out)
-        boxes = run.world.boxes
+            for attempt in request.attempts:
+                if not attempt.done and not silent:
+                    attempt.done = True
+                    if attempt.job:
+                        run.time.at(now + attempt.lag, run.cancel_job, attempt)
+        backends = run.world.backends
         for number, idle in self.idle.items():
-            for _, life in idle:
-                if boxes[number].life is life:
-                    boxes[number].disconnect()
-
-    # Policy events and actions
+            for _, incarnation in idle:
+                if backends[number].incarnation is incarnation:
+                    backends[number].disconnect()
 
     def feed(self, event: io.Event) -> None:
-        self.act(self.policy.handle(BASE_NS + self.run.time.now, [event]))
+        self.execute(self.policy.handle(BASE_NS + self.run.time.now, [event]))
 
-    def timer(self, life: int, token: int) -> None:
-        if life == self.life:
+    def timer(self, epoch: int, token: int) -> None:
+        if epoch == self.epoch:
             self.feed(io.TimerFired(token))
 
-    def act(self, actions: list[io.Action]) -> None:
+    def execute(self, actions: list[io.Action]) -> None:
         run = self.run
         for action in actions:
             kind = type(action)
@@ -140,299 +136,301 @@
                 self.send(action.request, action.backend, action.timeout_ns)  # type: ignore[union-attr]
             elif kind is io.SetTimer:
                 due, token = action.at_ns, action.token  # type: ignore[union-attr]
-                run.time.at(due - BASE_NS, self.timer, self.life, token)
+                run.time.at(due - BASE_NS, self.timer, self.epoch, token)
             elif isinstance(action, io.CancelAttempt):
                 self.cancel(action.request, action.attempt)
             elif isinstance(action, io.Reject):
-                if run.commons:
-                    run.commons.refused(self.number)
-                self.final(action.request, Answer.REFUSED, action.retry_after_ns)
+                if run.failover:
+                    run.failover.request_rejected(self.number)
+                self.finish(action.request, Outcome.REFUSED, action.retry_after_ns)
             elif isinstance(action, io.FailRequest):
-                self.final(action.request, Answer.FAILED, 0)
+                self.finish(action.request, Outcome.FAILED, 0)
             elif isinstance(action, io.CloseIdleConnections):
-                for _, life in self.idle.pop(action.backend, ()):
-                    box = run.world.boxes[action.backend]
-                    if box.life is life:
-                        box.disconnect()
+                for _, incarnation in self.idle.pop(action.backend, ()):
+                    backend = run.world.backends[action.backend]
+                    if backend.incarnation is incarnation:
+                        backend.disconnect()
             elif isinstance(action, io.WatchEndpoints):
                 if action.is_on:
                     self.subscribe()
             elif isinstance(action, io.PollEndpoints):
-                self.call()
+                self.call_discovery()
             elif isinstance(action, io.ProbeLoad):
-                run.time.at(run.time.now, self.probed, self.life, action.backend)
+                run.time.at(run.time.now, self.probe_ended, self.epoch, action.backend)
 
-    def probed(self, life: int, backend: int) -> None:
+    def probe_ended(self, epoch: int, backend: int) -> None:
         """Scenarios do not allow load probes: each one fails."""
-        if life == self.life:
+        if epoch == self.epoch:
             self.feed(io.LoadProbeEnded(backend, AttemptResult.ERROR, 0, ()))
 
-    # Requests
-
-    def arrive(self, row: Try, repeated: bool) -> None:
+    def arrive(self, row: ClientRequest, is_retry: bool) -> None:
         run, now = self.run, self.run.time.now
         if not self.up:
             if self.number not in run.silent:
                 run.time.at(
-                    now + run.delay(self.zone, row.intent.zone), run.answer, row, Answer.UNREACHED
+                    now + run.delay(self.zone, row.intent.zone), run.deliver, row, Outcome.UNREACHED
                 )
             return
-        if run.commons:
-            run.commons.asked(self.number)
-        row.taken = now
-        self.held[row.txn] = Held(row)
+        if run.failover:
+            run.failover.request_arrived(self.number)
+        row.accepted = now
+        self.requests[row.txn] = Pending(row)
         intent = row.intent
         left = max(0, row.deadline - now)
         self.feed(
-            io.RequestArrived(row.txn, intent.cls, intent.tenant, intent.subject, left, 0, repeated)
+            io.RequestArrived(row.txn, intent.cls, intent.tenant, intent.subject, left, 0, is_retry)
         )
 
-    def left(self, row: Try) -> None:
-        held = self.held.get(row.txn)
-        if held and not held.answered:
-            held.answered = True
+    def leave(self, row: ClientRequest) -> None:
+        request = self.requests.get(row.txn)
+        if request and not request.done:
+            request.done = True
             self.feed(io.ClientLeft(row.txn))
-            self.forget(held)
+            self.forget(request)
 
-    def final(self, request: int, answer: Answer, after_ns: int) -> None:
-        held = self.held.get(request) or self.past(request)
-        held.answered = True
-        self.tell(held, answer, after_ns)
-        self.forget(held)
+    def finish(self, txn: int, outcome: Outcome, after_ns: int) -> None:
+        request = self.requests.get(txn) or self.finished_request(txn)
+        request.done = True
+        self.respond(request, outcome, after_ns)
+        self.forget(request)
 
-    def past(self, request: int) -> Held:
+    def finished_request(self, txn: int) -> Pending:
         """A finished request. Late actions of a policy on it are carried out, for the checker."""
-        held = Held(self.run.ledger.tries[request - 1])
-        held.answered = True
-        return held
+        request = Pending(self.run.ledger.requests[txn - 1])
+        request.done = True
+        return request
 
-    def tell(self, held: Held, answer: Answer, after_ns: int = 0) -> None:
+    def respond(self, request: Pending, outcome: Outcome, after_ns: int = 0) -> None:
         run = self.run
-        due = run.time.now + run.delay(self.zone, held.row.intent.zone)
-        run.time.at(due, self.flushed, self.life, held.row, answer, after_ns)
+        due = run.time.now + run.delay(self.zone, request.row.intent.zone)
+        run.time.at(due, self.responded, self.epoch, request.row, outcome, after_ns)
 
-    def flushed(self, life: int, row: Try, answer: Answer, after_ns: int) -> None:
+    def responded(self, epoch: int, row: ClientRequest, outcome: Outcome, after_ns: int) -> None:
         """Deliver a response; it arrives incomplete if its proxy died in the meantime."""
-        if life != self.life:
-            row.excused, answer = True, Answer.BROKEN
-        self.run.world.clients.answered(row, answer, after_ns)
+        if epoch != self.epoch:
+            row.excused, outcome = True, Outcome.BROKEN
+        self.run.world.clients.record_outcome(row, outcome, after_ns)
 
-    def forget(self, held: Held) -> None:
-        if held.answered and not held.out:
-            self.held.pop(held.row.txn, None)
+    def forget(self, request: Pending) -> None:
+        if request.done and not request.in_flight:
+            self.requests.pop(request.row.txn, None)
 
-    # Attempts
-
-    def send(self, request: int, backend: int, timeout_ns: int) -> None:
+    def send(self, txn: int, number: int, timeout_ns: int) -> None:
         run, now = self.run, self.run.time.now
-        held = self.held.get(request)
-        if held is None:
-            held = self.held[request] = self.past(request)
-        box = run.world.boxes.get(backend)
-        way = run.delay(self.zone, box.zone if box else self.zone)
-        out = Out(held, len(held.attempts), backend, now, way)
-        held.attempts.append(out)
-        held.out += 1
-        if box is None:
-            run.time.at(now, self.ended, self.life, out, AttemptResult.NOT_SENT, ())
+        request = self.requests.get(txn)
+        if request is None:
+            request = self.requests[txn] = self.finished_request(txn)
+        backend = run.world.backends.get(number)
+        delay = run.delay(self.zone, backend.zone if backend else self.zone)
+        attempt = Attempt(request, len(request.attempts), number, now, delay)
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        if backend is None:
+            run.time.at(now, self.ended, self.epoch, attempt, AttemptResult.NOT_SENT, ())
             return
-        out.fresh = not self.reuse(box, now)
-        run.time.at(now + (3 * way if out.fresh else way), self.reach, out, box)
+        attempt.new = not self.reuse(backend, now)
+        run.time.at(now + (3 * delay if attempt.new else delay), self.reach, attempt, backend)
         if timeout_ns:
-            run.time.at(now + timeout_ns, self.timed_out, self.life, out)
+            run.time.at(now + timeout_ns, self.timed_out, self.epoch, attempt)
 
-    def reuse(self, box: Box, now: int) -> bool:
+    def reuse(self, backend: Backend, now: int) -> bool:
         """Take the latest idle connection to the backend's current process, if there is one."""
-        idle = self.idle.get(box.id)
+        idle = self.idle.get(backend.id)
         while idle:
-            since, life = idle.pop()
-            if life is not box.life:
+            since, incarnation = idle.pop()
+            if incarnation is not backend.incarnation:
                 continue
-            if now - since < KEEP * box.group.idle:
+            if now - since < REUSE_PART * backend.group.idle:
                 return True
-            box.disconnect()
+            backend.disconnect()
         return False
 
-    def reach(self, out: Out, box: Box) -> None:
+    def reach(self, attempt: Attempt, backend: Backend) -> None:
         """The request's last byte arrives at the backend, if the backend is reachable."""
         run, now = self.run, self.run.time.now
-        gone = box.silent or box.cut_in or (out.fresh and box.cut_out)
-        if gone:
-            if out.fresh and not out.over:
-                due = out.sent + run.s.rules.connect_timeout
-                run.time.at(due, self.ended, self.life, out, AttemptResult.CONNECT_FAILED, ())
+        unreachable = backend.silent or backend.cut_in or (attempt.new and backend.cut_out)
+        if unreachable:
+            if attempt.new and not attempt.done:
+                due = attempt.sent + run.s.rules.connect_timeout
+                run.time.at(due, self.ended, self.epoch, attempt, AttemptResult.CONNECT_FAILED, ())
             return
-        if out.dropped and out.fresh:
+        if attempt.closed and attempt.new:
             return  # abandoned before the connection was set up: the request was never written
-        if not box.up or (out.fresh and not box.connect()):
-            result = AttemptResult.CONNECT_FAILED if out.fresh else AttemptResult.RESET
-            run.time.at(now + out.way, self.ended, self.life, out, result, ())
+        if not backend.up or (attempt.new and not backend.connect()):
+            result = AttemptResult.CONNECT_FAILED if attempt.new else AttemptResult.RESET
+            run.time.at(now + attempt.lag, self.ended, self.epoch, attempt, result, ())
             return
-        out.life = box.life
-        row = out.held.row
-        arrival = Arrival(row.txn, self.number, box.id, now, row.intent.work)
-        job = out.job = Job(
-            arrival, row.intent, run.s.classes[row.intent.cls], row.intent.work, run.replied
+        attempt.peer = backend.incarnation
+        row = attempt.owner.row
+        record = Arrival(row.txn, self.number, backend.id, now, row.intent.work)
+        job = attempt.job = Job(
+            record, row.intent, run.s.classes[row.intent.cls], row.intent.work, run.backend_replied
         )
-        job.carry = (self, out)
-        box.offer(job, out.fresh)
-        if out.dropped:
-            run.withdraw(out)
-
-    def ended(self, life: int, out: Out, result: AttemptResult, load: tuple[float, ...]) -> None:
-        if life != self.life or out.over:
+        job.context = (self, attempt)
+        backend.receive(job, attempt.new)
+        if attempt.closed:
+            run.cancel_job(attempt)
+
+    def ended(
+        self, epoch: int, attempt: Attempt, result: AttemptResult, load: tuple[float, ...]
+    ) -> None:
+        if epoch != self.epoch or attempt.done:
             return
-        run, held = self.run, out.held
-        out.over = True
-        held.out -= 1
-        if out.life is not None:
-            self.keep(out, result)
-        if result == AttemptResult.OK and not held.answered:
-            held.answered = True
-            self.tell(held, Answer.SERVED)
-        spent = run.time.now - out.sent
-        if run.commons:
-            util = load[run.util] if 0 <= run.util < len(load) else -1.0
-            run.commons.ended(self.number, out.box, held.row.intent.cls, result, spent, util)
+        run, request = self.run, attempt.owner
+        attempt.done = True
+        request.in_flight -= 1
+        if attempt.peer is not None:
+            self.release_connection(attempt, result)
+        if result == AttemptResult.OK and not request.done:
+            request.done = True
+            self.respond(request, Outcome.SERVED)
+        spent = run.time.now - attempt.sent
+        if run.failover:
+            util = load[run.util_index] if 0 <= run.util_index < len(load) else -1.0
+            run.failover.attempt_ended(
+                self.number, attempt.backend, request.row.intent.cls, result, spent, util
+            )
         self.feed(
-            io.AttemptEnded(held.row.txn, out.number, out.box, result, spent, held.answered, load)
+            io.AttemptEnded(
+                request.row.txn, attempt.index, attempt.backend, result, spent, request.done, load
+            )
         )
-        self.forget(held)
+        self.forget(request)
 
-    def keep(self, out: Out, result: AttemptResult) -> None:
+    def release_connection(self, attempt: Attempt, result: AttemptResult) -> None:
         """Keep the connection after a response; close it after any other result."""
-        box = self.run.world.boxes[out.box]
-        if box.life is not out.life:
+        backend = self.run.world.backends[attempt.backend]
+        if backend.incarnation is not attempt.peer:
             return
         if result in (AttemptResult.OK, AttemptResult.REJECTED):
-            self.idle.setdefault(box.id, []).append((self.run.time.now, out.life))
+            self.idle.setdefault(backend.id, []).append((self.run.time.now, attempt.peer))
         else:
-            box.disconnect()
+            backend.disconnect()
 
-    def timed_out(self, life: int, out: Out) -> None:
-        if life == self.life and not out.over:
-            self.drop(out, AttemptResult.TIMEOUT)
+    def timed_out(self, epoch: int, attempt: Attempt) -> None:
+        if epoch == self.epoch and not attempt.done:
+            self.abandon(attempt, AttemptResult.TIMEOUT)
 
-    def cancel(self, request: int, attempt: int) -> None:
-        held = self.held.get(request)
-        if held and attempt < len(held.attempts) and not held.attempts[attempt].over:
+    def cancel(self, txn: int, index: int) -> None:
+        request = self.requests.get(txn)
+        if request and index < len(request.attempts) and not request.attempts[index].done:
             # Deferred: a policy gets no event while it handles another one.
-            self.run.time.at(self.run.time.now, self.cancelled, self.life, held.attempts[attempt])
+            self.run.time.at(self.run.time.now, self.cancelled, self.epoch, request.attempts[index])
 
-    def cancelled(self, life: int, out: Out) -> None:
-        if life == self.life and not out.over:
-            self.drop(out, AttemptResult.CANCELLED)
+    def cancelled(self, epoch: int, attempt: Attempt) -> None:
+        if epoch == self.epoch and not attempt.done:
+            self.abandon(attempt, AttemptResult.CANCELLED)
 
-    def drop(self, out: Out, result: AttemptResult) -> None:
+    def abandon(self, attempt: Attempt, result: AttemptResult) -> None:
         """Abandon an attempt by closing its connection."""
-        out.dropped = True
-        self.run.time.at(self.run.time.now + out.way, self.run.withdraw, out)
-        self.ended(self.life, out, result, ())
+        attempt.closed = True
+        self.run.time.at(self.run.time.now + attempt.lag, self.run.cancel_job, attempt)
+        self.ended(self.epoch, attempt, result, ())
 
     # Discovery
 
     def subscribe(self) -> None:
-        if not self.asking:
-            self.asking = True
-            self.call()
+        if not self.subscribing:
+            self.subscribing = True
+            self.call_discovery()
 
-    def call(self) -> None:
+    def call_discovery(self) -> None:
         run = self.run
-        run.time.at(run.time.now + run.delay(self.zone, 0), self._asked, self.life)
+        run.time.at(run.time.now + run.delay(self.zone, 0), self._call_received, self.epoch)
 
-    def _asked(self, life: int) -> None:
-        if life != self.life:
+    def _call_received(self, epoch: int) -> None:
+        if epoch != self.epoch:
             return
         run = self.run
-        due = run.world.directory.ask(self.number)
-        if due < 0 or due - run.time.now > CALL_NS:
-            run.time.at(run.time.now + CALL_NS, self._told, life, None)
+        due = run.world.discovery.accept_call(self.number)
+        if due < 0 or due - run.time.now > CALL_TIMEOUT_NS:
+            run.time.at(run.time.now + CALL_TIMEOUT_NS, self._update_received, epoch, None)
         else:
-            self._news_due = max(self._news_due, due + run.delay(self.zone, 0))
-            run.time.at(self._news_due, self._answered, life)
+            self._update_due = max(self._update_due, due + run.delay(self.zone, 0))
+            run.time.at(self._update_due, self._response_due, epoch)
 
-    def _answered(self, life: int) -> None:
-        directory = self.run.world.directory
-        if life != self.life:
+    def _response_due(self, epoch: int) -> None:
+        discovery = self.run.world.discovery
+        if epoch != self.epoch:
             return
-        if directory.down:
-            self._told(life, None)
+        if discovery.down:
+            self._update_received(epoch, None)
             return
-        directory.watch(self.number, lambda word: self._news(life, word))
-        self._told(life, directory.since(self.version), first=True)
+        discovery.watch(self.number, lambda update: self._watch_update(epoch, update))
+        self._update_received(epoch, discovery.updates_since(self.version), first=True)
 
-    def _news(self, life: int, word: Word | None) -> None:
+    def _watch_update(self, epoch: int, update: ListUpdate | None) -> None:
         # Guards against reordered updates: a watch is one connection.
         run = self.run
-        self._news_due = max(self._news_due, run.time.now + run.delay(self.zone, 0))
-        run.time.at(self._news_due, self._told, life, word)
+        self._update_due = max(self._update_due, run.time.now + run.delay(self.zone, 0))
+        run.time.at(self._update_due, self._update_received, epoch, update)
 
-    def _told(self, life: int, word: Word | None, first: bool = False) -> None:
+    def _update_received(self, epoch: int, update: ListUpdate | None, first: bool = False) -> None:
         run = self.run
-        if life != self.life:
+        if epoch != self.epoch:
             return
-        self.asking = False
-        if word is None:
+        self.subscribing = False
+        if update is None:
             self.feed(io.EndpointUpdate(UpdateScope.FAILED, self.version, []))
             if run.s.discovery.mode == "watch":
-                run.time.at(run.time.now + PAUSE_NS, self._again, life)
+                run.time.at(run.time.now + WATCH_RETRY_NS, self._renew_watch, epoch)
             return
-        if word.version < self.version or (not word.entries and not word.full and not first):
+        if update.version < self.version or (not update.entries and not update.full and not first):
             return
-        self.version = word.version
-        run.world.directory.note(self.number, word)
-        scope = UpdateScope.FULL if word.full else UpdateScope.DELTA
-        self.feed(io.EndpointUpdate(scope, word.version, list(word.entries)))
+        self.version = update.version
+        run.world.discovery.record_delivery(self.number, update)
+        scope = UpdateScope.FULL if update.full else UpdateScope.DELTA
+        self.feed(io.EndpointUpdate(scope, update.version, list(update.entries)))
 
-    def _again(self, life: int) -> None:
-        if life == self.life:
+    def _renew_watch(self, epoch: int) -> None:
+        if epoch == self.epoch:
             self.subscribe()
 
 
-class Ground:
+class Fleet:
     """The fleet interface of the simulated failover, implemented on a virtual run."""
 
-    def __init__(self, run: Virtual) -> None:
+    def __init__(self, run: VirtualRun) -> None:
         self.run = run
         self._listed: tuple[int, dict[str, float]] = (-NS, {})
 
     def zones(self) -> list[str]:
         return list(self.run.s.zones)
 
-    def zone_of_box(self, number: int) -> str:
-        return self.run.s.zones[self.run.world.boxes[number].zone]
+    def zone_of_backend(self, number: int) -> str:
+        return self.run.s.zones[self.run.world.backends[number].zone]
 
     def zone_of_proxy(self, proxy: int) -> str:
         return self.run.s.zones[proxy % len(self.run.s.zones)]
 
-    def up(self, proxy: int) -> bool:
+    def is_up(self, proxy: int) -> bool:
         return self.run.proxies[proxy].up
 
-    def apart(self, zone: str) -> bool:
+    def is_cut_off(self, zone: str) -> bool:
         return any(self.zone_of_proxy(proxy) == zone for proxy in self.run.silent)
 
-    def lost(self, zone: str) -> bool:
-        boxes = [b for b in self.run.world.boxes.values() if self.run.s.zones[b.zone] == zone]
-        gone = sum(b.silent or b.cut_in or b.cut_out or not b.up for b in boxes)
-        return 2 * gone > len(boxes)
+    def is_lost(self, zone: str) -> bool:
+        backends = [b for b in self.run.world.backends.values() if self.run.s.zones[b.zone] == zone]
+        gone = sum(b.silent or b.cut_in or b.cut_out or not b.up for b in backends)
+        return 2 * gone > len(backends)
 
-    def warm(self, proxy: int) -> Mapping[str, float]:
+    def warm_weights(self, proxy: int) -> Mapping[str, float]:
         """Warm weight of each zone by the endpoint list, cached for half a second."""
         run, now = self.run, self.run.time.now
         if now - self._listed[0] >= NS // 2:
-            rules, found = run.s.rules, dict.fromkeys(run.s.zones, 0.0)
-            for entry in run.world.directory.as_of(now).entries:
+            rules, weights = run.s.rules, dict.fromkeys(run.s.zones, 0.0)
+            for entry in run.world.discovery.as_of(now).entries:
                 if entry.health == Health.READY:
                     age = BASE_NS + now - entry.started_ns if entry.started_ns else rules.cold
                     part = rules.cold_from + (1 - rules.cold_from) * min(
                         1.0, max(0, age) / rules.cold
                     )
-                    found[run.s.zones[entry.zone]] += part * entry.weight
-            self._listed = (now, found)
+                    weights[run.s.zones[entry.zone]] += part * entry.weight
+            self._listed = (now, weights)
         return self._listed[1]
 
-    def later(self, wait_ns: int, what: Callable[..., object], *args: Any) -> None:
-        self.run.time.at(self.run.time.now + wait_ns, what, *args)
+    def call_later(self, wait_ns: int, callback: Callable[..., object], *args: Any) -> None:
+        self.run.time.at(self.run.time.now + wait_ns, callback, *args)
 
     def feed(self, proxy: int, event: io.Event) -> None:
         self.run.proxies[proxy].feed(event)
@@ -441,25 +439,25 @@
         return BASE_NS + self.run.time.now
 
 
-class Virtual:
+class VirtualRun:
     """One run; `play` returns its ledger. Failover is simulated if the policy asks for it."""
 
     def __init__(self, s: Scenario, make: MakePolicy, seed: int) -> None:
         self.s, self.make = s, make
-        self.commons: Commons | None = None
-        self.util = s.rules.reports.index("util") if "util" in s.rules.reports else -1
-        self.time = Heap()
+        self.failover: VirtualFailover | None = None
+        self.util_index = s.rules.reports.index("util") if "util" in s.rules.reports else -1
+        self.time = VirtualClock()
         self.world = World(s, seed, self.time, self, BASE_NS)
         self.ledger: Ledger = self.world.ledger
         self.silent: set[int] = set()  # proxies of a lost zone, which send no resets
         self.proxies = [Proxy(self, number) for number in range(s.proxies.count)]
-        self._luck = self.world.rng("network").random
+        self._random = self.world.rng("network").random
         self._near, self._far = float(s.network.near), float(s.network.far)
         self._jitter = s.network.jitter
-        if how := getattr(make, "commons", ""):
-            kinds = [k.name for k in s.classes], [int(k.aim) for k in s.classes]
-            self.commons = Commons(
-                Ground(self), s.proxies.count, *kinds, FailoverPolicy(), seed, truth=how == "truth"
+        if mode := getattr(make, "failover_mode", ""):
+            names = [k.name for k in s.classes], [int(k.aim) for k in s.classes]
+            self.failover = VirtualFailover(
+                Fleet(self), s.proxies.count, *names, FailoverPolicy(), seed, truth=mode == "truth"
             )
 
     def play(self, watch: Callable[[int], object] | None = None) -> Ledger:
@@ -467,11 +465,11 @@
         self.world.prepare()
         self.world.begin()
         for proxy in self.proxies:
-            proxy.boot()
-        if self.commons:
-            self.commons.begin()
-        rest = max(k.deadline for k in self.s.classes) + 2 * SLACK_NS
-        end = self.s.total_ns + rest
+            proxy.start()
+        if self.failover:
+            self.failover.begin()
+        grace_ns = max(k.deadline for k in self.s.classes) + 2 * DEADLINE_SLACK_NS
+        end = self.s.total_ns + grace_ns
         for second in range(NS, end + NS, NS):
             self.time.run(min(second, end))
             if watch:
@@ -481,52 +479,52 @@
     def delay(self, one: int, other: int) -> int:
         """One-way delay between two zones, ns."""
         base = self._near if one == other else self._far
-        return int(base * (1.0 + self._jitter * self._luck()))
+        return int(base * (1.0 + self._jitter * self._random()))
 
-    # Request transport
-
-    def ask(self, row: Try, repeated: bool) -> None:
+    def send_request(self, row: ClientRequest, is_retry: bool) -> None:
         proxy = self.proxies[row.proxy]
-        way = self.delay(row.intent.zone, proxy.zone)
-        self.time.at(self.time.now + way, proxy.arrive, row, repeated)
+        delay = self.delay(row.intent.zone, proxy.zone)
+        self.time.at(self.time.now + delay, proxy.arrive, row, is_retry)
 
-    def leave(self, row: Try) -> None:
+    def abandon_request(self, row: ClientRequest) -> None:
         proxy = self.proxies[row.proxy]
-        self.time.at(self.time.now + self.delay(row.intent.zone, proxy.zone), proxy.left, row)
+        self.time.at(self.time.now + self.delay(row.intent.zone, proxy.zone), proxy.leave, row)
 
-    def answer(self, row: Try, answer: Answer) -> None:
-        if answer == Answer.BROKEN:
+    def deliver(self, row: ClientRequest, outcome: Outcome) -> None:
+        if outcome == Outcome.BROKEN:
             row.excused = True
-        self.world.clients.answered(row, answer)
+        self.world.clients.record_outcome(row, outcome)
 
-    def replied(self, job: Job, fate: Fate) -> None:
+    def backend_replied(self, job: Job, result: AttemptOutcome) -> None:
         """Pass a backend's response, or the end of its connection, to the proxy."""
-        proxy, out = job.carry
-        box = self.world.boxes[out.box]
-        if box.silent or box.cut_out:
+        proxy, attempt = job.context
+        backend = self.world.backends[attempt.backend]
+        if backend.silent or backend.cut_out:
             return
-        load = box.report() if fate not in (Fate.RESET, Fate.LOST) else ()
-        self.time.at(self.time.now + out.way, proxy.ended, proxy.life, out, _RESULTS[fate], load)
+        load = backend.report() if result not in (AttemptOutcome.RESET, AttemptOutcome.LOST) else ()
+        self.time.at(
+            self.time.now + attempt.lag, proxy.ended, proxy.epoch, attempt, _RESULTS[result], load
+        )
 
-    def withdraw(self, out: Out) -> None:
-        if out.job:
-            self.world.boxes[out.box].withdraw(out.job)
+    def cancel_job(self, attempt: Attempt) -> None:
+        if attempt.job:
+            self.world.backends[attempt.backend].cancel(attempt.job)
 
-    def box_up(self, box: Box) -> None:
+    def backend_up(self, backend: Backend) -> None:
         pass  # senders check the state of the backend at each attempt
 
-    def box_changed(self, box: Box) -> None:
+    def backend_changed(self, backend: Backend) -> None:
         pass
 
     def proxy_down(self, proxy: int, silent: bool) -> None:
         if silent:
             self.silent.add(proxy)
-        self.proxies[proxy].die(silent)
+        self.proxies[proxy].stop(silent)
 
     def proxy_up(self, proxy: int, ready: Callable[[], object]) -> None:
-        self.time.at(self.time.now + BOOT_NS, self._boot, proxy, ready)
+        self.time.at(self.time.now + PROXY_START_NS, self._start, proxy, ready)
 
-    def _boot(self, proxy: int, ready: Callable[[], object]) -> None:
+    def _start(self, proxy: int, ready: Callable[[], object]) -> None:
         self.silent.discard(proxy)
-        self.proxies[proxy].boot()
+        self.proxies[proxy].start()
         ready()
--- a/mothstall/lab/wire.py
+++ b/mothstall/lab/wire.py
@@ -11,8 +11,8 @@
 
 from mothstall import interface as io
 from mothstall.interface import Health
-from mothstall.lab.directory import Word
-from mothstall.lab.ledger import Answer, Try
+from mothstall.lab.directory import ListUpdate
+from mothstall.lab.ledger import ClientRequest, Outcome
 from mothstall.lab.scenario import Kind, Scenario
 
 MAX_HEAD = 16 * 1024
@@ -70,7 +70,7 @@
         return bool(self._data)
 
 
-def request(s: Scenario, row: Try, kind: Kind, left_ns: int, repeated: bool) -> bytes:
+def request(s: Scenario, row: ClientRequest, kind: Kind, left_ns: int, repeated: bool) -> bytes:
     """A client's request."""
     safe = kind.effect == "safe"
     rows = [
@@ -115,7 +115,7 @@
     return ",".join(f"{name}={value:.3f}" for name, value in zip(names, values, strict=True))
 
 
-def read_answer(message: Message, row: Try) -> tuple[Answer, int]:
+def read_answer(message: Message, row: ClientRequest) -> tuple[Outcome, int]:
     """What an answer means to a client, and when it may come back (ns; 0: not told)."""
     parts = message.line.split(b" ", 2)
     if len(parts) < 2 or not parts[1].isdigit():
@@ -124,17 +124,17 @@
     if status == 200:
         if message.body != served(row.txn):
             raise Malformed("an answer that no box made for this request")
-        return Answer.SERVED, 0
+        return Outcome.SERVED, 0
     if status in (429, 503):
         try:
             after = float(message.headers.get(b"retry-after", b"0"))
         except ValueError:
             raise Malformed("Retry-After is no number") from None
-        return Answer.REFUSED, int(after * 1e9)
-    return Answer.FAILED, 0
+        return Outcome.REFUSED, int(after * 1e9)
+    return Outcome.FAILED, 0
 
 
-def listing(word: Word, zones: tuple[str, ...], ports: dict[int, int]) -> dict[str, object]:
+def listing(word: ListUpdate, zones: tuple[str, ...], ports: dict[int, int]) -> dict[str, object]:
     """The list, or its changes, as discovery's JSON."""
     return {
         "revision": word.version,
--- a/mothstall/lab/world.py
+++ b/mothstall/lab/world.py
@@ -15,22 +15,22 @@
 from mothstall import interface as io
 from mothstall.interface import Health
 from mothstall.lab import scenario as sc
-from mothstall.lab.box import Box, Shared
-from mothstall.lab.clients import Carrier, Clients, Front
-from mothstall.lab.directory import Directory
-from mothstall.lab.ledger import Fate, Ledger
+from mothstall.lab.box import Backend, SharedState
+from mothstall.lab.clients import Clients, ProxySelector, RequestTransport
+from mothstall.lab.directory import DiscoveryService
+from mothstall.lab.ledger import AttemptOutcome, Ledger
 from mothstall.lab.timeline import Timeline
 
 SAMPLE_NS = 500_000_000
-FIRST_BOX = 101
-BOOT_NS = 800_000_000  # from the end of a backend to its successor's start
+FIRST_BACKEND = 101
+BACKEND_START_NS = 800_000_000  # from the end of a backend to its successor's start
 
 
-class Driver(Carrier, Protocol):
-    def box_up(self, box: Box) -> None:
+class Driver(RequestTransport, Protocol):
+    def backend_up(self, backend: Backend) -> None:
         """Make a backend reachable, before discovery lists it."""
 
-    def box_changed(self, box: Box) -> None:
+    def backend_changed(self, backend: Backend) -> None:
         """Apply a change of a backend: stopped, unreachable, cut off, or reachable again."""
 
     def proxy_down(self, proxy: int, silent: bool) -> None: ...
@@ -45,35 +45,35 @@
     ) -> None:
         self.s, self.time, self.driver, self.base, self.seed = s, time, driver, base, seed
         self.ledger = Ledger()
-        self.shared = Shared()
-        self.boxes: dict[int, Box] = {}
-        self.directory = Directory(s.discovery, time, self.ledger, base)
-        self.front = Front(s, time, self.rng("front"))
+        self.shared = SharedState()
+        self.backends: dict[int, Backend] = {}
+        self.discovery = DiscoveryService(s.discovery, time, self.ledger, base)
+        self.proxy_selector = ProxySelector(s, time, self.rng("front"))
         self.clients = Clients(
             s,
             time=time,
             ledger=self.ledger,
-            front=self.front,
+            proxy_selector=self.proxy_selector,
             rng=self.rng("clients"),
-            carrier=driver,
+            transport=driver,
         )
-        self.luck = self.rng("troubles")
-        self._next_box = FIRST_BOX
-        turn = 0
+        self.fault_rng = self.rng("troubles")
+        self._next_backend = FIRST_BACKEND
+        zone_turn = 0
         for group in s.boxes:
             for _ in range(group.count):
-                zone = s.zones.index(group.zone) if group.zone else turn % len(s.zones)
-                turn += 1
-                self.add_box(group, zone, 0)
+                zone = s.zones.index(group.zone) if group.zone else zone_turn % len(s.zones)
+                zone_turn += 1
+                self.add_backend(group, zone, 0)
 
     def rng(self, purpose: str) -> random.Random:
         """A separate stream for each purpose: an extra draw in one does not change the others."""
         return random.Random(self.seed << 32 | zlib.crc32(purpose.encode()))
 
-    def add_box(self, group: sc.Boxes, zone: int, started: int) -> Box:
-        number = self._next_box
-        self._next_box += 1
-        box = self.boxes[number] = Box(
+    def add_backend(self, group: sc.Boxes, zone: int, started: int) -> Backend:
+        number = self._next_backend
+        self._next_backend += 1
+        backend = self.backends[number] = Backend(
             number,
             group,
             zone,
@@ -82,275 +82,317 @@
             ledger=self.ledger,
             shared=self.shared,
             rng=self.rng(f"box {number}"),
-            changed=self.driver.box_changed,
+            on_change=self.driver.backend_changed,
             started=started,
-            warm_subjects=self.s.clients.warm,
+            max_subjects=self.s.clients.warm,
             miss_cost=self.s.clients.miss_cost if self.s.clients.keys else 0.0,
         )
-        return box
+        return backend
 
-    def entry(self, box: Box, health: Health) -> io.Endpoint:
-        started = self.base + box.started if box.started else 0
+    def endpoint(self, backend: Backend, health: Health) -> io.Endpoint:
+        started = self.base + backend.started if backend.started else 0
         return io.Endpoint(
-            box.id, box.zone, 0, box.cell, health, box.group.cores * box.group.speed, started
+            backend.id,
+            backend.zone,
+            0,
+            backend.cell,
+            health,
+            backend.group.cores * backend.group.speed,
+            started,
         )
 
     def prepare(self) -> None:
         """Make all backends reachable and list them in discovery."""
-        for box in self.boxes.values():
-            self.driver.box_up(box)
-        self.directory.seed([self.entry(box, Health.READY) for box in self.boxes.values()])
+        for backend in self.backends.values():
+            self.driver.backend_up(backend)
+        self.discovery.set_initial(
+            [self.endpoint(backend, Health.READY) for backend in self.backends.values()]
+        )
 
     def begin(self) -> None:
         """Schedule the faults and the first arrival, before the first event."""
-        for trouble in self.s.troubles:
-            _PLAY[type(trouble)](self, trouble)
+        for fault in self.s.troubles:
+            _FAULT_METHODS[type(fault)](self, fault)
         self.time.at(0, self._sample)
         self.clients.start()
 
     def _sample(self) -> None:
-        rows = {b.id: (b.in_flight, b.warmth()) for b in self.boxes.values() if b.up}
+        rows = {b.id: (b.in_flight, b.warmth()) for b in self.backends.values() if b.up}
         self.ledger.samples.append((self.time.now, rows))
         if self.time.now < self.s.total_ns:
             self.time.at(self.time.now + SAMPLE_NS, self._sample)
 
     # Faults
 
-    def draw(self, t: sc.OnBoxes) -> list[Box]:
+    def draw_backends(self, fault: sc.BackendFault) -> list[Backend]:
         """Draw the affected backends at scheduling time, so that all policies get the same ones."""
-        pool = [b for b in self.boxes.values() if t.zone is None or self.s.zones[b.zone] == t.zone]
-        count = t.boxes or max(1, round(t.part * len(pool)))
-        return sorted(self.luck.sample(pool, min(count, len(pool))), key=lambda b: b.id)
-
-    def span(
-        self, t: sc.Trouble, begin: Callable[[], object], end: Callable[[], object], what: str
+        pool = [
+            b
+            for b in self.backends.values()
+            if fault.zone is None or self.s.zones[b.zone] == fault.zone
+        ]
+        count = fault.boxes or max(1, round(fault.part * len(pool)))
+        return sorted(self.fault_rng.sample(pool, min(count, len(pool))), key=lambda b: b.id)
+
+    def schedule_fault(
+        self,
+        fault: sc.Fault,
+        begin: Callable[[], object],
+        end: Callable[[], object],
+        description: str,
     ) -> None:
-        self.ledger.marks.append((t.at, t.at + t.lasts, what))
-        self.time.at(t.at, begin)
-        self.time.at(t.at + t.lasts, end)
+        self.ledger.fault_spans.append((fault.at, fault.at + fault.lasts, description))
+        self.time.at(fault.at, begin)
+        self.time.at(fault.at + fault.lasts, end)
 
-    def each(self, boxes: Iterable[Box], do: Callable[[Box], object]) -> Callable[[], None]:
+    def for_each(
+        self, backends: Iterable[Backend], do: Callable[[Backend], object]
+    ) -> Callable[[], None]:
         def run() -> None:
-            for box in boxes:
-                do(box)
+            for backend in backends:
+                do(backend)
 
         return run
 
-    def slow(self, t: sc.Slow) -> None:
-        boxes = self.draw(t)
+    def slow(self, fault: sc.Slow) -> None:
+        backends = self.draw_backends(fault)
 
-        def turn(on: bool) -> None:
-            if self.time.now >= t.at + t.lasts:
+        def switch(on: bool) -> None:
+            if self.time.now >= fault.at + fault.lasts:
                 return
-            self.each(boxes, lambda b: b.set_slow(t.factor if on else 1.0))()
-            if t.on:
-                self.time.at(self.time.now + (t.on if on else t.off), turn, not on)
-
-        self.span(
-            t, lambda: turn(True), self.each(boxes, lambda b: b.set_slow(1.0)), f"{len(boxes)} slow"
+            self.for_each(backends, lambda b: b.set_slow(fault.factor if on else 1.0))()
+            if fault.on:
+                self.time.at(self.time.now + (fault.on if on else fault.off), switch, not on)
+
+        self.schedule_fault(
+            fault,
+            lambda: switch(True),
+            self.for_each(backends, lambda b: b.set_slow(1.0)),
+            f"{len(backends)} slow",
         )
 
-    def hang(self, t: sc.Hang) -> None:
-        boxes = self.draw(t)
-        self.span(
-            t,
-            self.each(boxes, lambda b: b.hang(True)),
-            self.each(boxes, lambda b: b.hang(False)),
-            f"{len(boxes)} hung",
+    def hang(self, fault: sc.Hang) -> None:
+        backends = self.draw_backends(fault)
+        self.schedule_fault(
+            fault,
+            self.for_each(backends, lambda b: b.hang(True)),
+            self.for_each(backends, lambda b: b.hang(False)),
+            f"{len(backends)} hung",
         )
 
-    def pause(self, t: sc.Pause) -> None:
-        boxes = self.draw(t)
-        self.span(
-            t,
-            self.each(boxes, lambda b: b.pause(True)),
-            self.each(boxes, lambda b: b.pause(False)),
-            f"{len(boxes)} paused",
+    def pause(self, fault: sc.Pause) -> None:
+        backends = self.draw_backends(fault)
+        self.schedule_fault(
+            fault,
+            self.for_each(backends, lambda b: b.pause(True)),
+            self.for_each(backends, lambda b: b.pause(False)),
+            f"{len(backends)} paused",
         )
 
-    def crash(self, t: sc.Crash) -> None:
-        boxes = self.draw(t)
-        what = f"{len(boxes)} crashed"
-        self.span(t, self.each(boxes, self.end_box), self.each(boxes, self.restart_box), what)
+    def crash(self, fault: sc.Crash) -> None:
+        backends = self.draw_backends(fault)
+        description = f"{len(backends)} crashed"
+        self.schedule_fault(
+            fault,
+            self.for_each(backends, self.stop_backend),
+            self.for_each(backends, self.restart_backend),
+            description,
+        )
 
-    def failing(self, t: sc.Failing) -> None:
-        self._odds(t, "fail_odds", t.odds, "failing")
+    def failing(self, fault: sc.Failing) -> None:
+        self._set_odds(fault, "fail_odds", fault.odds, "failing")
 
-    def resets(self, t: sc.Resets) -> None:
-        self._odds(t, "reset_odds", t.odds, "resetting")
+    def resets(self, fault: sc.Resets) -> None:
+        self._set_odds(fault, "reset_odds", fault.odds, "resetting")
 
-    def spoilt(self, t: sc.Spoilt) -> None:
-        self._odds(t, "spoil_odds", t.odds, "spoiling")
+    def spoilt(self, fault: sc.Spoilt) -> None:
+        self._set_odds(fault, "spoil_odds", fault.odds, "spoiling")
 
-    def _odds(self, t: sc.OnBoxes, name: str, odds: float, what: str) -> None:
-        boxes = self.draw(t)
-        self.span(
-            t,
-            self.each(boxes, lambda b: setattr(b, name, odds)),
-            self.each(boxes, lambda b: setattr(b, name, 0.0)),
-            f"{len(boxes)} {what}",
+    def _set_odds(self, fault: sc.BackendFault, name: str, odds: float, description: str) -> None:
+        backends = self.draw_backends(fault)
+        self.schedule_fault(
+            fault,
+            self.for_each(backends, lambda b: setattr(b, name, odds)),
+            self.for_each(backends, lambda b: setattr(b, name, 0.0)),
+            f"{len(backends)} {description}",
         )
 
-    def cut(self, t: sc.Cut) -> None:
-        boxes = self.draw(t)
+    def cut(self, fault: sc.Cut) -> None:
+        backends = self.draw_backends(fault)
 
-        def put(on: bool) -> Callable[[Box], None]:
-            def do(box: Box) -> None:
-                box.cut_in = on and t.way != "out"
-                box.cut_out = on and t.way != "in"
-                self.driver.box_changed(box)
+        def apply(on: bool) -> Callable[[Backend], None]:
+            def do(backend: Backend) -> None:
+                backend.cut_in = on and fault.way != "out"
+                backend.cut_out = on and fault.way != "in"
+                self.driver.backend_changed(backend)
 
             return do
 
-        self.span(
-            t,
-            self.each(boxes, put(True)),
-            self.each(boxes, put(False)),
-            f"{len(boxes)} cut {t.way}",
+        self.schedule_fault(
+            fault,
+            self.for_each(backends, apply(True)),
+            self.for_each(backends, apply(False)),
+            f"{len(backends)} cut {fault.way}",
         )
 
-    def zone_lost(self, t: sc.ZoneLost) -> None:
-        zone = self.s.zones.index(t.zone)
-        gone: list[Box] = []
+    def zone_lost(self, fault: sc.ZoneLost) -> None:
+        zone = self.s.zones.index(fault.zone)
+        lost: list[Backend] = []
 
         def begin() -> None:
-            gone.extend(b for b in self.boxes.values() if b.zone == zone and b.up)
-            for box in gone:
-                box.silent = True
-                self.end_box(box)
+            lost.extend(b for b in self.backends.values() if b.zone == zone and b.up)
+            for backend in lost:
+                backend.silent = True
+                self.stop_backend(backend)
             for proxy in range(zone, self.s.proxies.count, len(self.s.zones)):
                 self.stop_proxy(proxy, silent=True)
 
         def end() -> None:
-            for box in gone:
-                self.restart_box(box)
+            for backend in lost:
+                self.restart_backend(backend)
             for proxy in range(zone, self.s.proxies.count, len(self.s.zones)):
                 self.start_proxy(proxy)
 
-        self.span(t, begin, end, f"{t.zone} lost")
+        self.schedule_fault(fault, begin, end, f"{fault.zone} lost")
 
-    def deploy(self, t: sc.Deploy) -> None:
-        order = list(self.boxes.values())
-        self.luck.shuffle(order)
-        order = order[: max(1, round(t.only * len(order)))]
-        size = max(1, math.ceil(t.batch * len(order)))
+    def deploy(self, fault: sc.Deploy) -> None:
+        order = list(self.backends.values())
+        self.fault_rng.shuffle(order)
+        order = order[: max(1, round(fault.only * len(order)))]
+        size = max(1, math.ceil(fault.batch * len(order)))
 
-        def drain(batch: list[Box]) -> None:
-            for box in batch:
-                if box.up and not box.silent:
-                    box.drain()
-                    self.directory.change(self.entry(box, Health.DRAINING))
-                    self.time.at(self.time.now + t.drain, replace, box)
+        def drain(batch: list[Backend]) -> None:
+            for backend in batch:
+                if backend.up and not backend.silent:
+                    backend.drain()
+                    self.discovery.schedule_change(self.endpoint(backend, Health.DRAINING))
+                    self.time.at(self.time.now + fault.drain, replace, backend)
 
-        def replace(box: Box) -> None:
-            if box.up:
-                self.end_box(box)
-            self.time.at(self.time.now + BOOT_NS, succeed, box)
+        def replace(backend: Backend) -> None:
+            if backend.up:
+                self.stop_backend(backend)
+            self.time.at(self.time.now + BACKEND_START_NS, start_successor, backend)
 
-        def succeed(box: Box) -> None:
-            fresh = self.add_box(box.group, box.zone, self.time.now)
-            self.driver.box_up(fresh)
-            self.directory.change(self.entry(fresh, Health.READY))
+        def start_successor(backend: Backend) -> None:
+            successor = self.add_backend(backend.group, backend.zone, self.time.now)
+            self.driver.backend_up(successor)
+            self.discovery.schedule_change(self.endpoint(successor, Health.READY))
 
-        last = int(t.at)
+        last = int(fault.at)
         for i in range(0, len(order), size):
-            last = t.at + i // size * t.every
+            last = fault.at + i // size * fault.every
             self.time.at(last, drain, order[i : i + size])
-        self.ledger.marks.append(
-            (t.at, max(last + t.drain, t.at + t.lasts), f"deploy of {len(order)}")
+        self.ledger.fault_spans.append(
+            (fault.at, max(last + fault.drain, fault.at + fault.lasts), f"deploy of {len(order)}")
         )
 
-    def discovery_down(self, t: sc.DiscoveryDown) -> None:
-        down = self.directory.set_down
-        self.span(t, lambda: down(True), lambda: down(False), "discovery down")
+    def discovery_down(self, fault: sc.DiscoveryDown) -> None:
+        down = self.discovery.set_down
+        self.schedule_fault(fault, lambda: down(True), lambda: down(False), "discovery down")
 
-    def discovery_stale(self, t: sc.DiscoveryStale) -> None:
-        stale = self.directory.set_stale
-        self.span(t, lambda: stale(True), lambda: stale(False), "discovery stale")
+    def discovery_stale(self, fault: sc.DiscoveryStale) -> None:
+        stale = self.discovery.set_stale
+        self.schedule_fault(fault, lambda: stale(True), lambda: stale(False), "discovery stale")
 
-    def proxy_killed(self, t: sc.ProxyKilled) -> None:
-        some = self.luck.sample(range(self.s.proxies.count), t.proxies)
+    def proxy_killed(self, fault: sc.ProxyKilled) -> None:
+        killed = self.fault_rng.sample(range(self.s.proxies.count), fault.proxies)
 
         def kill() -> None:
-            for proxy in some:
+            for proxy in killed:
                 self.stop_proxy(proxy, silent=False)
 
-        def revive() -> None:
-            for proxy in some:
+        def restart() -> None:
+            for proxy in killed:
                 self.start_proxy(proxy)
 
-        self.span(
-            t, kill, revive, "a proxy killed" if t.proxies == 1 else f"{t.proxies} proxies killed"
+        self.schedule_fault(
+            fault,
+            kill,
+            restart,
+            "a proxy killed" if fault.proxies == 1 else f"{fault.proxies} proxies killed",
         )
 
-    def proxy_hot(self, t: sc.ProxyHot) -> None:
-        proxy = self.luck.randrange(self.s.proxies.count)
-        heat = self.front.heat
-        self.span(
-            t, lambda: heat(proxy, t.factor), lambda: heat(proxy, 1 / t.factor), "a proxy hot"
+    def proxy_hot(self, fault: sc.ProxyHot) -> None:
+        proxy = self.fault_rng.randrange(self.s.proxies.count)
+        scale_weight = self.proxy_selector.scale_weight
+        self.schedule_fault(
+            fault,
+            lambda: scale_weight(proxy, fault.factor),
+            lambda: scale_weight(proxy, 1 / fault.factor),
+            "a proxy hot",
         )
 
-    def dependency(self, t: sc.Dependency) -> None:
-        cls = [k.name for k in self.s.classes].index(t.cls)
+    def dependency(self, fault: sc.Dependency) -> None:
+        cls = [k.name for k in self.s.classes].index(fault.cls)
 
         def end() -> None:
-            self.shared.broken.pop(cls, None)
-            for box in list(self.boxes.values()):
-                box.release(cls)
+            self.shared.dependency_faults.pop(cls, None)
+            for backend in list(self.backends.values()):
+                backend.resume_class(cls)
 
-        begin = lambda: self.shared.broken.update({cls: (t.how, t.factor)})  # noqa: E731
-        self.span(t, begin, end, f"{t.cls}: {t.how}")
+        begin = lambda: self.shared.dependency_faults.update({cls: (fault.how, fault.factor)})  # noqa: E731
+        self.schedule_fault(fault, begin, end, f"{fault.cls}: {fault.how}")
 
-    def burst(self, t: sc.Burst) -> None:
+    def burst(self, fault: sc.Burst) -> None:
         clients = self.clients
 
-        def put(factor: float) -> None:
-            if t.tenant is not None:
-                clients.tenants.factors[[x.name for x in self.s.tenants].index(t.tenant)] *= factor
+        def apply(factor: float) -> None:
+            if fault.tenant is not None:
+                clients.tenants.factors[[x.name for x in self.s.tenants].index(fault.tenant)] *= (
+                    factor
+                )
                 clients.tenants.update()
-            if t.cls is not None:
-                clients.kinds.factors[[k.name for k in self.s.classes].index(t.cls)] *= factor
-                clients.kinds.update()
-            if t.tenant is None and t.cls is None:
-                clients.burst *= factor
-
-        self.span(t, lambda: put(t.factor), lambda: put(1 / t.factor), f"burst x{t.factor:g}")
+            if fault.cls is not None:
+                clients.classes.factors[[k.name for k in self.s.classes].index(fault.cls)] *= factor
+                clients.classes.update()
+            if fault.tenant is None and fault.cls is None:
+                clients.burst_factor *= factor
+
+        self.schedule_fault(
+            fault,
+            lambda: apply(fault.factor),
+            lambda: apply(1 / fault.factor),
+            f"burst x{fault.factor:g}",
+        )
 
     # Stops and restarts of backends and proxies
 
-    def end_box(self, box: Box) -> None:
+    def stop_backend(self, backend: Backend) -> None:
         """End the process; discovery publishes the end after its lag."""
-        if box.up:
-            box.stop(Fate.LOST)
-            self.directory.change(self.entry(box, Health.GONE))
+        if backend.up:
+            backend.stop(AttemptOutcome.LOST)
+            self.discovery.schedule_change(self.endpoint(backend, Health.GONE))
 
-    def restart_box(self, box: Box) -> None:
+    def restart_backend(self, backend: Backend) -> None:
         """Restart cold under the same id. A backend that failed by cold overload stays down."""
-        if box.up or any(tip.box == box.id and tip.at >= box.started for tip in self.ledger.tips):
+        if backend.up or any(
+            overload.backend == backend.id and overload.at >= backend.started
+            for overload in self.ledger.cold_overloads
+        ):
             return
-        box.silent = False
-        box.start(self.time.now)
-        self.driver.box_up(box)
-        self.directory.change(self.entry(box, Health.READY))
+        backend.silent = False
+        backend.start(self.time.now)
+        self.driver.backend_up(backend)
+        self.discovery.schedule_change(self.endpoint(backend, Health.READY))
 
     def stop_proxy(self, proxy: int, silent: bool) -> None:
-        self.ledger.proxy_down.append((proxy, self.time.now, -1))
-        self.front.down(proxy)
+        self.ledger.proxy_outages.append((proxy, self.time.now, -1))
+        self.proxy_selector.proxy_died(proxy)
         self.driver.proxy_down(proxy, silent)
-        self.directory.forget(proxy)
+        self.discovery.forget_proxy(proxy)
 
     def start_proxy(self, proxy: int) -> None:
         self.driver.proxy_up(proxy, lambda: self._started(proxy))
 
     def _started(self, proxy: int) -> None:
-        rows = self.ledger.proxy_down
+        rows = self.ledger.proxy_outages
         for i, (who, since, until) in enumerate(rows):
             if who == proxy and until < 0:
                 rows[i] = (who, since, self.time.now)
-        self.front.back(proxy)
+        self.proxy_selector.proxy_restarted(proxy)
 
 
-_PLAY: dict[type, Callable[[World, Any], None]] = {
+_FAULT_METHODS: dict[type, Callable[[World, Any], None]] = {
     sc.Slow: World.slow,
     sc.Hang: World.hang,
     sc.Pause: World.pause,
--- a/tests/lab/scale/test_beside.py
+++ b/tests/lab/scale/test_beside.py
@@ -10,8 +10,16 @@
 
 from mothstall.interface import NS
 from mothstall.lab.command import main
-from mothstall.lab.judge import judge
-from mothstall.lab.ledger import Answer, Arrival, BoxLife, Fate, Intent, Ledger, Try
+from mothstall.lab.judge import check_run
+from mothstall.lab.ledger import (
+    Arrival,
+    AttemptOutcome,
+    BackendIncarnation,
+    ClientRequest,
+    Intent,
+    Ledger,
+    Outcome,
+)
 from mothstall.lab.scale import beside, real, tierfaults
 from mothstall.lab.scale.control import SERIES
 from mothstall.lab.scale.hollow import LEAVES_OUT, operator_tree
@@ -24,26 +32,26 @@
 def ledger(*rows: tuple[int, int]) -> Ledger:
     """Requests: when each was meant to be sent, and its time until it was served (ms); below 0: never."""
     found = Ledger()
-    found.lives.append(BoxLife(101, 0, 0, 2, 1.0, 0))
+    found.incarnations.append(BackendIncarnation(101, 0, 0, 2, 1.0, 0))
     for number, (start, took) in enumerate(rows, 1):
         served = start + took if took >= 0 else -1
         intent = Intent(number, 0, 0, 0, 0, start * MS, MS, False, True, False, 0.5)
         intent.served_at = served * MS if served >= 0 else -1
         found.intents.append(intent)
         end = (start + 1500) * MS
-        answer = Answer.SERVED if took >= 0 else Answer.SILENT
-        answered = served * MS if took >= 0 else end
-        found.tries.append(
-            Try(
+        outcome = Outcome.SERVED if took >= 0 else Outcome.SILENT
+        ended_at = served * MS if took >= 0 else end
+        found.requests.append(
+            ClientRequest(
                 number,
                 intent,
                 0,
                 start * MS,
                 end,
                 start * MS,
-                answer,
-                answered,
-                answers=int(took >= 0),
+                outcome,
+                ended_at,
+                response_count=int(took >= 0),
             )
         )
     return found
@@ -56,7 +64,7 @@
         self.found, self.run = found, self
 
     def judged(self, found: Ledger) -> Any:
-        return judge(SCENE, found)
+        return check_run(SCENE, found)
 
     def notes(self) -> dict[str, float]:
         return {"late_s": 0.0, "worst_late_ms": 0.0}
@@ -85,10 +93,10 @@
 
 def test_a_drain_that_was_lost_is_wrong() -> None:
     found = ledger(*GOOD)
-    found.told_out[(0, 101)] = [(500 * MS, -1)]
-    found.arrivals.append(Arrival(41, 0, 101, 405 * MS, MS, Fate.SERVED, 406 * MS))
+    found.notified_unavailable[(0, 101)] = [(500 * MS, -1)]
+    found.attempts.append(Arrival(41, 0, 101, 405 * MS, MS, AttemptOutcome.SERVED, 406 * MS))
     assert harmed(found) == []
-    found.arrivals.append(Arrival(191, 0, 101, 1905 * MS, MS, Fate.SERVED, 1906 * MS))
+    found.attempts.append(Arrival(191, 0, 101, 1905 * MS, MS, AttemptOutcome.SERVED, 1906 * MS))
     assert any("drains kept" in line for line in harmed(found))
 
 
@@ -97,7 +105,7 @@
     for row in found.intents[100:115]:  # refused, which breaks no rule
         row.served_at = -1
     assert harmed(found) == ["clients: 85 of 100 requests were served in second 1"]
-    found.late.append((1100 * MS, 1200 * MS))
+    found.late_spans.append((1100 * MS, 1200 * MS))
     assert harmed(found) == []
 
 
--- a/tests/lab/test_coldsum.py
+++ b/tests/lab/test_coldsum.py
@@ -18,55 +18,69 @@
 def test_a_fleet_keeps_well_within_the_bound(proxies: int, seed: int) -> None:
     # Of 200 seeds each those on which the text before came nearest to the bound: 0.92 of it (30, 193).
     outcome = coldsum.play(policy.Balancer, proxies, seed)
-    assert outcome.used <= 0.85, (outcome.used, outcome.worst)
+    assert outcome.max_ratio <= 0.85, (outcome.max_ratio, outcome.max_excess)
     assert outcome.cold_served > 0.1, "cold boxes must warm up"
 
 
 def test_the_same_seed_gives_the_same_sums() -> None:
     one, other = (coldsum.play(policy.Balancer, 20, 7) for _ in range(2))
-    assert [life.sums for life in one.lives] == [life.sums for life in other.lives]
-    assert (one.worst, one.used, one.served) == (other.worst, other.used, other.served)
-    assert coldsum.play(policy.Balancer, 20, 8).worst != one.worst
+    assert [incarnation.windows for incarnation in one.incarnations] == [
+        incarnation.windows for incarnation in other.incarnations
+    ]
+    assert (one.max_excess, one.max_ratio, one.served) == (
+        other.max_excess,
+        other.max_ratio,
+        other.served,
+    )
+    assert coldsum.play(policy.Balancer, 20, 8).max_excess != one.max_excess
 
 
 def test_a_fleet_that_minds_no_warmth_goes_past_the_bound() -> None:
     # The measure itself: who sends most to the newest is seen to push it over.
     outcome = coldsum.play(Careless, 20, 1)
-    assert outcome.worst > 0 and outcome.used > 1
+    assert outcome.max_excess > 0 and outcome.max_ratio > 1
 
 
 def test_the_sum_is_what_came_within_the_window() -> None:
     trial = coldsum.Trial(policy.Balancer, 5, 1)
-    number, box = next(iter(trial.boxes.items()))
-    box.started = trial.now = coldsum.BASE
-    life = box.life = coldsum.Life(number, trial.now)
-    window = trial.cfg["overload_window_ns"]
-    n = trial.cfg["overload_multiple"] * trial.capacity * trial.cfg["initial_warmth"] * window / NS
+    number, backend = next(iter(trial.backends.items()))
+    backend.started = trial.now = coldsum.BASE_NS
+    incarnation = backend.incarnation = coldsum.Incarnation(number, trial.now)
+    window = trial.settings["overload_window_ns"]
+    n = (
+        trial.settings["overload_multiple"]
+        * trial.capacity
+        * trial.settings["initial_warmth"]
+        * window
+        / NS
+    )
     for _ in range(3):
-        trial._press(0, number, 1.0)
-    assert life.total == 3 + coldsum.HANDSHAKE  # one connection
-    assert life.worst == pytest.approx(life.total - (n + 2 * math.sqrt(n) + 2))
+        trial._add_work(0, number, 1.0)
+    assert incarnation.load == 3 + coldsum.HANDSHAKE_COST  # one connection
+    assert incarnation.max_excess == pytest.approx(incarnation.load - (n + 2 * math.sqrt(n) + 2))
     trial.now += window
-    trial._press(1, number, 1.0)
-    assert life.total == pytest.approx(1 + coldsum.HANDSHAKE)  # the window has passed on
+    trial._add_work(1, number, 1.0)
+    assert incarnation.load == pytest.approx(1 + coldsum.HANDSHAKE_COST)  # the window has passed on
     trial.process[1] += 1
-    trial._press(1, number, 1.0)
-    assert life.total == pytest.approx(2 * (1 + coldsum.HANDSHAKE))  # a new process connects anew
+    trial._add_work(1, number, 1.0)
+    assert incarnation.load == pytest.approx(
+        2 * (1 + coldsum.HANDSHAKE_COST)
+    )  # a new process connects anew
 
 
 def test_probes_count_and_open_no_connection_to_a_cold_box() -> None:
     trial = coldsum.Trial(policy.Balancer, 20, 145)
-    assert trial.cfg["load_by_probes"]
+    assert trial.settings["load_by_probes"]
     seen: list[bool] = []
-    press = trial._press
+    press = trial._add_work
 
     def watched(k: int, number: int, work: float) -> None:
-        box = trial.boxes[number]
-        if work == coldsum.PROBE and box.started:
-            seen.append((k, trial.process[k]) in box.open)
+        backend = trial.backends[number]
+        if work == coldsum.PROBE_COST and backend.started:
+            seen.append((k, trial.process[k]) in backend.connections)
         press(k, number, work)
 
-    trial._press = watched  # type: ignore[method-assign]
+    trial._add_work = watched  # type: ignore[method-assign]
     trial.run()
     assert len(seen) > 100 and all(seen)
 
--- a/tests/lab/test_commons.py
+++ b/tests/lab/test_commons.py
@@ -16,8 +16,8 @@
 from mothstall.fleet.failover.transition import PlanTransition
 from mothstall.interface import NS
 from mothstall.lab import commons, policies, scenario
-from mothstall.lab.judge import judge
-from mothstall.lab.virtual import BASE_NS, Virtual
+from mothstall.lab.judge import check_run
+from mothstall.lab.virtual import BASE_NS, VirtualRun
 
 CUT = {
     "tries": "A zone's boxes are cut off from all proxies.",
@@ -36,10 +36,10 @@
 @pytest.mark.parametrize("policy", ["plan", "truth"])
 def test_a_virtual_fleet_shifts_and_returns(policy: str) -> None:
     s = scenario.from_tree(CUT, "cut")
-    run = Virtual(s, policies.parse(policy), 3)
+    run = VirtualRun(s, policies.parse(policy), 3)
     ledger = run.play()
-    assert run.commons is not None
-    plans = run.commons.plans
+    assert run.failover is not None
+    plans = run.failover.plans
     began = BASE_NS / NS + 6.0
     assert 0.0 <= commons.first_shift_s(plans, began) <= 3.0
     during = [plan for at, plan in plans if began <= at < began + 7.0]
@@ -48,8 +48,8 @@
         sum(plan.weights.get("west", {"west": 1.0}).values()) <= 1.0 + 1e-9 for plan in during
     )
     assert not plans[-1][1].weights, "all is free again"
-    assert not judge(s, ledger).broken
-    again = Virtual(s, policies.parse(policy), 3)
+    assert not check_run(s, ledger).broken
+    again = VirtualRun(s, policies.parse(policy), 3)
     assert again.play().digest() == ledger.digest(), "a seed plays the same day again"
 
 
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -17,7 +17,7 @@
 from mothstall.lab import bench, command, compare, policies, scenario, start
 from mothstall.lab.compare import difference
 from mothstall.lab.live import Board
-from mothstall.lab.virtual import Virtual
+from mothstall.lab.virtual import VirtualRun
 
 
 def test_a_difference_means_something_only_where_its_interval_is_off_nought() -> None:
@@ -215,10 +215,10 @@
 
 
 def test_a_run_is_shown_while_it_goes_on() -> None:
-    s = scenario.lasting(scenario.load("hung-box"), 13.0)
+    s = scenario.with_duration(scenario.load("hung-box"), 13.0)
     for terminal in (False, True):
         out = io.StringIO()
-        run = Virtual(s, policies.parse("module"), 1)
+        run = VirtualRun(s, policies.parse("module"), 1)
         with Board(s, Console(file=out, force_terminal=terminal, width=120)) as board:
             run.play(board.watch(run))
         shown = out.getvalue()
