--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -8,8 +8,17 @@
 
 from mothstall.interface import NS
 from mothstall.lab import runs, scenario
-from mothstall.lab.judge import RULES, judge
-from mothstall.lab.ledger import Answer, Arrival, BoxLife, Fate, Intent, Ledger, Tip, Try
+from mothstall.lab.judge import RULES, check_run
+from mothstall.lab.ledger import (
+    Arrival,
+    AttemptOutcome,
+    BackendIncarnation,
+    ClientRequest,
+    ColdOverload,
+    Intent,
+    Ledger,
+    Outcome,
+)
 
 MS = 1_000_000
 SCENE = scenario.from_tree(
@@ -34,38 +43,40 @@
 LOOK, FILE, SIGN = range(3)
 
 
-def book(cls: int = LOOK, answer: Answer = Answer.SERVED) -> tuple[Ledger, Try]:
+def book(cls: int = LOOK, answer: Outcome = Outcome.SERVED) -> tuple[Ledger, ClientRequest]:
     """A ledger with one request that went well: asked at 1 s, at box 1 after 2 ms, answered after 30."""
     ledger = Ledger()
     for box, zone in ((1, 0), (2, 1), (3, 0)):
-        ledger.lives.append(BoxLife(box, zone, 0, 2, 1.0, 0))
+        ledger.incarnations.append(BackendIncarnation(box, zone, 0, 2, 1.0, 0))
     intent = Intent(1, cls, 0, 0, 0, NS, 20 * MS, False, True, False, 0.5)
-    intent.served_at = NS + 30 * MS if answer == Answer.SERVED else -1
-    row = Try(1, intent, 0, NS, NS + 1500 * MS, NS + MS, answer, NS + 30 * MS, 1)
+    intent.served_at = NS + 30 * MS if answer == Outcome.SERVED else -1
+    row = ClientRequest(1, intent, 0, NS, NS + 1500 * MS, NS + MS, answer, NS + 30 * MS, 1)
     ledger.intents.append(intent)
-    ledger.tries.append(row)
+    ledger.requests.append(row)
     arrive(ledger, 2)
     return ledger, row
 
 
-def arrive(ledger: Ledger, after_ms: int, box: int = 1, fate: Fate = Fate.SERVED) -> None:
+def arrive(
+    ledger: Ledger, after_ms: int, box: int = 1, outcome: AttemptOutcome = AttemptOutcome.SERVED
+) -> None:
     at = NS + after_ms * MS
-    ledger.arrivals.append(Arrival(1, 0, box, at, 20 * MS, fate, at + 20 * MS, 20 * MS))
+    ledger.attempts.append(Arrival(1, 0, box, at, 20 * MS, outcome, at + 20 * MS, 20 * MS))
 
 
 def lost() -> Ledger:
-    ledger, row = book(answer=Answer.SILENT)
-    row.answers = 0
+    ledger, row = book(answer=Outcome.SILENT)
+    row.response_count = 0
     return ledger
 
 
 def cut_short() -> Ledger:
-    return book(answer=Answer.BROKEN)[0]
+    return book(answer=Outcome.BROKEN)[0]
 
 
 def double() -> Ledger:
     ledger, row = book()
-    row.answers = 2
+    row.response_count = 2
     return ledger
 
 
@@ -103,24 +114,24 @@
 
 
 def refused() -> Ledger:
-    return book(SIGN, Answer.REFUSED)[0]
+    return book(SIGN, Outcome.REFUSED)[0]
 
 
 def refused_outside_all() -> Ledger:
-    return book(FILE, Answer.REFUSED)[0]
+    return book(FILE, Outcome.REFUSED)[0]
 
 
 def drained() -> Ledger:
     ledger, _ = book()
-    ledger.told_out[0, 1] = [(NS // 10, -1)]
+    ledger.notified_unavailable[0, 1] = [(NS // 10, -1)]
     return ledger
 
 
 def tipped() -> Ledger:
     ledger, _ = book()
-    ledger.lives.append(BoxLife(9, 0, 0, 2, 1.0, 2 * NS))
-    ledger.tips.append(Tip(9, 3 * NS, 2 * NS, {0: 700 * MS, 1: 300 * MS}))
-    ledger.told_start[0, 9, 2 * NS] = 2 * NS + 1
+    ledger.incarnations.append(BackendIncarnation(9, 0, 0, 2, 1.0, 2 * NS))
+    ledger.cold_overloads.append(ColdOverload(9, 3 * NS, 2 * NS, {0: 700 * MS, 1: 300 * MS}))
+    ledger.notified_start[0, 9, 2 * NS] = 2 * NS + 1
     return ledger
 
 
@@ -144,63 +155,63 @@
 def test_each_kind_of_breach_is_found_and_names_what_it_is_of(
     make: Callable[[], Ledger], kind: str
 ) -> None:
-    verdict = judge(SCENE, make())
+    verdict = check_run(SCENE, make())
     assert verdict.rules == {kind: 1} and verdict.broken
-    breach = verdict.breaches[0]
-    assert breach.at_ns > 0 and (breach.request or breach.box) and breach.what
+    breach = verdict.violations[0]
+    assert breach.at_ns > 0 and (breach.request or breach.backend) and breach.detail
 
 
 def test_what_is_allowed_is_no_breach() -> None:
     ledger, row = book(FILE)  # a second copy inside zone and window, and a client that left
     row.at = NS + 500 * MS
     arrive(ledger, 400, 3)
-    assert not judge(SCENE, ledger).rules
-    ledger, row = book(SIGN, Answer.REFUSED)  # refused, and never ran
-    ledger.arrivals[0].fate = Fate.TURNED_AWAY
-    assert not judge(SCENE, ledger).rules
-    ledger, row = book(answer=Answer.LEFT)  # left in the instant of its answer
-    row.at, row.answers = NS + 30 * MS, 1
-    assert not judge(SCENE, ledger).rules
-    ledger, row = book(answer=Answer.BROKEN)  # its proxy was killed with the answer half written
+    assert not check_run(SCENE, ledger).rules
+    ledger, row = book(SIGN, Outcome.REFUSED)  # refused, and never ran
+    ledger.attempts[0].outcome = AttemptOutcome.REJECTED
+    assert not check_run(SCENE, ledger).rules
+    ledger, row = book(answer=Outcome.LEFT)  # left in the instant of its answer
+    row.at, row.response_count = NS + 30 * MS, 1
+    assert not check_run(SCENE, ledger).rules
+    ledger, row = book(answer=Outcome.BROKEN)  # its proxy was killed with the answer half written
     row.excused = True
-    assert not judge(SCENE, ledger).rules
+    assert not check_run(SCENE, ledger).rules
     ledger, _ = book()
-    ledger.told_out[0, 1] = [(NS // 10, NS // 2)]  # listed again since
-    assert not judge(SCENE, ledger).rules
+    ledger.notified_unavailable[0, 1] = [(NS // 10, NS // 2)]  # listed again since
+    assert not check_run(SCENE, ledger).rules
     ledger = tipped()
-    ledger.told_start.clear()  # nobody could know that it had started
-    assert not judge(SCENE, ledger).rules
+    ledger.notified_start.clear()  # nobody could know that it had started
+    assert not check_run(SCENE, ledger).rules
 
 
 def test_a_late_driver_is_no_breach_of_time_but_one_of_effects() -> None:
     for make, kind in BREACHES:
         ledger = make()
-        ledger.late.append((NS // 2, 4 * NS))
-        verdict = judge(SCENE, ledger)
+        ledger.late_spans.append((NS // 2, 4 * NS))
+        verdict = check_run(SCENE, ledger)
         timeless = kind in ("double", "effect-twice", "false-refusal")
         assert (verdict.rules, verdict.excused) == (({kind: 1}, 0) if timeless else ({}, 1)), kind
 
 
 def test_service_counts_from_the_intended_start_and_work_by_its_end() -> None:
     ledger, row = book()
-    verdict = judge(SCENE, ledger)
+    verdict = check_run(SCENE, ledger)
     assert verdict.worth == 1.0 and verdict.wasted == {"served": 1.0}
     assert verdict.latency["look"]["p50"] == pytest.approx(30, abs=0.1)
     row.intent.served_at = row.intent.start + 400 * MS  # past the aim, before the deadline
-    assert judge(SCENE, ledger).worth == pytest.approx(0.3)
+    assert check_run(SCENE, ledger).worth == pytest.approx(0.3)
     row.intent.served_at = row.intent.start + 1600 * MS
-    assert judge(SCENE, ledger).worth == 0.0
+    assert check_run(SCENE, ledger).worth == 0.0
     arrive(ledger, 20)
-    arrive(ledger, 25, fate=Fate.CANCELLED)
-    arrive(ledger, 26, fate=Fate.REPEAT)
-    wasted = judge(SCENE, ledger).wasted
+    arrive(ledger, 25, outcome=AttemptOutcome.CANCELLED)
+    arrive(ledger, 26, outcome=AttemptOutcome.DUPLICATE)
+    wasted = check_run(SCENE, ledger).wasted
     assert wasted == {"cancelled": 0.25, "repeat_dropped": 0.25, "served": 0.25, "spare_copy": 0.25}
 
 
 def test_careless_is_caught_at_each_rule_and_the_module_at_none() -> None:
     caught: set[str] = set()
     for name in ("demo", "keyed-in-zones", "rolling-deploy"):
-        s = scenario.lasting(scenario.load(name), 20.0)
+        s = scenario.with_duration(scenario.load(name), 20.0)
         caught |= set(runs.play(s, "careless", 1).verdict.rules)
         assert not runs.play(s, "module", 1).verdict.rules
     assert caught == set(RULES)
--- a/tests/lab/test_mutations.py
+++ b/tests/lab/test_mutations.py
@@ -127,7 +127,7 @@
         texts[module] = texts[module].replace(old, new)
     mutated_policy = policy_source.from_package(texts)
     return runs.play_made(
-        scenario.lasting(scenario.load(name), seconds), mutated_policy, "mutant", 1
+        scenario.with_duration(scenario.load(name), seconds), mutated_policy, "mutant", 1
     )
 
 
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from mothstall.lab import report, runs, scenario, wire
-from mothstall.lab.ledger import Answer, Fate, Intent, Try
+from mothstall.lab.ledger import AttemptOutcome, ClientRequest, Intent, Outcome
 
 MS = 1_000_000
 SCENE = scenario.from_tree(
@@ -45,9 +45,14 @@
 def test_real_proxies_keep_the_rules_under_many_troubles_and_fare_as_in_the_model() -> None:
     real = runs.play(SCENE, "module", 3, "sockets")
     assert not real.verdict.rules, real.text()
-    assert {Fate.SERVED, Fate.SPOILT} <= {row.fate for row in real.ledger.arrivals}
-    assert {life.box for life in real.ledger.lives} >= {101, 107}  # a successor was listed and met
-    assert any(spans for spans in real.ledger.told_out.values())
+    assert {AttemptOutcome.SERVED, AttemptOutcome.UNREADABLE} <= {
+        row.outcome for row in real.ledger.attempts
+    }
+    assert {incarnation.backend for incarnation in real.ledger.incarnations} >= {
+        101,
+        107,
+    }  # a successor was listed and met
+    assert any(spans for spans in real.ledger.notified_unavailable.values())
     assert real.notes["proxy_cpu_s"] > 0
     model = runs.play(SCENE, "module", 3)
     assert [x.start for x in real.ledger.intents] == [x.start for x in model.ledger.intents]
@@ -58,7 +63,7 @@
 
 
 def test_a_machine_that_runs_late_is_said_to_and_breaks_no_rule() -> None:
-    s = scenario.lasting(scenario.load("steady"), 2.5)
+    s = scenario.with_duration(scenario.load("steady"), 2.5)
 
     def stall(_: object) -> Callable[[int], object]:
         return lambda now: time.sleep(1.7) if now < 1_500 * MS else None  # longer than any deadline
@@ -69,8 +74,10 @@
     assert "LATE" in result.text()
 
 
-def row() -> Try:
-    return Try(7, Intent(3, 2, 1, 0, 0, 0, 20 * MS, False, True, False, 0.5), 0, 0, 900 * MS)
+def row() -> ClientRequest:
+    return ClientRequest(
+        7, Intent(3, 2, 1, 0, 0, 0, 20 * MS, False, True, False, 0.5), 0, 0, 900 * MS
+    )
 
 
 @given(st.lists(st.integers(1, 80), max_size=12))
@@ -113,12 +120,15 @@
 
 
 def test_answers_are_told_apart_and_one_of_another_request_is_none() -> None:
-    def read(raw: bytes) -> tuple[Answer, int]:
+    def read(raw: bytes) -> tuple[Outcome, int]:
         return wire.read_answer(next(iter(wire.Reader().feed(raw))), row())
 
-    assert read(wire.answer(200, wire.served(7))) == (Answer.SERVED, 0)
-    assert read(wire.answer(503, more="Retry-After: 0.25\r\n")) == (Answer.REFUSED, 250 * MS)
-    assert read(wire.answer(502)) == (Answer.FAILED, 0)
+    assert read(wire.answer(200, wire.served(7))) == (Outcome.SERVED, 0)
+    assert read(wire.answer(503, more="Retry-After: 0.25\r\n")) == (
+        Outcome.REFUSED,
+        250 * MS,
+    )
+    assert read(wire.answer(502)) == (Outcome.FAILED, 0)
     for raw in (wire.answer(200, wire.served(8)), wire.answer(503, more="Retry-After: soon\r\n")):
         with pytest.raises(wire.Malformed):
             read(raw)
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -12,7 +12,7 @@
 import pytest
 
 from mothstall.lab import runs, scenario
-from mothstall.lab.ledger import Answer, Fate
+from mothstall.lab.ledger import AttemptOutcome, Outcome
 
 ROOT = Path(__file__).parents[2]
 
@@ -44,10 +44,12 @@
     one, other = (json.loads(lab(*words, "5", PYTHONHASHSEED=h).stdout) for h in ("1", "2"))
     assert one == other and one["intents"] > 300
     assert (
-        runs.play(scenario.lasting(scenario.load("demo"), 6.0), "module", 5).digest == one["digest"]
+        runs.play(scenario.with_duration(scenario.load("demo"), 6.0), "module", 5).digest
+        == one["digest"]
     )
     assert (
-        runs.play(scenario.lasting(scenario.load("demo"), 6.0), "module", 6).digest != one["digest"]
+        runs.play(scenario.with_duration(scenario.load("demo"), 6.0), "module", 6).digest
+        != one["digest"]
     )
     needed = {
         "scenario",
@@ -76,29 +78,32 @@
     rows = [runs.play(s, name, 3).ledger.intents for name in ("module", "random")]
     for one, other in zip(*rows, strict=True):
         drawn = [
-            (x.start, x.cls, x.tenant, x.zone, x.work, x.hurried, x.luck) for x in (one, other)
+            (x.start, x.cls, x.tenant, x.zone, x.work, x.leaves_early, x.retry_jitter)
+            for x in (one, other)
         ]
         assert drawn[0] == drawn[1]
 
 
-TROUBLES: list[tuple[dict[str, Any], set[Fate]]] = [
-    ({"kind": "hang", "boxes": 1}, {Fate.CANCELLED}),
-    ({"kind": "crash", "boxes": 2}, {Fate.LOST}),
-    ({"kind": "failing", "boxes": 1}, {Fate.ERROR}),
-    ({"kind": "resets", "boxes": 2}, {Fate.RESET}),
-    ({"kind": "spoilt", "boxes": 2}, {Fate.SPOILT}),
-    ({"kind": "dependency", "cls": "read", "how": "fail"}, {Fate.ERROR}),
-    ({"kind": "dependency", "cls": "read"}, {Fate.CANCELLED}),
-    ({"kind": "cut", "boxes": 2, "way": "out"}, {Fate.SERVED}),
+TROUBLES: list[tuple[dict[str, Any], set[AttemptOutcome]]] = [
+    ({"kind": "hang", "boxes": 1}, {AttemptOutcome.CANCELLED}),
+    ({"kind": "crash", "boxes": 2}, {AttemptOutcome.LOST}),
+    ({"kind": "failing", "boxes": 1}, {AttemptOutcome.ERROR}),
+    ({"kind": "resets", "boxes": 2}, {AttemptOutcome.RESET}),
+    ({"kind": "spoilt", "boxes": 2}, {AttemptOutcome.UNREADABLE}),
+    ({"kind": "dependency", "cls": "read", "how": "fail"}, {AttemptOutcome.ERROR}),
+    ({"kind": "dependency", "cls": "read"}, {AttemptOutcome.CANCELLED}),
+    ({"kind": "cut", "boxes": 2, "way": "out"}, {AttemptOutcome.SERVED}),
 ]
 
 
-@pytest.mark.parametrize(("trouble", "fates"), TROUBLES, ids=[str(t["kind"]) for t, _ in TROUBLES])
+@pytest.mark.parametrize(
+    ("trouble", "outcomes"), TROUBLES, ids=[str(t["kind"]) for t, _ in TROUBLES]
+)
 def test_a_trouble_shows_at_the_boxes_and_breaks_no_rule(
-    trouble: dict[str, Any], fates: set[Fate]
+    trouble: dict[str, Any], outcomes: set[AttemptOutcome]
 ) -> None:
     result = runs.play(small(troubles=[{"at": "3s", "lasts": "4s", **trouble}]), "module", 2)
-    assert fates <= {row.fate for row in result.ledger.arrivals}
+    assert outcomes <= {row.outcome for row in result.ledger.attempts}
     assert not result.verdict.rules and 0.3 < result.verdict.worth <= 1.0
 
 
@@ -107,7 +112,7 @@
     result = runs.play(
         small(troubles=[hang]), "random", 2
     )  # the module may hold nothing there by then
-    assert Fate.RESET in {row.fate for row in result.ledger.arrivals}
+    assert AttemptOutcome.RESET in {row.outcome for row in result.ledger.attempts}
 
 
 def test_a_lost_zone_is_silent_and_a_killed_proxy_is_not() -> None:
@@ -116,16 +121,19 @@
         "module",
         2,
     )
-    assert {1} == {proxy for proxy, _, _ in lost.ledger.proxy_down}
-    silent = [t for t in lost.ledger.tries if t.answer == Answer.SILENT]
-    assert silent and all(t.proxy == 1 and (t.excused or t.taken < 0) for t in silent)
+    assert {1} == {proxy for proxy, _, _ in lost.ledger.proxy_outages}
+    silent = [t for t in lost.ledger.requests if t.outcome == Outcome.SILENT]
+    assert silent and all(t.proxy == 1 and (t.excused or t.accepted < 0) for t in silent)
     killed = runs.play(
         small(troubles=[{"kind": "proxy-killed", "at": "3s", "lasts": "2s", "proxies": 2}]),
         "module",
         2,
     )
-    ends = {t.answer for t in killed.ledger.tries}
-    assert {Answer.BROKEN, Answer.UNREACHED} <= ends and Answer.SILENT not in ends
+    ends = {t.outcome for t in killed.ledger.requests}
+    assert {
+        Outcome.BROKEN,
+        Outcome.UNREACHED,
+    } <= ends and Outcome.SILENT not in ends
     assert not lost.verdict.rules and not killed.verdict.rules
 
 
@@ -146,31 +154,31 @@
         troubles=[{"kind": "pause", "at": "3s", "lasts": "1s", "boxes": 2}],
     )
     result = runs.play(s, "module", 4)
-    copies = [row for row in result.ledger.arrivals if row.fate == Fate.REPEAT]
+    copies = [row for row in result.ledger.attempts if row.outcome == AttemptOutcome.DUPLICATE]
     assert (
         copies and not result.verdict.rules
     )  # some ran beside their first, and no effect came twice
 
 
 def test_troubles_that_outlast_the_run_leave_no_recovery_to_tell() -> None:
-    s = scenario.lasting(scenario.load("never-over"), 14.0)
+    s = scenario.with_duration(scenario.load("never-over"), 14.0)
     result = runs.play(s, "module", 1)
     assert result.verdict.recover_s is None and "not within the run" in result.text()
-    assert any(until > s.total_ns for _, until, _ in result.ledger.marks)
+    assert any(until > s.total_ns for _, until, _ in result.ledger.fault_spans)
 
 
 def test_boxes_are_tipped_by_many_proxies_together_though_each_keeps_its_part() -> None:
     s = scenario.load("cold-by-many")
-    assert not runs.play(scenario.lasting(s, 14.0), "module", 1).verdict.rules
-    verdict = runs.play(scenario.lasting(s, 14.0), "careless", 1).verdict
-    tips = [b for b in verdict.breaches if b.kind == "tipped"]
-    assert tips and all("proxies" in b.what for b in tips)
+    assert not runs.play(scenario.with_duration(s, 14.0), "module", 1).verdict.rules
+    verdict = runs.play(scenario.with_duration(s, 14.0), "careless", 1).verdict
+    overloads = [b for b in verdict.violations if b.kind == "tipped"]
+    assert overloads and all("proxies" in b.detail for b in overloads)
 
 
 def test_three_hundred_proxies_before_sixty_boxes_keep_the_rules_through_a_hang() -> None:
     s = scenario.load("three-hundred")
     hang = [t for t in s.troubles if t.at == 10_000_000_000]
     assert len(hang) == 1
-    result = runs.play(scenario.lasting(s, 12.0), "module", 1)
+    result = runs.play(scenario.with_duration(s, 12.0), "module", 1)
     assert not result.verdict.rules and result.verdict.worth > 0.9
-    assert len({t.proxy for t in result.ledger.tries}) == 300
+    assert len({t.proxy for t in result.ledger.requests}) == 300
