--- a/mothstall/lab/box.py
+++ b/mothstall/lab/box.py
@@ -100,9 +100,8 @@
 
     def __init__(self) -> None:
         self.key_stores: dict[tuple[str, int], KeyStore] = {}
-        self.dependency_faults: dict[
-            int, tuple[str, float]
-        ] = {}  # by class: mode and factor of its dependency's fault
+        # By class: mode and factor of its dependency's fault.
+        self.dependency_faults: dict[int, tuple[str, float]] = {}
 
     def key_store(self, group: str, group_index: int) -> KeyStore:
         return self.key_stores.setdefault((group, group_index), KeyStore())
@@ -141,9 +140,8 @@
         self.queue: deque[Job] = deque()
         self.running: list[Job] = []
         self.waiting: set[Job] = set()  # jobs without a core: on a dependency, paused, or hung
-        self._deferred_responses: list[
-            tuple[Job, AttemptOutcome]
-        ] = []  # responses held back until a pause ends
+        # Responses held back until a pause ends.
+        self._deferred_responses: list[tuple[Job, AttemptOutcome]] = []
         self._recent_work: deque[tuple[int, int, int]] = deque()
         self._recent_work_sum = 0
         self._cached_subjects: dict[int, None] = {}
--- a/mothstall/lab/clients.py
+++ b/mothstall/lab/clients.py
@@ -22,7 +22,7 @@
 
 
 class RequestTransport(Protocol):
-    """Sends a client's request to a proxy, and reports its end to `Clients.answered`."""
+    """Sends a client's request to a proxy, and reports its end to `Clients.record_outcome`."""
 
     def send_request(self, request: ClientRequest, is_retry: bool) -> None: ...
 
--- a/mothstall/lab/coldsum.py
+++ b/mothstall/lab/coldsum.py
@@ -26,22 +26,13 @@
 from mothstall.lab.policies import parse
 
 MS = NS // 1000
-SIZES = {
-    5: (6, 12),
-    20: (8, 16, 24),
-    30: (12, 20, 30),
-    200: (24, 40, 60),
-}  # choices of the number of backends, by number of proxies
-BASE_NS = 1_000_000 * NS  # the clock's start
-WARM_UP_NS, OBSERVED_NS = (
-    6 * NS,
-    9 * NS,
-)  # before the restarts of backends, and the observed part of their warm-up
+# Numbers of backends to draw from, by number of proxies.
+SIZES = {5: (6, 12), 20: (8, 16, 24), 30: (12, 20, 30), 200: (24, 40, 60)}
+BASE_NS = 1_000_000 * NS  # start of the clock
+WARM_UP_NS, OBSERVED_NS = 6 * NS, 9 * NS  # before and after the restarts of backends
 QUEUE_PER_CORE = 4  # requests that wait per core before a backend rejects more
 HANDSHAKE_COST, PROBE_COST = 0.25, 0.02  # cost of a new connection and of a probe, in mean requests
-MIN_WORK = (
-    2 * HANDSHAKE_COST
-)  # least work of a request, above that of a probe with a new connection
+MIN_WORK = 2 * HANDSHAKE_COST  # of a request; above that of a probe with a new connection
 DOWNTIME_NS = (NS // 2, 5 * NS)  # least and most downtime of a proxy
 MAX_REFUSAL_NS = 2 * NS  # longest time for which a restarted backend refuses connections
 ROUND_TRIP_NS = 1 * MS
@@ -58,9 +49,7 @@
         default_factory=deque
     )  # within fall-ns: time, and work
     load: float = 0.0
-    max_excess: float = (
-        -math.inf
-    )  # greatest excess of the load over the limit, in requests of mean work
+    max_excess: float = -math.inf  # of the load over the limit, in requests of mean work
     max_ratio: float = 0.0  # greatest ratio of the load to the limit
     windows: list[tuple[float, float, int]] = field(
         default_factory=list
@@ -112,9 +101,7 @@
     def __init__(self, cores: int) -> None:
         self.cores, self.started = [0.0] * cores, 0  # time from which each core is free
         self.refuses_until = 0  # it refuses connections until then
-        self.connections: set[tuple[int, int]] = (
-            set()
-        )  # connections: proxy, and number of its process
+        self.connections: set[tuple[int, int]] = set()  # proxy, and number of its process
         self.incarnation: Incarnation | None = None
 
 
@@ -126,7 +113,7 @@
         self.make, self.proxies, backends = make, proxies, rng.choice(SIZES[proxies])
         self.cores = rng.choice((1, 1, 2, 4) if proxies < 200 else (1, 1, 1, 2))
         self.work = rng.choice((25, 50, 80)) * MS if self.cores > 1 else 50 * MS
-        self.capacity = self.cores * NS / self.work  # requests a second of a warm box
+        self.capacity = self.cores * NS / self.work  # requests per second of a warm backend
         self.utilization = rng.uniform(0.5, 1.05)
         classes = tuple(
             io.RequestClass(
@@ -182,9 +169,8 @@
         self.up = [True] * proxies
         self.process = [0] * proxies
         self.balancers: list[Any] = [self._proxy(k) for k in range(proxies)]
-        self.in_flight: dict[
-            tuple[int, int, int, int], tuple[int, int]
-        ] = {}  # attempts in flight: backend, time of sending
+        # Attempts in flight: backend, time of sending.
+        self.in_flight: dict[tuple[int, int, int, int], tuple[int, int]] = {}
         self.attempt_counts: dict[tuple[int, int, int], int] = {}
         self.heap: list[tuple[int, int, int, Any]] = []
         self.incarnations: list[Incarnation] = []
--- a/mothstall/lab/commons.py
+++ b/mothstall/lab/commons.py
@@ -99,7 +99,7 @@
             )
             for i in range(count)
         ]
-        self._planner_zone = ""  # zone of the planner
+        self._planner_zone = ""
         self._planner_ready_ms = 0
         self._usual: FailoverPlan = FailoverPlan()
 
--- a/mothstall/lab/judge.py
+++ b/mothstall/lab/judge.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Violations and figures of one run. Worth is a part of the worth of all intents."""
+    """Violations and figures of one run; `worth` is relative to the worth of all intents."""
 
     worth: float = 0.0
     worst_10s: float = 0.0
@@ -162,13 +162,13 @@
 ) -> Iterator[Violation]:
     if t.accepted >= 0 and not t.excused:
         if t.outcome == Outcome.SILENT:
-            yield Violation("lost", t.at, t.txn, 0, t.proxy, "no answer by its deadline")
+            yield Violation("lost", t.at, t.txn, 0, t.proxy, "no response by its deadline")
         elif t.outcome == Outcome.BROKEN:
             yield Violation(
-                "lost", t.at, t.txn, 0, t.proxy, "the connection ended without a whole answer"
+                "lost", t.at, t.txn, 0, t.proxy, "the connection ended without a complete response"
             )
     if t.response_count > 1:
-        yield Violation("double", t.at, t.txn, 0, t.proxy, f"{t.response_count} final answers")
+        yield Violation("double", t.at, t.txn, 0, t.proxy, f"{t.response_count} final responses")
     if t.outcome in (Outcome.SERVED, Outcome.REFUSED, Outcome.FAILED):
         for row in attempts:
             # Attempts in transit when the response was sent may still arrive.
@@ -179,7 +179,7 @@
                     t.txn,
                     row.backend,
                     t.proxy,
-                    "sent on after its answer",
+                    "attempt sent after the response",
                 )
 
 
@@ -200,7 +200,7 @@
             first = row
             continue
         if kind.effect == "unsafe":
-            detail = f"sent again, though an attempt at box {first.backend} may have run"
+            detail = f"retried, though an attempt at box {first.backend} may have run"
             yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
         elif row.at > first.at + kind.window + DEADLINE_SLACK_NS:
             detail = f"{(row.at - first.at) / 1e6:.0f} ms after the first, window {kind.window / 1e6:.0f} ms"
@@ -212,7 +212,7 @@
             yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
     is_safe = kind.effect == "keyed" and kind.group == "all"
     if first and t.outcome == Outcome.REFUSED and not is_safe:
-        detail = "refused as harmless to repeat, but may have run"
+        detail = "rejected as safe to retry, though an attempt may have run"
         yield Violation("false-refusal", t.at, t.txn, first.backend, t.proxy, detail)
 
 
@@ -234,7 +234,7 @@
         for notified_at, until in ledger.notified_unavailable.get((row.proxy, row.backend), ()):
             last = row.at if until < 0 else min(row.at, until)
             if last > notified_at + s.rules.drain_grace + delay and (until < 0 or row.at < until):
-                detail = f"{(row.at - notified_at) / 1e6:.0f} ms after it was told"
+                detail = f"{(row.at - notified_at) / 1e6:.0f} ms after the proxy was notified"
                 yield Violation("drain", row.at, row.txn, row.backend, row.proxy, detail)
 
 
--- a/mothstall/lab/ledger.py
+++ b/mothstall/lab/ledger.py
@@ -128,9 +128,8 @@
         self.proxy_outages: list[tuple[int, int, int]] = []  # proxy, from, to
         self.late_spans: list[tuple[int, int]] = []  # spans in which the driver ran late
         self.fault_spans: list[tuple[int, int, str]] = []  # from, to, description
-        self.samples: list[
-            tuple[int, dict[int, tuple[int, float]]]
-        ] = []  # time, by backend: (in flight, warmth)
+        # Time, and by backend: (in flight, warmth).
+        self.samples: list[tuple[int, dict[int, tuple[int, float]]]] = []
 
     def digest(self) -> str:
         """Equal for two runs with the same events at the same times at clients and backends."""
--- a/mothstall/lab/policies.py
+++ b/mothstall/lab/policies.py
@@ -57,9 +57,8 @@
         self.id, self.cls, self.deadline = event.request, cls, now + event.left_ns
         self.attempts: list[int] = []
         self.in_flight, self.done = 0, False
-        self.may_have_run: dict[
-            int, tuple[io.Endpoint, int]
-        ] = {}  # attempts that may have run: backend, and time of sending
+        # Attempts that may have run: backend, and time of sending.
+        self.may_have_run: dict[int, tuple[io.Endpoint, int]] = {}
 
     def first_that_may_have_run(self) -> tuple[io.Endpoint, int] | None:
         return next(iter(self.may_have_run.values()), None)
@@ -136,9 +135,8 @@
             self.cfg.initial_warmth
             + (1 - self.cfg.initial_warmth) * max(0, age) / self.cfg.slow_start_ns
         )
-        backend_rate = (
-            self.sent / max(1, self.now - self.started_ns) / max(1, len(self.backends))
-        )  # mean rate of one backend, per ns
+        # Mean rate of one backend, per ns.
+        backend_rate = self.sent / max(1, self.now - self.started_ns) / max(1, len(self.backends))
         rate = COLD_RATE_PART * self.cfg.overload_multiple * warmth * backend_rate
         self.next_cold_ns[entry.backend] = self.now + (int(1 / rate) if rate > 0 else NS)
         return True
--- a/tests/lab/test_coldsum.py
+++ b/tests/lab/test_coldsum.py
@@ -1,4 +1,4 @@
-"""The sum that cold boxes get from whole fleets: seeded, on a given clock, exact."""
+"""Total load on cold backends from whole fleets, seeded and in virtual time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
     ("proxies", "seed"), [(5, 11), (20, 3), (20, 13), (20, 145), (30, 2), (30, 193), (200, 2)]
 )
 def test_a_fleet_keeps_well_within_the_bound(proxies: int, seed: int) -> None:
-    # Of 200 seeds each those on which the text before came nearest to the bound: 0.92 of it (30, 193).
+    # The seeds, out of 200 per size, with the highest load under an earlier policy: there (30, 193)
+    # reached 0.92 of the limit.
     outcome = coldsum.play(policy.Balancer, proxies, seed)
     assert outcome.max_ratio <= 0.85, (outcome.max_ratio, outcome.max_excess)
     assert outcome.cold_served > 0.1, "cold boxes must warm up"
@@ -36,7 +37,7 @@
 
 
 def test_a_fleet_that_minds_no_warmth_goes_past_the_bound() -> None:
-    # The measure itself: who sends most to the newest is seen to push it over.
+    # Checks the measurement: a policy that prefers the newest backends must exceed the limit.
     outcome = coldsum.play(Careless, 20, 1)
     assert outcome.max_excess > 0 and outcome.max_ratio > 1
 
@@ -56,16 +57,18 @@
     )
     for _ in range(3):
         trial._add_work(0, number, 1.0)
-    assert incarnation.load == 3 + coldsum.HANDSHAKE_COST  # one connection
+    assert incarnation.load == 3 + coldsum.HANDSHAKE_COST  # one handshake
     assert incarnation.max_excess == pytest.approx(incarnation.load - (n + 2 * math.sqrt(n) + 2))
     trial.now += window
     trial._add_work(1, number, 1.0)
-    assert incarnation.load == pytest.approx(1 + coldsum.HANDSHAKE_COST)  # the window has passed on
+    assert incarnation.load == pytest.approx(
+        1 + coldsum.HANDSHAKE_COST
+    )  # earlier work has left the window
     trial.process[1] += 1
     trial._add_work(1, number, 1.0)
     assert incarnation.load == pytest.approx(
         2 * (1 + coldsum.HANDSHAKE_COST)
-    )  # a new process connects anew
+    )  # a new process opens a new connection
 
 
 def test_probes_count_and_open_no_connection_to_a_cold_box() -> None:
--- a/tests/lab/test_commons.py
+++ b/tests/lab/test_commons.py
@@ -1,4 +1,4 @@
-"""Failover of a virtual fleet, and plans by seed with makers, reports and writes that fail at any step."""
+"""Failover of a virtual fleet, and random failures of planners, reports and writes of plans."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
     assert all(
         sum(plan.weights.get("west", {"west": 1.0}).values()) <= 1.0 + 1e-9 for plan in during
     )
-    assert not plans[-1][1].weights, "all is free again"
+    assert not plans[-1][1].weights, "the last plan must shift no traffic"
     assert not check_run(s, ledger).broken
     again = VirtualRun(s, policies.parse(policy), 3)
-    assert again.play().digest() == ledger.digest(), "a seed plays the same day again"
+    assert again.play().digest() == ledger.digest(), "the same seed must give the same run"
 
 
 ZONES = ("a", "b", "c")
@@ -78,16 +78,15 @@
         terms = FailoverPolicy(capacity_per_weight=rng.choice((6.5, 9.0, 20.0)))
         proxies = [(f"p{i}", ZONES[i % 3]) for i in range(9)]
         helms = {name: PlanTransition(name, zone, 1000, 5000, 5000) for name, zone in proxies}
-        seen = {name: FailoverPlan() for name, _ in proxies}  # the newest plan that each has
+        seen = {name: FailoverPlan() for name, _ in proxies}  # newest plan of each proxy
         stored, token, makers = FailoverPlan(), 1, [(1, ReportWindow(5000), FailoverPlan())]
         ill: set[str] = set()
         for second in range(40):
             now = second * 1000
             if rng.random() < 0.1:
                 ill = {rng.choice(ZONES)} if rng.random() < 0.7 else set()
-            if (
-                rng.random() < 0.12
-            ):  # another maker, while the old one may still believe that it is one
+            # A new planner starts while the previous one may still be active.
+            if rng.random() < 0.12:
                 token += 1
                 makers = [*makers[-1:], (token, ReportWindow(5000), stored)]
             for name, zone in proxies:
@@ -111,7 +110,7 @@
                             second,
                             zone,
                         )
-                # The store refuses a write of an older token when it is applied; a write may be lost too.
+                # The store rejects writes with an older fencing token; a write may also be lost.
                 if done.has_changed and mine == token and rng.random() > 0.1:
                     before, stored = (
                         stored,
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge: each kind of breach is found, on a ledger that holds it and on careless policies."""
+"""The checker finds each kind of violation, in prepared ledgers and in runs of `careless`."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def book(cls: int = LOOK, answer: Outcome = Outcome.SERVED) -> tuple[Ledger, ClientRequest]:
-    """A ledger with one request that went well: asked at 1 s, at box 1 after 2 ms, answered after 30."""
+    """A ledger with one served request: sent at 1 s, at backend 1 after 2 ms, answered after 30."""
     ledger = Ledger()
     for box, zone in ((1, 0), (2, 1), (3, 0)):
         ledger.incarnations.append(BackendIncarnation(box, zone, 0, 2, 1.0, 0))
@@ -162,24 +162,24 @@
 
 
 def test_what_is_allowed_is_no_breach() -> None:
-    ledger, row = book(FILE)  # a second copy inside zone and window, and a client that left
+    ledger, row = book(FILE)  # a retry inside zone and window
     row.at = NS + 500 * MS
     arrive(ledger, 400, 3)
     assert not check_run(SCENE, ledger).rules
-    ledger, row = book(SIGN, Outcome.REFUSED)  # refused, and never ran
+    ledger, row = book(SIGN, Outcome.REFUSED)  # rejected, and never ran
     ledger.attempts[0].outcome = AttemptOutcome.REJECTED
     assert not check_run(SCENE, ledger).rules
-    ledger, row = book(answer=Outcome.LEFT)  # left in the instant of its answer
+    ledger, row = book(answer=Outcome.LEFT)  # the client left at the instant of the response
     row.at, row.response_count = NS + 30 * MS, 1
     assert not check_run(SCENE, ledger).rules
-    ledger, row = book(answer=Outcome.BROKEN)  # its proxy was killed with the answer half written
+    ledger, row = book(answer=Outcome.BROKEN)  # its proxy was killed during the response
     row.excused = True
     assert not check_run(SCENE, ledger).rules
     ledger, _ = book()
-    ledger.notified_unavailable[0, 1] = [(NS // 10, NS // 2)]  # listed again since
+    ledger.notified_unavailable[0, 1] = [(NS // 10, NS // 2)]  # listed again since then
     assert not check_run(SCENE, ledger).rules
     ledger = tipped()
-    ledger.notified_start.clear()  # nobody could know that it had started
+    ledger.notified_start.clear()  # no proxy was notified of the start
     assert not check_run(SCENE, ledger).rules
 
 
@@ -197,7 +197,7 @@
     verdict = check_run(SCENE, ledger)
     assert verdict.worth == 1.0 and verdict.wasted == {"served": 1.0}
     assert verdict.latency["look"]["p50"] == pytest.approx(30, abs=0.1)
-    row.intent.served_at = row.intent.start + 400 * MS  # past the aim, before the deadline
+    row.intent.served_at = row.intent.start + 400 * MS  # after the objective, before the deadline
     assert check_run(SCENE, ledger).worth == pytest.approx(0.3)
     row.intent.served_at = row.intent.start + 1600 * MS
     assert check_run(SCENE, ledger).worth == 0.0
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenario files: what ships can be played, and what cannot is told in one line with the key's path."""
+"""Scenario files: shipped ones are valid, invalid ones raise one line with the key's path."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -1,4 +1,4 @@
-"""The virtual driver: the same seed gives the same run, and troubles do what they say."""
+"""The virtual driver: deterministic runs, and the effect of each fault."""
 
 from __future__ import annotations
 
@@ -109,9 +109,8 @@
 
 def test_what_is_held_at_a_box_that_hangs_is_reset_as_it_starts_again() -> None:
     hang = {"kind": "hang", "boxes": 1, "at": "3s", "lasts": "4s"}
-    result = runs.play(
-        small(troubles=[hang]), "random", 2
-    )  # the module may hold nothing there by then
+    # By then the module may have no request in flight at that backend, so `random` plays.
+    result = runs.play(small(troubles=[hang]), "random", 2)
     assert AttemptOutcome.RESET in {row.outcome for row in result.ledger.attempts}
 
 
@@ -155,9 +154,8 @@
     )
     result = runs.play(s, "module", 4)
     copies = [row for row in result.ledger.attempts if row.outcome == AttemptOutcome.DUPLICATE]
-    assert (
-        copies and not result.verdict.rules
-    )  # some ran beside their first, and no effect came twice
+    # Duplicates ran beside their first attempts, and no effect happened twice.
+    assert copies and not result.verdict.rules
 
 
 def test_troubles_that_outlast_the_run_leave_no_recovery_to_tell() -> None:
