--- a/mothstall/lab/coldsum.py
+++ b/mothstall/lab/coldsum.py
@@ -233,17 +233,17 @@
             handlers[kind](data)
         return Outcome(self.incarnations, self.asked, self.served)
 
-    def _rate(self) -> float:
-        begun, times = self.burst
-        burst_factor = times if begun <= self.now < begun + 3 * NS else 1.0
+    def _arrival_rate(self) -> float:
+        since, factor = self.burst
+        burst_factor = factor if since <= self.now < since + 3 * NS else 1.0
         return self.utilization * self.capacity * len(self.backends) * burst_factor
 
     def _on_arrival(self, _: Any) -> None:
-        rng, (begun, times) = self.rng, self.shift
-        if begun and self.now >= begun:
-            parts = [share * (times if k % 2 else 1.0) for k, share in enumerate(self.shares)]
+        rng, (since, factor) = self.rng, self.shift
+        if since and self.now >= since:
+            parts = [share * (factor if k % 2 else 1.0) for k, share in enumerate(self.shares)]
             self.cumulative_shares, self.shift = list(accumulate(parts)), (0, 1.0)
-        self._schedule(self.now + max(1, int(rng.expovariate(self._rate()) * NS)), ARRIVAL)
+        self._schedule(self.now + max(1, int(rng.expovariate(self._arrival_rate()) * NS)), ARRIVAL)
         k = rng.choices(range(self.proxies), cum_weights=self.cumulative_shares)[0]
         if not self.up[k]:
             k = rng.choice([i for i, up in enumerate(self.up) if up] or [k])
@@ -254,19 +254,19 @@
         left = self.settings["classes"][cls].deadline_ns
         self._deliver(k, io.RequestArrived(self.next, cls, 0, self.next, left, 0, False))
 
-    def _deliver(self, k: int, ev: io.Event) -> None:
-        for act in self.balancers[k].handle(self.now, [ev]):
-            if isinstance(act, io.SendAttempt):
-                self._send(k, act)
-            elif isinstance(act, io.SetTimer):
-                self._schedule(act.at_ns, TIMER, (k, self.process[k], act.token))
-            elif isinstance(act, io.CancelAttempt):
+    def _deliver(self, k: int, event: io.Event) -> None:
+        for action in self.balancers[k].handle(self.now, [event]):
+            if isinstance(action, io.SendAttempt):
+                self._send(k, action)
+            elif isinstance(action, io.SetTimer):
+                self._schedule(action.at_ns, TIMER, (k, self.process[k], action.token))
+            elif isinstance(action, io.CancelAttempt):
                 # Running work is not stopped, as in most backends; the proxy gets the cancellation.
-                key = (k, self.process[k], act.request, act.attempt)
+                key = (k, self.process[k], action.request, action.attempt)
                 if sent := self.in_flight.pop(key, None):
                     ended = io.AttemptEnded(
-                        act.request,
-                        act.attempt,
+                        action.request,
+                        action.attempt,
                         sent[0],
                         AttemptResult.CANCELLED,
                         self.now - sent[1],
@@ -274,10 +274,10 @@
                         (),
                     )
                     self._schedule(self.now + 1, EVENT, (k, self.process[k], ended))
-            elif isinstance(act, io.ProbeLoad):
-                self._add_work(k, act.backend, PROBE_COST)
+            elif isinstance(action, io.ProbeLoad):
+                self._add_work(k, action.backend, PROBE_COST)
                 self._schedule(
-                    self.now + ROUND_TRIP_NS, PROBE_ENDED, (k, self.process[k], act.backend)
+                    self.now + ROUND_TRIP_NS, PROBE_ENDED, (k, self.process[k], action.backend)
                 )
 
     def _on_timer(self, data: tuple[int, int, int]) -> None:
@@ -310,29 +310,33 @@
         while incarnation.recent[0][0] <= self.now - window:
             incarnation.load -= incarnation.recent.popleft()[1]
         n = self.settings["overload_multiple"] * self.capacity * warmth * window / NS
-        bound = n + 2 * math.sqrt(n) + 2
+        limit = n + 2 * math.sqrt(n) + 2
         incarnation.max_excess, incarnation.max_ratio = (
-            max(incarnation.max_excess, incarnation.load - bound),
-            max(incarnation.max_ratio, incarnation.load / bound),
+            max(incarnation.max_excess, incarnation.load - limit),
+            max(incarnation.max_ratio, incarnation.load / limit),
         )
         if self.now - incarnation.started >= (len(incarnation.windows) + 1) * window:
             incarnation.windows.append((incarnation.load, n, incarnation.attempts))
             incarnation.attempts = 0
         incarnation.attempts += work >= MIN_WORK
 
-    def _send(self, k: int, act: io.SendAttempt) -> None:
-        backend, rng, key = self.backends[act.backend], self.rng, (k, self.process[k], act.request)
+    def _send(self, k: int, action: io.SendAttempt) -> None:
+        backend, rng, key = (
+            self.backends[action.backend],
+            self.rng,
+            (k, self.process[k], action.request),
+        )
         attempt = self.attempt_counts.get(key, 0)
         self.attempt_counts[key] = attempt + 1
         work = max(MIN_WORK, rng.gammavariate(4.0, 0.25))  # mean 1, standard deviation 0.5
-        at = (k, self.process[k], act.request, attempt)
-        self.in_flight[at] = (act.backend, self.now)
+        at = (k, self.process[k], action.request, attempt)
+        self.in_flight[at] = (action.backend, self.now)
         if self.now < backend.refuses_until:
             self._schedule(
                 self.now + ROUND_TRIP_NS, ATTEMPT_ENDED, (at, AttemptResult.CONNECT_FAILED)
             )
             return
-        self._add_work(k, act.backend, work)
+        self._add_work(k, action.backend, work)
         free = heapq.heappop(backend.cores)
         wait = max(0.0, free - self.now)
         if wait > QUEUE_PER_CORE * self.work:
@@ -342,8 +346,8 @@
         done = self.now + wait + work * self.work / self._warmth(backend)
         heapq.heappush(backend.cores, done)
         due = int(done) - self.now + ROUND_TRIP_NS
-        if act.timeout_ns and due > act.timeout_ns:
-            self._schedule(self.now + act.timeout_ns, ATTEMPT_ENDED, (at, AttemptResult.TIMEOUT))
+        if action.timeout_ns and due > action.timeout_ns:
+            self._schedule(self.now + action.timeout_ns, ATTEMPT_ENDED, (at, AttemptResult.TIMEOUT))
         else:
             self._schedule(self.now + due, ATTEMPT_ENDED, (at, AttemptResult.OK))
 
@@ -356,11 +360,11 @@
         ):
             return
         self.served += result == AttemptResult.OK
-        took = self.now - sent[1]
+        latency_ns = self.now - sent[1]
         self._deliver(
             k,
             io.AttemptEnded(
-                request, attempt, sent[0], result, took, result == AttemptResult.OK, ()
+                request, attempt, sent[0], result, latency_ns, result == AttemptResult.OK, ()
             ),
         )
 
--- a/mothstall/lab/commons.py
+++ b/mothstall/lab/commons.py
@@ -232,20 +232,20 @@
         if not self.fleet.is_up(proxy):
             return
         now, state = self._ms(), self.proxies[proxy]
-        weights = state.transition.weights_at(now, now - state.plan_received_ms)
-        if weights.plan_number != state.last_plan_number:
+        routing = state.transition.weights_at(now, now - state.plan_received_ms)
+        if routing.plan_number != state.last_plan_number:
             state.last_plan_number = 0
-        is_refresh = weights.strength > 0 and now - state.applied_ms > WEIGHTS_LIFETIME_MS // 2
+        is_refresh = routing.strength > 0 and now - state.applied_ms > WEIGHTS_LIFETIME_MS // 2
         if (
             is_refresh
-            or weights.plan_number != state.applied.plan_number
-            or not weights.is_close_to(state.applied)
+            or routing.plan_number != state.applied.plan_number
+            or not routing.is_close_to(state.applied)
         ):
-            state.applied, state.applied_ms = weights, now
-            fractions = tuple(weights.weights.get(zone, 0.0) for zone in self.fleet.zones())
+            state.applied, state.applied_ms = routing, now
+            fractions = tuple(routing.weights.get(zone, 0.0) for zone in self.fleet.zones())
             until = self.fleet.now() + WEIGHTS_LIFETIME_MS * MS
             self.fleet.feed(
-                proxy, io.ZoneWeights(fractions, weights.overflow_fraction, weights.strength, until)
+                proxy, io.ZoneWeights(fractions, routing.overflow_fraction, routing.strength, until)
             )
 
 
--- a/mothstall/lab/judge.py
+++ b/mothstall/lab/judge.py
@@ -109,14 +109,14 @@
         intents=len(ledger.intents), requests=len(ledger.requests), attempts=len(ledger.attempts)
     )
     late_spans = _LateSpans(ledger.late_spans)
-    shown: Counter[str] = Counter()
+    listed: Counter[str] = Counter()
     for violation in sorted(_violations(s, ledger), key=lambda b: (b.at_ns, b.request)):
         if violation.kind in TIMING_RULES and late_spans.covers(violation.at_ns):
             verdict.excused += 1
             continue
         verdict.rules[violation.kind] = verdict.rules.get(violation.kind, 0) + 1
-        shown[violation.kind] += 1
-        if shown[violation.kind] <= MAX_LISTED_VIOLATIONS:
+        listed[violation.kind] += 1
+        if listed[violation.kind] <= MAX_LISTED_VIOLATIONS:
             verdict.violations.append(violation)
     _measure_service(s, ledger, verdict)
     _measure_waste(ledger, verdict)
@@ -141,15 +141,15 @@
 
 def _violations(s: Scenario, ledger: Ledger) -> Iterator[Violation]:
     attempts: dict[int, list[Arrival]] = defaultdict(list)
-    for row in ledger.attempts:
-        attempts[row.txn].append(row)
+    for attempt in ledger.attempts:
+        attempts[attempt.txn].append(attempt)
     incarnations: dict[int, list[BackendIncarnation]] = defaultdict(list)
     for incarnation in ledger.incarnations:
         incarnations[incarnation.backend].append(incarnation)
-    for t in ledger.requests:
-        yield from _response_violations(s, t, attempts.get(t.txn, ()))
+    for request in ledger.requests:
+        yield from _response_violations(s, request, attempts.get(request.txn, ()))
         yield from _retry_violations(
-            s.classes[t.intent.cls], t, attempts.get(t.txn, ()), incarnations
+            s.classes[request.intent.cls], request, attempts.get(request.txn, ()), incarnations
         )
     for intent in ledger.intents:
         yield from _effect_violations(s.classes[intent.cls], intent)
@@ -158,34 +158,48 @@
 
 
 def _response_violations(
-    s: Scenario, t: ClientRequest, attempts: Sequence[Arrival]
+    s: Scenario, request: ClientRequest, attempts: Sequence[Arrival]
 ) -> Iterator[Violation]:
-    if t.accepted >= 0 and not t.excused:
-        if t.outcome == Outcome.SILENT:
-            yield Violation("lost", t.at, t.txn, 0, t.proxy, "no response by its deadline")
-        elif t.outcome == Outcome.BROKEN:
+    if request.accepted >= 0 and not request.excused:
+        if request.outcome == Outcome.SILENT:
             yield Violation(
-                "lost", t.at, t.txn, 0, t.proxy, "the connection ended without a complete response"
+                "lost", request.at, request.txn, 0, request.proxy, "no response by its deadline"
             )
-    if t.response_count > 1:
-        yield Violation("double", t.at, t.txn, 0, t.proxy, f"{t.response_count} final responses")
-    if t.outcome in (Outcome.SERVED, Outcome.REFUSED, Outcome.FAILED):
-        for row in attempts:
+        elif request.outcome == Outcome.BROKEN:
+            yield Violation(
+                "lost",
+                request.at,
+                request.txn,
+                0,
+                request.proxy,
+                "the connection ended without a complete response",
+            )
+    if request.response_count > 1:
+        yield Violation(
+            "double",
+            request.at,
+            request.txn,
+            0,
+            request.proxy,
+            f"{request.response_count} final responses",
+        )
+    if request.outcome in (Outcome.SERVED, Outcome.REFUSED, Outcome.FAILED):
+        for attempt in attempts:
             # Attempts in transit when the response was sent may still arrive.
-            if row.at > t.at + DEADLINE_SLACK_NS:
+            if attempt.at > request.at + DEADLINE_SLACK_NS:
                 yield Violation(
                     "sent-after-answer",
-                    row.at,
-                    t.txn,
-                    row.backend,
-                    t.proxy,
+                    attempt.at,
+                    request.txn,
+                    attempt.backend,
+                    request.proxy,
                     "attempt sent after the response",
                 )
 
 
 def _retry_violations(
     kind: Kind,
-    t: ClientRequest,
+    request: ClientRequest,
     attempts: Sequence[Arrival],
     incarnations: dict[int, list[BackendIncarnation]],
 ) -> Iterator[Violation]:
@@ -193,27 +207,35 @@
     if kind.effect == "safe":
         return
     first: Arrival | None = None  # first attempt that may have run
-    for row in attempts:
-        if row.outcome == AttemptOutcome.REJECTED:
+    for attempt in attempts:
+        if attempt.outcome == AttemptOutcome.REJECTED:
             continue
         if first is None:
-            first = row
+            first = attempt
             continue
         if kind.effect == "unsafe":
             detail = f"retried, though an attempt at box {first.backend} may have run"
-            yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
-        elif row.at > first.at + kind.window + DEADLINE_SLACK_NS:
-            detail = f"{(row.at - first.at) / 1e6:.0f} ms after the first, window {kind.window / 1e6:.0f} ms"
-            yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
-        elif _group_index(kind, incarnations[row.backend][0]) != _group_index(
+            yield Violation(
+                "repeat", attempt.at, request.txn, attempt.backend, request.proxy, detail
+            )
+        elif attempt.at > first.at + kind.window + DEADLINE_SLACK_NS:
+            detail = f"{(attempt.at - first.at) / 1e6:.0f} ms after the first, window {kind.window / 1e6:.0f} ms"
+            yield Violation(
+                "repeat", attempt.at, request.txn, attempt.backend, request.proxy, detail
+            )
+        elif _group_index(kind, incarnations[attempt.backend][0]) != _group_index(
             kind, incarnations[first.backend][0]
         ):
             detail = f"outside the group of box {first.backend}"
-            yield Violation("repeat", row.at, t.txn, row.backend, t.proxy, detail)
+            yield Violation(
+                "repeat", attempt.at, request.txn, attempt.backend, request.proxy, detail
+            )
     is_safe = kind.effect == "keyed" and kind.group == "all"
-    if first and t.outcome == Outcome.REFUSED and not is_safe:
+    if first and request.outcome == Outcome.REFUSED and not is_safe:
         detail = "rejected as safe to retry, though an attempt may have run"
-        yield Violation("false-refusal", t.at, t.txn, first.backend, t.proxy, detail)
+        yield Violation(
+            "false-refusal", request.at, request.txn, first.backend, request.proxy, detail
+        )
 
 
 def _group_index(kind: Kind, incarnation: BackendIncarnation) -> int:
@@ -230,12 +252,18 @@
 def _drain_violations(s: Scenario, ledger: Ledger) -> Iterator[Violation]:
     # The rule is about the time of sending: arrival is later by a connection set-up at most.
     delay = 3 * int(max(s.network.near, s.network.far) * (1 + s.network.jitter)) + DEADLINE_SLACK_NS
-    for row in ledger.attempts:
-        for notified_at, until in ledger.notified_unavailable.get((row.proxy, row.backend), ()):
-            last = row.at if until < 0 else min(row.at, until)
-            if last > notified_at + s.rules.drain_grace + delay and (until < 0 or row.at < until):
-                detail = f"{(row.at - notified_at) / 1e6:.0f} ms after the proxy was notified"
-                yield Violation("drain", row.at, row.txn, row.backend, row.proxy, detail)
+    for attempt in ledger.attempts:
+        for notified_at, until in ledger.notified_unavailable.get(
+            (attempt.proxy, attempt.backend), ()
+        ):
+            last = attempt.at if until < 0 else min(attempt.at, until)
+            if last > notified_at + s.rules.drain_grace + delay and (
+                until < 0 or attempt.at < until
+            ):
+                detail = f"{(attempt.at - notified_at) / 1e6:.0f} ms after the proxy was notified"
+                yield Violation(
+                    "drain", attempt.at, attempt.txn, attempt.backend, attempt.proxy, detail
+                )
 
 
 def _cold_overload_violations(ledger: Ledger) -> Iterator[Violation]:
@@ -253,12 +281,12 @@
             <= overload.at
         }
         if sum(notified.values()) >= NOTIFIED_PART * total:
-            most = max(notified, key=lambda p: (notified[p], -p))
+            main_sender = max(notified, key=lambda p: (notified[p], -p))
             detail = (
                 f"{total / 1e9:.2f} s of work in {overload.window_ns / 1e9:g} s from {len(overload.sent)} proxies, "
-                f"most from {most}"
+                f"most from {main_sender}"
             )
-            yield Violation("tipped", overload.at, 0, overload.backend, most, detail)
+            yield Violation("tipped", overload.at, 0, overload.backend, main_sender, detail)
 
 
 # Quality of service
@@ -376,20 +404,20 @@
     requests = ledger.requests
     work: Counter[str] = Counter()
     used: set[int] = set()
-    for row in ledger.attempts:
-        t = requests[row.txn - 1]
-        if row.outcome == AttemptOutcome.DUPLICATE:
+    for attempt in ledger.attempts:
+        request = requests[attempt.txn - 1]
+        if attempt.outcome == AttemptOutcome.DUPLICATE:
             name = "repeat_dropped"
-        elif row.outcome == AttemptOutcome.CANCELLED:
+        elif attempt.outcome == AttemptOutcome.CANCELLED:
             name = "cancelled"
-        elif row.outcome != AttemptOutcome.SERVED:
+        elif attempt.outcome != AttemptOutcome.SERVED:
             name = "failed"
-        elif t.outcome == Outcome.SERVED:
+        elif request.outcome == Outcome.SERVED:
             # With two successful attempts of one request the later one is wasted.
-            name = "spare_copy" if row.txn in used else "served"
-            used.add(row.txn)
+            name = "spare_copy" if attempt.txn in used else "served"
+            used.add(attempt.txn)
         else:
-            name = "client_gone" if t.outcome in (Outcome.LEFT, Outcome.SILENT) else "unused"
-        work[name] += row.done
+            name = "client_gone" if request.outcome in (Outcome.LEFT, Outcome.SILENT) else "unused"
+        work[name] += attempt.done
     total = sum(work.values()) or 1
     verdict.wasted = {name: round(done / total, 6) for name, done in sorted(work.items()) if done}
--- a/mothstall/lab/policies.py
+++ b/mothstall/lab/policies.py
@@ -68,7 +68,7 @@
     """Keeps the endpoint list, and retries where the class allows it; subclasses choose."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
-        self.cfg, self.rng = settings, random.Random(seed)
+        self.settings, self.rng = settings, random.Random(seed)
         self.backends: dict[int, io.Endpoint] = {}
         self.sorted_backends: list[io.Endpoint] = []
         self.in_flight: dict[int, int] = {}
@@ -86,7 +86,7 @@
         self.actions, self.now = [], now
         if self.started_ns < 0:
             self.started_ns = now
-            if not self.cfg.discovery_push:
+            if not self.settings.discovery_push:
                 self.actions.append(io.WatchEndpoints(True))
         for event in events:
             if isinstance(event, io.RequestArrived):
@@ -127,17 +127,17 @@
     def may_send(self, entry: io.Endpoint) -> bool:
         """Whether the backend may get a request now; a cold one gets a limited rate."""
         age = self.now - entry.started_ns
-        if not entry.started_ns or age >= self.cfg.slow_start_ns:
+        if not entry.started_ns or age >= self.settings.slow_start_ns:
             return True
         if self.now < self.next_cold_ns.get(entry.backend, 0):
             return False
         warmth = (
-            self.cfg.initial_warmth
-            + (1 - self.cfg.initial_warmth) * max(0, age) / self.cfg.slow_start_ns
+            self.settings.initial_warmth
+            + (1 - self.settings.initial_warmth) * max(0, age) / self.settings.slow_start_ns
         )
         # Mean rate of one backend, per ns.
         backend_rate = self.sent / max(1, self.now - self.started_ns) / max(1, len(self.backends))
-        rate = COLD_RATE_PART * self.cfg.overload_multiple * warmth * backend_rate
+        rate = COLD_RATE_PART * self.settings.overload_multiple * warmth * backend_rate
         self.next_cold_ns[entry.backend] = self.now + (int(1 / rate) if rate > 0 else NS)
         return True
 
@@ -157,18 +157,20 @@
 
     def request_arrived(self, event: io.RequestArrived) -> None:
         request = self.requests[event.request] = _Request(
-            event, self.cfg.classes[event.class_index], self.now
+            event, self.settings.classes[event.class_index], self.now
         )
         self.send(request)
 
     def send(self, request: _Request) -> None:
         rows = (
             self.eligible(request)
-            if len(request.attempts) < self.cfg.max_attempts and self.now < request.deadline
+            if len(request.attempts) < self.settings.max_attempts and self.now < request.deadline
             else []
         )
         warm = [
-            e for e in rows if not e.started_ns or self.now - e.started_ns >= self.cfg.slow_start_ns
+            e
+            for e in rows
+            if not e.started_ns or self.now - e.started_ns >= self.settings.slow_start_ns
         ]
         while rows:
             entry = self.choose(rows)
@@ -217,7 +219,7 @@
         request = self.requests.get(event.request)
         if request:
             request.done = True
-            if self.cfg.may_cancel:
+            if self.settings.may_cancel:
                 self.actions += [
                     io.CancelAttempt(request.id, i) for i in range(len(request.attempts))
                 ]
--- a/mothstall/lab/world.py
+++ b/mothstall/lab/world.py
@@ -146,11 +146,11 @@
         self.time.at(fault.at + fault.lasts, end)
 
     def for_each(
-        self, backends: Iterable[Backend], do: Callable[[Backend], object]
+        self, backends: Iterable[Backend], action: Callable[[Backend], object]
     ) -> Callable[[], None]:
         def run() -> None:
             for backend in backends:
-                do(backend)
+                action(backend)
 
         return run
 
@@ -221,12 +221,12 @@
         backends = self.draw_backends(fault)
 
         def apply(on: bool) -> Callable[[Backend], None]:
-            def do(backend: Backend) -> None:
+            def action(backend: Backend) -> None:
                 backend.cut_in = on and fault.way != "out"
                 backend.cut_out = on and fault.way != "in"
                 self.driver.backend_changed(backend)
 
-            return do
+            return action
 
         self.schedule_fault(
             fault,
@@ -386,9 +386,9 @@
 
     def _started(self, proxy: int) -> None:
         rows = self.ledger.proxy_outages
-        for i, (who, since, until) in enumerate(rows):
-            if who == proxy and until < 0:
-                rows[i] = (who, since, self.time.now)
+        for i, (stopped, since, until) in enumerate(rows):
+            if stopped == proxy and until < 0:
+                rows[i] = (stopped, since, self.time.now)
         self.proxy_selector.proxy_restarted(proxy)
 
 
--- a/tests/lab/test_coldsum.py
+++ b/tests/lab/test_coldsum.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize(
     ("proxies", "seed"), [(5, 11), (20, 3), (20, 13), (20, 145), (30, 2), (30, 193), (200, 2)]
 )
-def test_a_fleet_keeps_well_within_the_bound(proxies: int, seed: int) -> None:
+def test_fleet_load_on_cold_backends_stays_below_the_limit(proxies: int, seed: int) -> None:
     # The seeds, out of 200 per size, with the highest load under an earlier policy: there (30, 193)
     # reached 0.92 of the limit.
     outcome = coldsum.play(policy.Balancer, proxies, seed)
@@ -23,7 +23,7 @@
     assert outcome.cold_served > 0.1, "cold boxes must warm up"
 
 
-def test_the_same_seed_gives_the_same_sums() -> None:
+def test_same_seed_gives_the_same_loads() -> None:
     one, other = (coldsum.play(policy.Balancer, 20, 7) for _ in range(2))
     assert [incarnation.windows for incarnation in one.incarnations] == [
         incarnation.windows for incarnation in other.incarnations
@@ -36,13 +36,13 @@
     assert coldsum.play(policy.Balancer, 20, 8).max_excess != one.max_excess
 
 
-def test_a_fleet_that_minds_no_warmth_goes_past_the_bound() -> None:
+def test_fleet_that_ignores_slow_start_exceeds_the_limit() -> None:
     # Checks the measurement: a policy that prefers the newest backends must exceed the limit.
     outcome = coldsum.play(Careless, 20, 1)
     assert outcome.max_excess > 0 and outcome.max_ratio > 1
 
 
-def test_the_sum_is_what_came_within_the_window() -> None:
+def test_load_is_the_work_received_within_the_window() -> None:
     trial = coldsum.Trial(policy.Balancer, 5, 1)
     number, backend = next(iter(trial.backends.items()))
     backend.started = trial.now = coldsum.BASE_NS
@@ -71,28 +71,28 @@
     )  # a new process opens a new connection
 
 
-def test_probes_count_and_open_no_connection_to_a_cold_box() -> None:
+def test_probes_of_a_cold_backend_use_an_open_connection() -> None:
     trial = coldsum.Trial(policy.Balancer, 20, 145)
     assert trial.settings["load_by_probes"]
-    seen: list[bool] = []
-    press = trial._add_work
+    had_connection: list[bool] = []
+    add_work = trial._add_work
 
-    def watched(k: int, number: int, work: float) -> None:
+    def add_work_and_record(k: int, number: int, work: float) -> None:
         backend = trial.backends[number]
         if work == coldsum.PROBE_COST and backend.started:
-            seen.append((k, trial.process[k]) in backend.connections)
-        press(k, number, work)
+            had_connection.append((k, trial.process[k]) in backend.connections)
+        add_work(k, number, work)
 
-    trial._add_work = watched  # type: ignore[method-assign]
+    trial._add_work = add_work_and_record  # type: ignore[method-assign]
     trial.run()
-    assert len(seen) > 100 and all(seen)
+    assert len(had_connection) > 100 and all(had_connection)
 
 
-def test_the_table_by_command(capsys: pytest.CaptureFixture[str]) -> None:
-    words = ["cold", "--proxies", "5", "--seeds", "2", "--workers", "1"]
-    assert command.main(words) == 0
+def test_command_prints_the_table(capsys: pytest.CaptureFixture[str]) -> None:
+    arguments = ["cold", "--proxies", "5", "--seeds", "2", "--workers", "1"]
+    assert command.main(arguments) == 0
     rows = capsys.readouterr().out.splitlines()
     assert len(rows) == 3 and rows[2].startswith("| 5 | 2 | 0 | 0.")
-    assert command.main([*words, "--policy", "careless"]) == 3
+    assert command.main([*arguments, "--policy", "careless"]) == 3
     assert command.main(["cold", "--proxies", "6"]) == 2
     assert command.main(["cold", "--policy", "no-such"]) == 2
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -17,7 +17,7 @@
     return {"tries": "A test.", **more}
 
 
-def test_all_shipped_scenarios_are_read_and_say_what_they_try() -> None:
+def test_shipped_scenarios_are_valid_and_described() -> None:
     names = scenario.names()
     assert len(names) >= 20 and {"steady", "metastable", "three-hundred", "demo"} <= set(names)
     rows = [scenario.load(name) for name in names]
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "path", "what"),
+    ("change", "path", "message"),
     [
         ({"sceonds": 3}, "sceonds", "unknown"),
         ({"seconds": 0.0}, "$.seconds", "1 to 3600"),
@@ -67,16 +67,16 @@
         ({"clients": {"obeys": 1.5}}, "$.clients.obeys", "0 to 1"),
     ],
 )
-def test_what_cannot_be_played_is_one_line_with_the_keys_path(
-    change: dict[str, Any], path: str, what: str
+def test_invalid_scenario_raises_one_line_with_the_keys_path(
+    change: dict[str, Any], path: str, message: str
 ) -> None:
-    with pytest.raises(scenario.ScenarioError) as caught:
+    with pytest.raises(scenario.ScenarioError) as raised:
         scenario.from_tree(tree(**change), "mine")
-    text = str(caught.value)
-    assert "\n" not in text and path in text and what in text and "mine" in text
+    text = str(raised.value)
+    assert "\n" not in text and path in text and message in text and "mine" in text
 
 
-def test_a_file_that_is_missing_or_no_toml_is_refused(tmp_path: Path) -> None:
+def test_missing_file_and_invalid_toml_are_rejected(tmp_path: Path) -> None:
     with pytest.raises(scenario.ScenarioError, match="cannot be read"):
         scenario.load(str(tmp_path / "no.toml"))
     bad = tmp_path / "bad.toml"
@@ -87,17 +87,17 @@
         scenario.load("../../etc/passwd")
 
 
-def test_a_proxy_is_told_the_scenarios_rules() -> None:
+def test_proxy_settings_follow_the_scenario() -> None:
     s = scenario.load("keyed-in-zones")
-    told = scenario.settings(s, 4)
-    assert (told.position, told.zone, told.proxies) == (4, 1, 3)
+    settings = scenario.settings(s, 4)
+    assert (settings.position, settings.zone, settings.proxies) == (4, 1, 3)
     assert (
-        told.classes[1].effect == io.Effect.IDEMPOTENT_WITH_KEY
-        and told.classes[1].group == io.KeyScope.ZONE
+        settings.classes[1].effect == io.Effect.IDEMPOTENT_WITH_KEY
+        and settings.classes[1].group == io.KeyScope.ZONE
     )
     assert (
-        told.classes[1].window_ns == 1000 * MS
-        and told.classes[2].effect == io.Effect.NON_IDEMPOTENT
+        settings.classes[1].window_ns == 1000 * MS
+        and settings.classes[2].effect == io.Effect.NON_IDEMPOTENT
     )
-    assert told.drain_grace_ns == s.rules.drain_grace and told.load_names == s.rules.reports
-    assert sum(t.share for t in told.tenants) == pytest.approx(1.0)
+    assert settings.drain_grace_ns == s.rules.drain_grace and settings.load_names == s.rules.reports
+    assert sum(t.share for t in settings.tenants) == pytest.approx(1.0)
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -17,9 +17,9 @@
 ROOT = Path(__file__).parents[2]
 
 
-def lab(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
+def lab(*arguments: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-O", "-m", "mothstall", "lab", *words],
+        [sys.executable, "-O", "-m", "mothstall", "lab", *arguments],
         cwd=ROOT,
         env={**os.environ, **env},
         capture_output=True,
@@ -40,8 +40,8 @@
 
 
 def test_the_same_seed_gives_the_same_run_in_every_process() -> None:
-    words = ("run", "demo", "--seconds", "6", "--json", "-", "--seed")
-    one, other = (json.loads(lab(*words, "5", PYTHONHASHSEED=h).stdout) for h in ("1", "2"))
+    arguments = ("run", "demo", "--seconds", "6", "--json", "-", "--seed")
+    one, other = (json.loads(lab(*arguments, "5", PYTHONHASHSEED=h).stdout) for h in ("1", "2"))
     assert one == other and one["intents"] > 300
     assert (
         runs.play(scenario.with_duration(scenario.load("demo"), 6.0), "module", 5).digest
@@ -51,7 +51,7 @@
         runs.play(scenario.with_duration(scenario.load("demo"), 6.0), "module", 6).digest
         != one["digest"]
     )
-    needed = {
+    required = {
         "scenario",
         "seed",
         "digest",
@@ -62,14 +62,14 @@
         "latency",
         "recover_s",
     }
-    assert needed <= set(one)
+    assert required <= set(one)
 
 
-def test_exit_codes_tell_bad_input_from_broken_rules() -> None:
+def test_exit_codes_distinguish_bad_input_from_broken_rules() -> None:
     broken = lab("run", "steady", "--seconds", "3", "--policy", "careless")
     assert broken.returncode == 3 and "BROKEN" in broken.stdout
-    for words in (("nothing",), ("steady", "--policy", "magic"), ("steady", "--seconds", "0")):
-        done = lab("run", *words)
+    for arguments in (("nothing",), ("steady", "--policy", "magic"), ("steady", "--seconds", "0")):
+        done = lab("run", *arguments)
         assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr
 
 
@@ -84,7 +84,7 @@
         assert drawn[0] == drawn[1]
 
 
-TROUBLES: list[tuple[dict[str, Any], set[AttemptOutcome]]] = [
+FAULTS: list[tuple[dict[str, Any], set[AttemptOutcome]]] = [
     ({"kind": "hang", "boxes": 1}, {AttemptOutcome.CANCELLED}),
     ({"kind": "crash", "boxes": 2}, {AttemptOutcome.LOST}),
     ({"kind": "failing", "boxes": 1}, {AttemptOutcome.ERROR}),
@@ -96,25 +96,23 @@
 ]
 
 
-@pytest.mark.parametrize(
-    ("trouble", "outcomes"), TROUBLES, ids=[str(t["kind"]) for t, _ in TROUBLES]
-)
-def test_a_trouble_shows_at_the_boxes_and_breaks_no_rule(
-    trouble: dict[str, Any], outcomes: set[AttemptOutcome]
+@pytest.mark.parametrize(("fault", "outcomes"), FAULTS, ids=[str(t["kind"]) for t, _ in FAULTS])
+def test_fault_changes_attempt_outcomes_and_breaks_no_rule(
+    fault: dict[str, Any], outcomes: set[AttemptOutcome]
 ) -> None:
-    result = runs.play(small(troubles=[{"at": "3s", "lasts": "4s", **trouble}]), "module", 2)
+    result = runs.play(small(troubles=[{"at": "3s", "lasts": "4s", **fault}]), "module", 2)
     assert outcomes <= {row.outcome for row in result.ledger.attempts}
     assert not result.verdict.rules and 0.3 < result.verdict.worth <= 1.0
 
 
-def test_what_is_held_at_a_box_that_hangs_is_reset_as_it_starts_again() -> None:
+def test_requests_at_a_hung_backend_are_reset_when_it_resumes() -> None:
     hang = {"kind": "hang", "boxes": 1, "at": "3s", "lasts": "4s"}
     # By then the module may have no request in flight at that backend, so `random` plays.
     result = runs.play(small(troubles=[hang]), "random", 2)
     assert AttemptOutcome.RESET in {row.outcome for row in result.ledger.attempts}
 
 
-def test_a_lost_zone_is_silent_and_a_killed_proxy_is_not() -> None:
+def test_lost_zone_sends_no_resets_and_a_killed_proxy_does() -> None:
     lost = runs.play(
         small(troubles=[{"kind": "zone-lost", "at": "3s", "lasts": "4s", "zone": "west"}]),
         "module",
@@ -128,16 +126,16 @@
         "module",
         2,
     )
-    ends = {t.outcome for t in killed.ledger.requests}
+    outcomes = {t.outcome for t in killed.ledger.requests}
     assert {
         Outcome.BROKEN,
         Outcome.UNREACHED,
-    } <= ends and Outcome.SILENT not in ends
+    } <= outcomes and Outcome.SILENT not in outcomes
     assert not lost.verdict.rules and not killed.verdict.rules
 
 
-def test_a_key_is_served_once_though_its_first_copy_runs_on() -> None:
-    kinds = [
+def test_key_takes_effect_once_while_its_first_attempt_runs_on() -> None:
+    classes = [
         {
             "name": "file",
             "part": 1,
@@ -148,24 +146,24 @@
         }
     ]
     s = small(
-        classes=kinds,
+        classes=classes,
         boxes=[{"count": 4, "runs_on": True}],
         troubles=[{"kind": "pause", "at": "3s", "lasts": "1s", "boxes": 2}],
     )
     result = runs.play(s, "module", 4)
-    copies = [row for row in result.ledger.attempts if row.outcome == AttemptOutcome.DUPLICATE]
+    duplicates = [row for row in result.ledger.attempts if row.outcome == AttemptOutcome.DUPLICATE]
     # Duplicates ran beside their first attempts, and no effect happened twice.
-    assert copies and not result.verdict.rules
+    assert duplicates and not result.verdict.rules
 
 
-def test_troubles_that_outlast_the_run_leave_no_recovery_to_tell() -> None:
+def test_faults_beyond_the_end_of_the_run_leave_no_recovery_time() -> None:
     s = scenario.with_duration(scenario.load("never-over"), 14.0)
     result = runs.play(s, "module", 1)
     assert result.verdict.recover_s is None and "not within the run" in result.text()
     assert any(until > s.total_ns for _, until, _ in result.ledger.fault_spans)
 
 
-def test_boxes_are_tipped_by_many_proxies_together_though_each_keeps_its_part() -> None:
+def test_many_proxies_together_overload_cold_backends() -> None:
     s = scenario.load("cold-by-many")
     assert not runs.play(scenario.with_duration(s, 14.0), "module", 1).verdict.rules
     verdict = runs.play(scenario.with_duration(s, 14.0), "careless", 1).verdict
@@ -173,7 +171,7 @@
     assert overloads and all("proxies" in b.detail for b in overloads)
 
 
-def test_three_hundred_proxies_before_sixty_boxes_keep_the_rules_through_a_hang() -> None:
+def test_three_hundred_proxies_before_sixty_backends_keep_the_rules_through_a_hang() -> None:
     s = scenario.load("three-hundred")
     hang = [t for t in s.troubles if t.at == 10_000_000_000]
     assert len(hang) == 1
