--- a/mothstall/lab/ledger.py
+++ b/mothstall/lab/ledger.py
@@ -1,4 +1,4 @@
-"""What clients and boxes saw of a run: rows only, no judgement. The judge and the report read them."""
+"""Records of a run as clients and backends saw it, for the checker and the report."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 
 class Unfinished(RuntimeError):
-    """A run could not be finished; the message is one line."""
+    """The run could not be completed; the message is one line."""
 
 
-class Answer(IntEnum):
-    """How one try of a client ended, as the client saw it."""
+class Outcome(IntEnum):
+    """The end of one client request, as the client saw it."""
 
-    OPEN = 0  # nothing yet
+    OPEN = 0  # no response yet
     SERVED = 1
     REFUSED = 2
     FAILED = 3
-    UNREACHED = 4  # no proxy took it
-    LEFT = 5  # the client went away first
-    SILENT = 6  # its time ran out without a word
-    BROKEN = 7  # the connection ended without a whole answer
+    UNREACHED = 4  # no proxy accepted it
+    LEFT = 5  # the client closed the connection first
+    SILENT = 6  # no response by its deadline
+    BROKEN = 7  # the connection ended without a complete response
 
 
-class Fate(IntEnum):
-    """What became of one attempt at a box."""
+class AttemptOutcome(IntEnum):
+    """The outcome of one attempt at a backend."""
 
     OPEN = 0
-    TURNED_AWAY = 1  # never ran
+    REJECTED = 1  # never ran
     SERVED = 2
-    REPEAT = 3  # a repeat of a key, dropped: answered from the first
+    DUPLICATE = 3  # its key was finished: answered with the stored result
     ERROR = 4  # answered 500, not run
     RESET = 5  # the connection broke
-    SPOILT = 6  # ran, and its answer cannot be read
-    CANCELLED = 7  # withdrawn by the proxy
-    LOST = 8  # the box died with it
+    UNREADABLE = 6  # ran, but its response cannot be parsed
+    CANCELLED = 7  # cancelled by the proxy
+    LOST = 8  # the backend died
 
 
 @dataclass(slots=True, eq=False)
 class Intent:
-    """What a client wants done once, however often it must ask. Times are ns since the run's start."""
+    """One operation that a client wants done once, with retries. Times are ns since the start."""
 
     id: int
     cls: int
@@ -49,98 +49,97 @@
     subject: int  # 0: none
     start: int
     work: int  # ns on one warm core of speed 1
-    hurried: bool
-    heeds: bool  # Retry-After
-    at_once: bool
-    luck: float  # 0 to 1: spreads its waits
-    tries: int = 0
-    served_at: int = -1  # of the first good answer
-    effects: list[tuple[int, int]] = field(
-        default_factory=list
-    )  # (time, box) of each time it took effect
+    leaves_early: bool
+    obeys_retry_after: bool
+    retries_at_once: bool
+    retry_jitter: float  # 0 to 1: varies the waits before its retries
+    request_count: int = 0
+    served_at: int = -1  # time of the first successful response
+    effects: list[tuple[int, int]] = field(default_factory=list)  # (time, backend) of each effect
 
 
 @dataclass(slots=True, eq=False)
-class Try:
-    """One request of a client to a proxy."""
+class ClientRequest:
+    """One request of a client to a proxy: the first one of an intent, or a retry."""
 
     txn: int
     intent: Intent
     proxy: int
     sent: int
     deadline: int
-    taken: int = -1  # when its last byte reached a running proxy
-    answer: Answer = Answer.OPEN
-    at: int = -1  # when the answer was whole
-    answers: int = 0  # final answers that came
-    excused: bool = False  # its proxy died, or was cut off, with it
+    accepted: int = -1  # when its last byte reached a running proxy
+    outcome: Outcome = Outcome.OPEN
+    at: int = -1  # when the response was complete
+    response_count: int = 0  # number of final responses
+    excused: bool = False  # its proxy died or was cut off
 
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """One attempt as a box saw it."""
+    """One attempt as a backend saw it."""
 
     txn: int
     proxy: int
-    box: int
+    backend: int
     at: int
-    work: int  # what it would cost here, handshake included
-    fate: Fate = Fate.OPEN
+    work: int  # its full cost here, handshake included
+    outcome: AttemptOutcome = AttemptOutcome.OPEN
     end: int = -1
     done: int = 0  # work spent on it, ns
 
 
 @dataclass(slots=True)
-class Tip:
-    """A cold box that was pushed over: who sent it what in the window before."""
+class ColdOverload:
+    """The failure of a cold backend by overload, and the work sent to it in the window before."""
 
-    box: int
+    backend: int
     at: int
     window_ns: int
     sent: dict[int, int]  # work by proxy
 
 
 @dataclass(slots=True)
-class BoxLife:
-    """One box from its start to its end."""
+class BackendIncarnation:
+    """One process of a backend, from start to end."""
 
-    box: int
+    backend: int
     zone: int
     cell: int
     cores: int
     speed: float
     started: int  # 0: before the run
     ended: int = -1
-    drained: int = -1  # when it began to drain or was taken out
+    drained: int = -1  # when it began to drain
 
 
 class Ledger:
-    """All rows of a run, in the order in which they came."""
+    """All records of a run, in the order of their creation."""
 
     def __init__(self) -> None:
         self.intents: list[Intent] = []
-        self.tries: list[Try] = []
-        self.arrivals: list[Arrival] = []
-        self.tips: list[Tip] = []
-        self.lives: list[BoxLife] = []
-        # (proxy, box) to the spans in which the proxy knew that the box drains or is gone; -1: still.
-        self.told_out: dict[tuple[int, int], list[tuple[int, int]]] = {}
-        # (proxy, box, start) to when the proxy was first told of this start.
-        self.told_start: dict[tuple[int, int, int], int] = {}
-        self.proxy_down: list[tuple[int, int, int]] = []  # proxy, from, to
-        self.late: list[tuple[int, int]] = []  # spans in which the driver itself ran late
-        self.marks: list[tuple[int, int, str]] = []  # troubles as played: from, to, what
-        self.samples: list[
-            tuple[int, dict[int, tuple[int, float]]]
-        ] = []  # time, box: (in flight, warmth)
+        self.requests: list[ClientRequest] = []
+        self.attempts: list[Arrival] = []
+        self.cold_overloads: list[ColdOverload] = []
+        self.incarnations: list[BackendIncarnation] = []
+        # (proxy, backend): spans in which the proxy knew that it drains or is gone; end -1: open.
+        self.notified_unavailable: dict[tuple[int, int], list[tuple[int, int]]] = {}
+        # (proxy, backend, start): when the proxy was first notified of this start.
+        self.notified_start: dict[tuple[int, int, int], int] = {}
+        self.proxy_outages: list[tuple[int, int, int]] = []  # proxy, from, to
+        self.late_spans: list[tuple[int, int]] = []  # spans in which the driver ran late
+        self.fault_spans: list[tuple[int, int, str]] = []  # from, to, description
+        # Time, and by backend: (in flight, warmth).
+        self.samples: list[tuple[int, dict[int, tuple[int, float]]]] = []
 
     def digest(self) -> str:
-        """The same for two runs in which clients and boxes saw the same at the same times."""
-        made = hashlib.blake2b(digest_size=12)
-        for t in self.tries:
-            made.update(
-                b"%d %d %d %d %d %d;" % (t.txn, t.intent.id, t.proxy, t.sent, t.answer, t.at)
+        """Equal for two runs with the same events at the same times at clients and backends."""
+        digest = hashlib.blake2b(digest_size=12)
+        for t in self.requests:
+            digest.update(
+                b"%d %d %d %d %d %d;" % (t.txn, t.intent.id, t.proxy, t.sent, t.outcome, t.at)
             )
-        for a in self.arrivals:
-            made.update(b"%d %d %d %d %d %d;" % (a.txn, a.proxy, a.box, a.at, a.fate, a.end))
-        return made.hexdigest()
+        for a in self.attempts:
+            digest.update(
+                b"%d %d %d %d %d %d;" % (a.txn, a.proxy, a.backend, a.at, a.outcome, a.end)
+            )
+        return digest.hexdigest()
--- a/mothstall/lab/timeline.py
+++ b/mothstall/lab/timeline.py
@@ -1,4 +1,4 @@
-"""Time for everything in the lab: a heap of what is due. The virtual driver runs it as fast as it can."""
+"""The clock and event queue of the lab, in real or virtual time."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Timeline(Protocol):
-    """The time, ns since the run's start, and a way to be called at one. Real or simulated."""
+    """A clock in ns since the run's start with scheduled calls, real or simulated."""
 
     @property
     def now(self) -> int: ...
 
-    def at(self, due: int, what: Callable[..., object], *words: Any) -> None:
-        """Calls `what(*words)` at `due`, or as soon as it can where that is past."""
+    def at(self, due: int, callback: Callable[..., object], *args: Any) -> None:
+        """Calls `callback(*args)` at `due`, or as soon as possible if that is past."""
 
 
-class Heap:
-    """Simulated time: what is due at one instant is called in the order in which it was asked for."""
+class VirtualClock:
+    """Virtual time: calls due at the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -26,15 +26,15 @@
         self._heap: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
         self._seq = 0
 
-    def at(self, due: int, what: Callable[..., object], *words: Any) -> None:
+    def at(self, due: int, callback: Callable[..., object], *args: Any) -> None:
         self._seq += 1
-        heapq.heappush(self._heap, (due if due > self.now else self.now, self._seq, what, words))
+        heapq.heappush(self._heap, (due if due > self.now else self.now, self._seq, callback, args))
 
     def run(self, until: int) -> None:
-        """Calls all that is due before `until`, and leaves the time there."""
+        """Run all calls due before `until`, and set the time to it."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] < until:
-            self.now, _, what, words = pop(heap)
+            self.now, _, callback, args = pop(heap)
             self.calls += 1
-            what(*words)
+            callback(*args)
         self.now = until
