--- a/mothstall/fleet/agent/local_drains.py
+++ b/mothstall/fleet/agent/local_drains.py
@@ -78,7 +78,7 @@
             return LocalDrainOutcome(invalid_reason)
         if len(self._state.drains) >= MAX_LOCAL_DRAINS:
             return LocalDrainOutcome(
-                f"{MAX_LOCAL_DRAINS} drains requested here already wait for the store"
+                f"{MAX_LOCAL_DRAINS} drains given here wait for the store already"
             )
         key = drain_key(change.drain.kind, change.drain.name)
         self._state.drains[key] = change.drain
@@ -108,7 +108,7 @@
                 async with asyncio.timeout(LOCAL_PROPOSAL_TIMEOUT_S):
                     result = await client.propose(change, LOCAL_PROPOSAL_TIMEOUT_S)
                     return _stored_outcome(result.rejected_reason)
-        return LocalDrainOutcome("no connection to the store: only the store can remove this drain")
+        return LocalDrainOutcome("no contact with the store: an undrain must be said there")
 
     def _connected_client(self) -> StoreClient | None:
         client = self._snapshots.client
--- a/mothstall/fleet/agent/persisted_state.py
+++ b/mothstall/fleet/agent/persisted_state.py
@@ -102,7 +102,7 @@
             try:
                 await self._loop.run_in_executor(None, self._file.save, data)
             except OSError as error:
-                return f"cannot be saved: {error.strerror or error}"
+                return f"cannot be kept: {error.strerror or error}"
         return ""
 
     async def save_or_log(self) -> None:
--- a/mothstall/observer/attached_proxies.py
+++ b/mothstall/observer/attached_proxies.py
@@ -27,7 +27,7 @@
 
 MAX_LOGGED_NAMES = 8  # in one log line
 MAX_EPOCH = 1 << 62  # exclusive; larger values may not fit into an integer of the protocol
-ATTACHED_ELSEWHERE = "the proxy is attached to another observer"
+ATTACHED_ELSEWHERE = "it is attached elsewhere"
 
 
 class AttachedProxies:
--- a/mothstall/observer/keeper_contact.py
+++ b/mothstall/observer/keeper_contact.py
@@ -96,7 +96,7 @@
         is_connected = bool(self.clients.state.peer_name and self._leader_contact_at_ns)
         if is_connected and time.monotonic_ns() - self._leader_contact_at_ns < self._stale_ns:
             return ""
-        return f"no quorum: {self._name} has had no contact with a leader for {self.age_ms()} ms"
+        return f"no quorum: {self._name} has heard no keeper with a leader for {self.age_ms()} ms"
 
     def switch_keeper_if_stale(self, now_ns: int) -> None:
         """Connect to another keeper if this one has no leader or sends nothing."""
--- a/mothstall/observer/proposal_forwarder.py
+++ b/mothstall/observer/proposal_forwarder.py
@@ -110,7 +110,7 @@
         if reason:
             return reason
         if _changes_observers(change):
-            return "a proxy may not change leases or members of observers"
+            return "a proxy answers for no observer"
         if len(self.queued) + len(self.renewals) >= self.limits.max_queued_proposals:
             return "too many callers wait at the observer"
         return ""
--- a/mothstall/observer/proxy_handler.py
+++ b/mothstall/observer/proxy_handler.py
@@ -75,9 +75,7 @@
     def _record_heartbeat(self, proxy: AttachedProxy, message: observer_messages.Heartbeat) -> None:
         now_ns = time.monotonic_ns()
         if not self._table.record_heartbeat(proxy.name, proxy.owner, message.epoch, now_ns):
-            rejection = observer_messages.AttachRejected(
-                message.epoch, "the proxy is not attached here"
-            )
+            rejection = observer_messages.AttachRejected(message.epoch, "it is not known here")
             send_message(proxy.connection, rejection)
 
     def _execute(self, connection: FrameConnection, command: keeper_messages.AdminCommand) -> None:
--- a/mothstall/store/raft/membership.py
+++ b/mothstall/store/raft/membership.py
@@ -17,13 +17,13 @@
     if not state.is_configuration_committed:
         return "an earlier change of the keepers is not committed yet"
     if state.name not in proposed.voters:
-        return "the leader has to remain a voter: transfer the leadership first"
+        return "the leader stays a voter: transfer first"
     if set(proposed.voters) & set(proposed.learners):
         return "a keeper is a voter or a learner, not both"
     if len(set(current.voters) ^ set(proposed.voters)) > 1:
-        return "only one voter can be added or removed at a time"
+        return "one voter at a time"
     if proposed == current:
-        return "the configuration would not change"
+        return "nothing would change"
     return ""
 
 
--- a/tests/fleet/agent/test_local_drains.py
+++ b/tests/fleet/agent/test_local_drains.py
@@ -23,7 +23,7 @@
 PUT = PutDrain(DRAIN)
 REMOVE = RemoveDrain(DRAIN.kind, DRAIN.name, "ann")
 KEY = "box:b1"
-NO_CONNECTION_REASON = "no connection to the store: only the store can remove this drain"
+NO_CONNECTION_REASON = "no contact with the store: an undrain must be said there"
 
 
 class Fixture:
@@ -126,7 +126,7 @@
         await fixture.drains.apply(PUT)
         second = PutDrain(Drain(DrainKind.BACKEND, "b2", "ann", "", ""))
         outcome = await fixture.drains.apply(second)
-        assert outcome.rejected_reason.startswith("1 drains requested here")
+        assert outcome.rejected_reason.startswith("1 drains given here")
         assert list(fixture.state.drains) == [KEY]
 
     run(tmp_path, None, scenario)
--- a/tests/fleet/agent/test_persisted_state.py
+++ b/tests/fleet/agent/test_persisted_state.py
@@ -48,7 +48,7 @@
     async def scenario() -> str:
         return await (await load(occupied / "folder")).save()
 
-    assert asyncio.run(scenario()).startswith("cannot be saved: ")
+    assert asyncio.run(scenario()).startswith("cannot be kept: ")
 
 
 @pytest.mark.parametrize("content", [b"no json", b"[]", b'{"drains": 1}'])
--- a/tests/observer/test_proposals.py
+++ b/tests/observer/test_proposals.py
@@ -78,10 +78,7 @@
                 RenewLeases("me", (("probe/b1", 1), ("observer/o1", token))),
             ):
                 result = await agent.client.propose(change, 5.0)
-                assert (
-                    result.rejected_reason
-                    == "a proxy may not change leases or members of observers"
-                ), change
+                assert result.rejected_reason == "a proxy answers for no observer", change
             assert cluster.observer_of("p1") == "o1" and "observer/o2" not in cluster.state.leases
 
     asyncio.run(scenario())
--- a/tests/store/raft/test_membership.py
+++ b/tests/store/raft/test_membership.py
@@ -18,8 +18,8 @@
     assert "own term" in leader.propose_configuration(VOTERS[:2], ["k3"])
     complete_write(leader)
     leader.step(acknowledgement(leader, prev_log_index=0, match_index=1))
-    assert "only one voter" in leader.propose_configuration(["k1"], ["k2", "k3"])
-    assert "transfer the leadership first" in leader.propose_configuration(["k2", "k3"], ["k1"])
+    assert "one voter" in leader.propose_configuration(["k1"], ["k2", "k3"])
+    assert "transfer first" in leader.propose_configuration(["k2", "k3"], ["k1"])
     assert leader.propose_configuration(["k1", "k2"], ["k3"]) == ""
     assert "not committed yet" in leader.propose_configuration(VOTERS, [])
 
