--- a/mothstall/keeper/__init__.py
+++ b/mothstall/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""A keeper: one replica of the store as a process of its own."""
+"""A keeper: the process that runs one replica of the store."""
--- a/mothstall/keeper/admin.py
+++ b/mothstall/keeper/admin.py
@@ -1,4 +1,4 @@
-"""Operators' commands to one keeper, and its status."""
+"""Execution of operators' commands at one keeper, and its status."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReporter:
-    """What a keeper tells operators about itself; the keys stand on the operators' pages."""
+    """Builds the status of a keeper; its keys are documented for operators."""
 
     name: str
     replica: Replica
@@ -29,7 +29,7 @@
     limits: KeeperLimits
 
     def status(self) -> dict[str, Any]:
-        """Return what an operator is to know of this keeper."""
+        """Return the keeper's status by key, ready to be encoded as JSON."""
         raft = self.replica.raft
         state = self.replica.state
         return {
@@ -58,7 +58,7 @@
         }
 
     def counts(self) -> dict[str, int]:
-        """Return the counters since the start, bytes of open connections included."""
+        """Return the counters since the start, including the bytes of open connections."""
         counts = self.server.counts_with_open_connections()
         counts["dropped"] = self.replica.admission.dropped
         counts["waiting"] = len(self.replica.admission)
@@ -83,20 +83,20 @@
 
 
 class AdminCommandHandler:
-    """Executes operators' commands. Membership and leadership are changed by the leader alone."""
+    """Executes operators' commands; only the leader changes membership and leadership."""
 
     def __init__(
         self,
         reporter: StatusReporter,
         schedule_replica: Callable[[], None],
     ) -> None:
-        """Execute commands on the reporter's replica, which `schedule_replica` lets act on them."""
+        """Execute commands on the reporter's replica, and then call `schedule_replica`."""
         self._reporter = reporter
         self._replica = reporter.replica
         self._schedule_replica = schedule_replica
 
     def execute(self, command: AdminCommand) -> AdminResponse:
-        """Execute one command; a response with a reason where it is rejected."""
+        """Execute one command; the response has a reason if the command is rejected."""
         if command.verb == AdminVerb.STATUS:
             text = json.dumps(self._reporter.status()).encode()
             return AdminResponse(command.request_id, "", text)
@@ -117,7 +117,7 @@
         return AdminResponse(command.request_id, "", backup)
 
     def _change_configuration(self, command: AdminCommand) -> str:
-        """Return why the command is rejected; empty where it is under way."""
+        """Return why the command is rejected; empty if its execution has started."""
         if command.verb == AdminVerb.TRANSFER:
             return self._replica.raft.transfer_leadership(command.target)
         if command.verb == AdminVerb.ADD:
--- a/mothstall/keeper/admission.py
+++ b/mothstall/keeper/admission.py
@@ -1,11 +1,12 @@
-"""Admission of proposals: which go to the log, which are queued, which nobody wants any more.
-
-Pure. Guards against a retry storm at this keeper: a crowd whose members each give up after a while
-and request again keeps a queue full of work that nobody wants, and what is done is done for nobody
-(Maurer, "Fail at scale", ACM Queue 2015). So a caller states its deadline and cancels what it gave
-up; a proposal without a caller is dropped before it costs a commit; one that is submitted again
-while it is in flight is not committed twice; and few enough are in flight that each is committed
-soon. Times are ns on the replica's own steady clock.
+"""Admission of proposals: queueing, the window of proposals in flight, and drops. Pure.
+
+Guards against a retry storm at this keeper: many clients that time out and retry would fill the
+queue with abandoned requests, and the keeper would spend its capacity on results that no client
+waits for (Maurer, "Fail at scale", ACM Queue 2015). Therefore a caller states its deadline and
+cancels a request that it has abandoned; a proposal without a caller is dropped before it costs a
+commit; a proposal that is submitted again while it is in flight is not committed twice; and the
+number in flight is limited, so that each is committed soon. Times are ns on the replica's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from mothstall.store.state.changes import AcquireLease, OpenSession, Proposal
 
 MAX_PENDING = 8192  # proposals, queued and in flight; further ones are rejected
-MAX_QUEUED_NEWCOMERS = 6144  # of them, so that a crowd that joins leaves capacity for members
-MAX_IN_FLIGHT = 256  # proposals on their way to the log or in it
-RESUBMIT_AFTER_NS = 600_000_000  # in flight for this long and submitted again: it may be lost
-LOST_AFTER_NS = 3_000_000_000  # in flight for this long and without a caller: it is lost
+MAX_QUEUED_NEWCOMERS = 6144  # limit within MAX_PENDING: mass joins leave capacity for members
+MAX_IN_FLIGHT = 256  # proposals handed to the leader and not applied yet
+RESUBMIT_AFTER_NS = 600_000_000  # in flight for this long: a resubmission hands it in again
+LOST_AFTER_NS = 3_000_000_000  # in flight for this long without a caller: counts as lost
 
 NO_DEADLINE = 0
 NOT_IN_FLIGHT = -1
@@ -29,12 +30,12 @@
 
 @dataclass(slots=True)
 class _PendingProposal:
-    """One proposal and who waits for its result.
+    """One proposal and the callers that wait for its result.
 
     Attributes:
-        proposal: What is proposed.
-        deadlines_ns: By caller: until when it waits; `NO_DEADLINE`: as long as it takes.
-        in_flight_since_ns: When it was handed in; `NOT_IN_FLIGHT`: it is queued.
+        proposal: The proposal.
+        deadlines_ns: Deadline by caller; `NO_DEADLINE`: the caller waits without a limit.
+        in_flight_since_ns: When the proposal was handed in; `NOT_IN_FLIGHT`: it is queued.
     """
 
     proposal: Proposal
@@ -50,16 +51,16 @@
         return self.in_flight_since_ns != NOT_IN_FLIGHT
 
     def is_too_late(self, now_ns: int) -> bool:
-        """Whether the deadline of every caller has passed; false where one has none."""
+        """Whether the deadlines of all callers have passed; false if one has no deadline."""
         return all(0 < deadline_ns <= now_ns for deadline_ns in self.deadlines_ns.values())
 
 
 class Admission:
-    """Queue and window of one replica's proposals.
+    """The queue of one replica's proposals and the window of those in flight.
 
     Attributes:
-        window: Proposals in flight at most.
-        dropped: Proposals dropped because nobody wanted them any more.
+        window: Maximum number of proposals in flight.
+        dropped: Number of proposals dropped because no caller waited for them any more.
     """
 
     def __init__(
@@ -69,16 +70,16 @@
         drops_abandoned: bool = True,
         deduplicates: bool = True,
     ) -> None:
-        """`drops_abandoned` and `deduplicates` are guards: tests alone take them out."""
+        """`drops_abandoned` and `deduplicates` are guards that only tests disable."""
         self.window = window
         self.dropped = 0
         self._drops_abandoned = drops_abandoned
         self._deduplicates = deduplicates
         self._pending: dict[ProposalKey, _PendingProposal] = {}
         self._keys: dict[int, ProposalKey] = {}  # by caller
-        # Queued proposals alone. Guards against a crowd that joins and costs those who are members
-        # what they have: requests for a session or a lease queue behind renewals, writes and
-        # operators' commands.
+        # The queues hold only proposals that are not in flight. Guards against mass joins that cost
+        # members their leases: requests for a new session or lease queue behind renewals, writes
+        # and operators' commands.
         self._priority_queue: OrderedDict[ProposalKey, None] = OrderedDict()
         self._newcomer_queue: OrderedDict[ProposalKey, None] = OrderedDict()
         self._in_flight = 0
@@ -88,14 +89,14 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether any further proposal has to be rejected."""
+        """Whether every new proposal has to be rejected."""
         return len(self._pending) >= MAX_PENDING
 
     def has_capacity_for(self, proposal: Proposal) -> bool:
-        """Tell whether this proposal can be taken, or is pending already.
+        """Return whether this proposal can be queued, or is pending already.
 
-        Guards against a crowd that joins and fills the queue: a renewal that finds no place would
-        cost a member the lease that it has.
+        Guards against mass joins that fill the queue: a renewal that is rejected there would cost a
+        member its lease.
         """
         if _key(proposal) in self._pending:
             return True
@@ -107,7 +108,7 @@
     def submit(
         self, caller: int, proposal: Proposal, now_ns: int, deadline_ns: int = NO_DEADLINE
     ) -> None:
-        """Add a caller of this proposal, or the same one again with a new deadline."""
+        """Add a caller to this proposal, or update the deadline of a caller that it has."""
         key = _key(proposal)
         pending = self._pending.get(key)
         if pending is None:
@@ -120,7 +121,7 @@
         self._keys[caller] = key
 
     def cancel(self, caller: int) -> None:
-        """Forget a caller. A proposal in flight stays counted until it is committed."""
+        """Remove a caller. A proposal in flight stays in the window until it is applied or lost."""
         key = self._keys.pop(caller, None)
         if key is None:
             return
@@ -134,7 +135,7 @@
             self.dropped += 1
 
     def next_proposal(self, now_ns: int) -> Proposal | None:
-        """Return the proposal to hand in now; None if the window is full or nothing is queued."""
+        """Return the next proposal to hand in; None if the window is full or nothing is queued."""
         while self._in_flight < self.window:
             queue = self._priority_queue or self._newcomer_queue
             if not queue:
@@ -151,13 +152,16 @@
         return None
 
     def requeue(self, proposal: Proposal) -> None:
-        """Put back, as the first, a proposal that the log did not take."""
+        """Put a proposal that could not be handed in back at the head of its queue."""
         pending = self._pending.get(_key(proposal))
         if pending is not None and pending.is_in_flight:
             self._requeue_first(pending)
 
     def requeue_in_flight(self) -> None:
-        """Queue again what is still wanted after a change of leader or term: it may be lost."""
+        """After a change of leader or term, requeue the proposals in flight that have callers.
+
+        Those proposals may be lost.
+        """
         for key, pending in list(self._pending.items()):
             if not pending.is_in_flight:
                 continue
@@ -169,7 +173,7 @@
         self._in_flight = 0
 
     def complete(self, key: ProposalKey) -> tuple[int, ...]:
-        """Forget a proposal that was applied, and return the callers to be answered."""
+        """Remove a proposal that was applied, and return the callers to be answered."""
         pending = self._pending.get(key)
         if pending is None:
             return ()
@@ -180,12 +184,12 @@
         return tuple(pending.deadlines_ns)
 
     def expire(self, now_ns: int) -> list[int]:
-        """Forget the callers whose deadline has passed, and lost proposals that have no caller.
+        """Remove callers whose deadline has passed, and lost proposals that have no caller.
 
-        Linear in all pending proposals.
+        Takes time linear in the pending proposals.
 
         Returns:
-            The callers that were forgotten.
+            The callers that were removed.
         """
         expired = [
             caller
--- a/mothstall/keeper/client_handler.py
+++ b/mothstall/keeper/client_handler.py
@@ -1,4 +1,4 @@
-"""What clients of a keeper request, and the responses that they get."""
+"""Handles the requests of a keeper's clients."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class ClientHandler:
-    """Dispatches messages of clients and answers them once the replica has.
+    """Dispatches messages of clients, and sends the responses once the replica has the results.
 
     Attributes:
-        watchers: Clients that watch the state.
-        reports: Reports of proxies, on their way to subscribers.
-        requests: Proposals and reads that are not answered yet.
+        watchers: Sends watch events to the clients that watch the state.
+        reports: Relays reports of proxies to subscribers.
+        requests: Proposals and reads that have no response yet.
     """
 
     def __init__(
@@ -38,16 +38,16 @@
         expiry_interval_ns: int,
         schedule_replica: Callable[[], None],
     ) -> None:
-        """Prepare the handler.
+        """Initialize the handler.
 
         Args:
-            replica: Where proposals and reads go.
-            watchers: Where watch requests go.
-            reports: Where reports and their subscribers go.
-            admin: Where operators' commands go.
+            replica: Receives proposals and reads.
+            watchers: Receives watch requests.
+            reports: Receives reports, and subscriptions to reports.
+            admin: Executes operators' commands.
             counts: `calls`, `calls_again`, `changes`, `refused` and `withdrawn` are counted here.
-            expiry_interval_ns: Interval at which requests past their deadline are looked for.
-            schedule_replica: Called after a request that the replica has to work on.
+            expiry_interval_ns: Interval between removals of requests past their deadline.
+            schedule_replica: Called after a request that leaves work for the replica.
         """
         self.watchers = watchers
         self.requests = RequestTable(counts)
@@ -56,16 +56,16 @@
         self._admin = admin
         self._counts = counts
         self._expiry_interval_ns = expiry_interval_ns
-        self._expired_at_ns = 0  # when requests past their deadline were last looked for
+        self._expired_at_ns = 0  # time of the last removal of requests past their deadline
         self._schedule_replica = schedule_replica
 
     def start(self) -> None:
-        """Begin to send watch events and reports."""
+        """Start to send watch events and reports."""
         self.watchers.start()
         self.reports.start()
 
     def stop(self) -> None:
-        """Send no more watch events and reports."""
+        """Stop sending watch events and reports."""
         self.watchers.stop()
         self.reports.stop()
 
@@ -88,14 +88,14 @@
                 send_message(connection, self._admin.execute(message))
 
     def disconnected(self, connection: FrameConnection) -> None:
-        """Forget a client and all that it waits for."""
+        """Remove a client with its watch, its subscription and its pending requests."""
         self.watchers.discard(connection)
         self.reports.subscribers.discard(connection)
         for caller_id in self.requests.remove_connection(connection):
             self._replica.cancel(caller_id)
 
     def on_tick(self, now_ns: int) -> None:
-        """Forget, now and then, the requests whose deadline has passed."""
+        """Remove the requests past their deadline, if `expiry_interval_ns` has elapsed."""
         if now_ns - self._expired_at_ns < self._expiry_interval_ns:
             return
         self._expired_at_ns = now_ns
@@ -103,7 +103,7 @@
             self.requests.remove(caller_id)
 
     def on_applied(self, applied: AppliedEntries) -> None:
-        """Answer proposals that were applied and reads that the state has caught up with."""
+        """Answer proposals that were applied, and reads whose read index has been applied."""
         self._counts["changes"] += applied.entries
         for caller_id, result in applied.results:
             self._answer(caller_id, result)
--- a/mothstall/keeper/disk_writer.py
+++ b/mothstall/keeper/disk_writer.py
@@ -1,4 +1,4 @@
-"""Writes of a replica's log, on a thread of their own."""
+"""Writes a replica's log on a separate thread."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class DiskWriter:
-    """Writes to the disk log without holding up the event loop, and again until a write succeeds.
+    """Writes to the disk log without blocking the event loop, and retries until a write succeeds.
 
     Attributes:
-        status: What is wrong with the disk, for operators; empty: nothing.
+        status: The fault of the disk as shown to operators; empty: none.
         has_write_error: Whether the last write failed.
     """
 
     def __init__(
         self, name: str, disk: DiskLog, counts: dict[str, int], retry_s: float, slow_ms: int
     ) -> None:
-        """Prepare a writer.
+        """Initialize a writer.
 
         Args:
             name: The keeper's name, for its log lines.
-            disk: The log, which `load` opens.
+            disk: The log; its `load` has to be called before the first write.
             counts: `writes`, `writes_failed` and `slowest_write_ms` are counted here.
-            retry_s: Pause after a write that failed.
-            slow_ms: A write that takes this long is logged.
+            retry_s: Pause after a failed write.
+            slow_ms: A write that takes at least this long is logged.
         """
         self.status = ""
         self.has_write_error = False
@@ -44,16 +44,16 @@
         self._is_stopped = False
 
     def report_damage(self, loaded: LoadedLog) -> None:
-        """Log, and show in the status, that the log cannot be used beyond some record."""
+        """Log damage that was found while the log was loaded, and show it in the status."""
         if loaded.damage:
             self.status = loaded.damage
             log.error("log damaged: returns as a learner", extra={"kv": {"damage": loaded.damage}})
 
     async def write(self, ready: Ready) -> bool:
-        """Write until it succeeds: nothing that follows from a write may be sent before.
+        """Retry the write until it succeeds: dependent messages may be sent only after that.
 
         Returns:
-            False where the keeper stopped in the meantime.
+            False if the writer was stopped in the meantime.
         """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
@@ -62,7 +62,7 @@
                 await loop.run_in_executor(self._thread, self._disk.write, ready)
             except StorageError as error:
                 self._on_failed(error)
-                # What waits for this write would wait for too long: clients turn to another keeper.
+                # The messages would be sent too late: by then clients use another keeper.
                 ready.messages = []
                 await asyncio.sleep(self._retry_s)
             else:
@@ -74,7 +74,7 @@
         return True
 
     async def stop(self) -> None:
-        """Close the log after the write that runs."""
+        """Close the log after the write in progress."""
         self._is_stopped = True
         await asyncio.get_running_loop().run_in_executor(self._thread, self._disk.close)
         self._thread.shutdown()
--- a/mothstall/keeper/lease_expiry.py
+++ b/mothstall/keeper/lease_expiry.py
@@ -1,6 +1,6 @@
-"""Expiry of leases, as the leader counts their terms and proposes their end. Pure.
+"""Expiry of leases: the leader tracks the terms and proposes to expire ended ones. Pure.
 
-Times are ns on the replica's own steady clock.
+Times are ns on the replica's monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 log = logging.getLogger("mothstall.keeper")
 
 MAX_LOGGED_NAMES = 8  # in one log line
-EXPIRY_RETRY_NS = 1_000_000_000  # until an expiry that was not committed is proposed once more
+EXPIRY_RETRY_NS = 1_000_000_000  # until an expiry that is not applied is proposed again
 
 LeaseTerm = tuple[str, int]  # name of the lease and its token
 
 
 class LeaseExpiryProposer:
-    """Counts terms of leases while this replica leads, and proposes to expire those that ended."""
+    """Tracks the terms of leases while this replica leads, and proposes to expire ended ones."""
 
     def __init__(self, grants_fresh_terms: bool = True) -> None:
-        """`grants_fresh_terms` is a guard: tests alone take it out."""
+        """`grants_fresh_terms` is a guard that only tests disable."""
         self._tracker = LeaseExpiryTracker(grants_fresh_terms)
-        self._counting_in_term = 0  # the Raft term in which it counts; 0: it does not
+        self._counting_in_term = 0  # the Raft term of this replica's leadership; 0: not tracking
         self._proposed_at_ns: dict[LeaseTerm, int] = {}
 
     def remaining_ns(self, name: str, now_ns: int) -> int | None:
-        """Return what is left of a lease's term by this leader's count; None: not counted."""
+        """Return the remaining time of a lease's term at this leader; None: not tracked."""
         return self._tracker.remaining_ns(name, now_ns)
 
     def on_applied(
         self, change: Change, result: ChangeResult, state: StateMachine, now_ns: int
     ) -> None:
-        """Follow a change that was just applied to `state`."""
+        """Update the tracked terms after a change was applied to `state`."""
         if isinstance(change, ExpireLeases):
             for lease_term in change.leases:
                 self._proposed_at_ns.pop(lease_term, None)
@@ -55,9 +55,9 @@
         if not self._counting_in_term or result.rejected_reason:
             return
         if isinstance(change, AcquireLease):
-            # Guards against an acquisition that is applied a second time, late: its result is the
-            # first one's, and counted in place of the next holder's token it would let the next
-            # term never end.
+            # Guards against an acquisition that is applied a second time: its result is the first
+            # one with the old token. Tracked in place of the next holder's token, it would keep the
+            # next holder's lease from ever expiring.
             if state.is_lease_current(change.name, result.token):
                 self._tracker.record_grant(change.name, result.token, change.duration_ms, now_ns)
         elif isinstance(change, RenewLeases):
@@ -69,7 +69,7 @@
             self._tracker.forget(change.name)
 
     def reconcile(self, raft: RaftNode, state: StateMachine, now_ns: int) -> None:
-        """Begin or end to count with leadership, and propose the end of terms that are over."""
+        """Start or stop tracking as leadership changes, and propose to expire ended terms."""
         if not raft.is_leader or raft.current_term != self._counting_in_term:
             self._stop_counting()
             if not raft.has_committed_in_term or state.applied_index < raft.commit_index:
--- a/mothstall/keeper/limits.py
+++ b/mothstall/keeper/limits.py
@@ -1,35 +1,35 @@
-"""Bounds and intervals of a keeper process."""
+"""Limits and intervals of a keeper process."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_CONNECTIONS = 2048  # clients at once; the lab's model of capacity reads it
+MAX_CONNECTIONS = 2048  # concurrent clients; also read by the lab's capacity model
 
 
 @dataclass(frozen=True, slots=True)
 class KeeperLimits:
-    """Bounds and intervals of one keeper process; tests vary them.
+    """Limits and intervals of one keeper process; tests vary them.
 
     Attributes:
-        max_connections: Clients at once; further ones are closed.
-        max_unsent_bytes: Send buffer of a peer or report subscriber from which on further messages
-            are left out: both are repeated by their sender.
+        max_connections: Maximum number of clients; further connections are closed.
+        max_unsent_bytes: Size of the send buffer of a peer or report subscriber from which on
+            messages are dropped: Raft messages and reports are sent again by their senders.
         watch_interval_s: Pause between two rounds of watch events.
-        watch_batch_pause_s: Pause between two batches of one round, in which other work is done.
-        max_events_per_batch: Watch events sent without giving other work its time.
-        max_watch_events_per_s: Watch events a second that carry changes. After a round of more than
-            `watch_interval_s` times this the next one waits, so that a large crowd of watchers gets
-            many changes in one event.
-        watch_heartbeat_s: A watcher to whom nothing was sent for this long gets an empty event.
-        slow_watcher_s: A watcher that has not taken the last event is skipped for this long.
-        expiry_interval_ns: Interval at which requests past their deadline are looked for.
-        write_retry_s: Pause after a write that the disk rejected.
-        report_interval_s: Interval at which reports of proxies are passed on.
+        watch_batch_pause_s: Pause for other work between two batches of one round.
+        max_events_per_batch: Watch events sent before a pause for other work.
+        max_watch_events_per_s: Maximum rate of watch events with changes. After a round with more
+            than `watch_interval_s` times this number, the next changes are delayed, so that many
+            watchers get many changes in one event each.
+        watch_heartbeat_s: A watcher that got no event for this long gets an empty one.
+        slow_watcher_s: A watcher that has not read its last event is skipped for this long.
+        expiry_interval_ns: Interval between removals of requests past their deadline.
+        write_retry_s: Pause after a failed write.
+        report_interval_s: Interval between two batches of relayed reports.
         max_reports_per_frame: Reports in one frame: 24 of 16 KiB stay well below a frame's limit.
-        max_buffered_reports: Reports that wait to be passed on; further ones are left out.
-        max_report_bytes: Larger reports are left out.
-        max_backup_bytes: Size of a backup that still fits into one response frame.
+        max_buffered_reports: Maximum number of buffered reports; further ones are dropped.
+        max_report_bytes: Maximum size of a report; larger ones are dropped.
+        max_backup_bytes: A backup has to be smaller than this to fit into one response frame.
         max_leases_in_status: Leases whose remaining time is listed in the status.
     """
 
--- a/mothstall/keeper/peers.py
+++ b/mothstall/keeper/peers.py
@@ -25,7 +25,7 @@
 class PeerConnection:
     """The connection to one other keeper: dialled again, with backoff, whenever it is lost.
 
-    What cannot be sent is dropped: Raft and the relaying of reports both repeat what matters.
+    A message that cannot be sent is dropped: Raft retransmits, and proxies send new reports.
     """
 
     def __init__(
@@ -48,20 +48,20 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether both sides have greeted."""
+        """Whether both sides have completed the greeting."""
         return self._connection is not None
 
     def send(self, payload: bytes) -> None:
-        """Send an encoded message, or drop it where the peer is away or takes nothing."""
+        """Send an encoded message; drop it if the peer is not connected or its buffer is full."""
         connection = self._connection
         if connection is not None and connection.unsent_bytes < self._max_unsent_bytes:
             connection.send(payload)
 
     def close(self) -> None:
-        """Dial no more and close the connection."""
+        """Stop dialling and close the connection."""
         self._task.cancel()
         if self._connection:
-            self._connection.close("ending")
+            self._connection.close("the keeper is stopping")
 
     async def _keep_connected(self) -> None:
         backoff_s = MIN_BACKOFF_S
@@ -85,7 +85,7 @@
 
     def _on_greeted(self, connection: FrameConnection) -> None:
         if connection.peer != self.name or connection.role != PeerRole.KEEPER:
-            connection.close(f"{connection.peer} where {self.name} should be")
+            connection.close(f"the peer is {connection.peer}, not keeper {self.name}")
             return
         self._connection = connection
 
@@ -99,13 +99,13 @@
     """The connections to all other keepers of the operator file, by name."""
 
     def __init__(self, keepers: Iterable[KeeperConfig], max_unsent_bytes: int) -> None:
-        """Prepare connections to these keepers; `start` begins to dial them."""
+        """Initialize the connections to these keepers; `start` dials them."""
         self._configs = {config.name: config for config in keepers}
         self._max_unsent_bytes = max_unsent_bytes
         self._peers: dict[str, PeerConnection] = {}
 
     def start(self, server: FrameServer) -> None:
-        """Begin to dial; `server` makes and counts the connections."""
+        """Start to dial; `server` makes the connections and counts their bytes."""
         loop = asyncio.get_running_loop()
         for name, config in self._configs.items():
             self._peers[name] = PeerConnection(
@@ -116,7 +116,7 @@
         return name in self._configs
 
     def send_messages(self, messages: Iterable[Message]) -> None:
-        """Send Raft messages to the peers that they are addressed to."""
+        """Send Raft messages to their recipients."""
         for message in messages:
             peer = self._peers.get(message.recipient)
             if peer is not None:
@@ -128,10 +128,10 @@
             peer.send(payload)
 
     def connected_names(self) -> list[str]:
-        """Return the names of the peers that can be reached, sorted."""
+        """Return the sorted names of the connected peers."""
         return sorted(name for name, peer in self._peers.items() if peer.is_connected)
 
     def close(self) -> None:
-        """Close all connections and dial no more."""
+        """Close all connections and stop dialling."""
         for peer in self._peers.values():
             peer.close()
--- a/mothstall/keeper/pending_reads.py
+++ b/mothstall/keeper/pending_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads (Raft's read index) that wait for the state to catch up. Pure."""
+"""Linearizable reads that wait until their Raft read index is applied. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PendingReads:
-    """Callers by the context under which Raft was asked for a read index."""
+    """Callers by the context of their read index request."""
 
     def __init__(self) -> None:
         self._callers: dict[int, int] = {}  # by context
@@ -20,24 +20,24 @@
         return len(self._callers)
 
     def add(self, caller: int) -> int:
-        """Return the context to request a read index with for this caller."""
+        """Add a caller; return the context for its read index request."""
         self._last_context += 1
         self._callers[self._last_context] = caller
         self._contexts[caller] = self._last_context
         return self._last_context
 
     def cancel(self, caller: int) -> None:
-        """Forget a caller."""
+        """Remove a caller."""
         context = self._contexts.pop(caller, None)
         if context is not None:
             self._callers.pop(context, None)
 
     def confirm(self, read_states: Iterable[ReadState]) -> None:
-        """Take the read indexes that Raft confirmed."""
+        """Add read indexes that Raft has confirmed."""
         self._confirmed += read_states
 
     def take_ready(self, applied: int) -> list[int]:
-        """Return the callers who may read now that the state holds all up to `applied`."""
+        """Remove and return the callers whose read index is at most `applied`."""
         ready = [read for read in self._confirmed if read.index <= applied]
         self._confirmed = [read for read in self._confirmed if read.index > applied]
         callers = []
--- a/mothstall/keeper/process.py
+++ b/mothstall/keeper/process.py
@@ -1,4 +1,4 @@
-"""The keeper's process: composes sockets, clock and disk round the pure `replica.Replica`."""
+"""The keeper's process: connects sockets, clock and disk to the pure `replica.Replica`."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-LISTEN_BACKLOG = 1024  # connections that the kernel holds until they are accepted
-MIN_ELECTION_TICKS = 3  # however long a tick is, as the operator file's checks demand
+LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
+MIN_ELECTION_TICKS = 3  # three heartbeats, which the operator file's checks require too
 MIN_HEARTBEAT_TICKS = 1
 COUNTERS = (
     "calls",
@@ -58,15 +58,15 @@
 
 
 class Keeper:
-    """One keeper in service.
+    """One running keeper.
 
     Attributes:
         name: The keeper's name in the operator file.
-        counts: Counters since the start; their names stand on the operators' pages.
-        replica: The replica of the store that it serves.
-        server: Its connections.
-        clients: What its clients request and watch.
-        stop_requested: Set by whoever wants the process to end.
+        counts: Counters since the start; their names are documented for operators.
+        replica: The keeper's replica of the store.
+        server: Accepts and makes the keeper's connections.
+        clients: Handles the requests of clients.
+        stop_requested: Set to request that the process stops.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
         """Load the replica from its data folder.
 
         Args:
-            operator: The operator file's content.
-            name: Which keeper this is.
-            data: Folder of its log.
-            before_commit: For the lab: called before each commit of the disk log.
-            limits: Bounds and intervals; tests vary them.
+            operator: The parsed operator file.
+            name: Name of this keeper.
+            data: Folder of the keeper's log.
+            before_commit: Hook for the lab, called before each commit of the disk log.
+            limits: Limits and intervals; tests vary them.
 
         Raises:
             OSError: The log cannot be opened.
@@ -113,11 +113,11 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on; 0 before `start`."""
+        """The listening port; 0 before `start`."""
         return self.server.port
 
     async def start(self) -> None:
-        """Listen, dial the other keepers and let the replica work.
+        """Listen, dial the other keepers and start the replica.
 
         Raises:
             OSError: The address cannot be bound.
@@ -129,23 +129,23 @@
         log.info("listening", extra={"kv": {"name": self.name, "port": self.port}})
 
     async def stop(self) -> None:
-        """Close all connections, and the log after the write that runs."""
+        """Close all connections, and close the log after the write in progress."""
         self._replica_loop.stop()
         self.clients.stop()
         self.server.stop_listening()
         self._peers.close()
-        self.server.close_clients("ending")
+        self.server.close_clients("the keeper is stopping")
         await self._disk.stop()
 
     def status(self) -> dict[str, Any]:
-        """Return what an operator is to know of this keeper."""
+        """Return the status of this keeper, by key."""
         return self._status.status()
 
     def message_received(self, connection: FrameConnection, payload: bytes) -> None:
         """Handle one payload of a client or another keeper.
 
         Raises:
-            ValueError: The payload cannot be read or must not be sent.
+            ValueError: The payload cannot be decoded, or the peer may not send it.
         """
         if connection.role == PeerRole.KEEPER:
             message = msgspec.msgpack.decode(payload, type=PeerMessage)
@@ -155,7 +155,7 @@
             self.clients.handle(connection, request)
 
     def client_disconnected(self, connection: FrameConnection) -> None:
-        """Forget a client and all that it waits for."""
+        """Remove a client with its watch, its subscription and its pending requests."""
         self.clients.disconnected(connection)
 
     def _handle_peer_message(self, connection: FrameConnection, message: PeerMessage) -> None:
@@ -163,7 +163,7 @@
             self.clients.reports.receive_from_peer(message.reports)
             return
         if message.sender != connection.peer:
-            raise UnexpectedMessageError(f"{connection.peer} speaks for {message.sender}")
+            raise UnexpectedMessageError(f"{connection.peer} sent a message of {message.sender}")
         self._replica_loop.receive(message)
 
     def _make_server(self, operator: OperatorConfig, limits: KeeperLimits) -> FrameServer:
@@ -177,7 +177,7 @@
     def _make_disk_writer(
         self, disk_log: DiskLog, operator: OperatorConfig, limits: KeeperLimits
     ) -> DiskWriter:
-        # A write that takes as long as an election timeout may cost the lead.
+        # A write that takes as long as an election timeout may cost the leadership.
         slow_write_ms = operator.timing.election_timeout_ns // NS_PER_MS
         return DiskWriter(self.name, disk_log, self.counts, limits.write_retry_s, slow_write_ms)
 
@@ -196,7 +196,7 @@
 
 
 def _initial_configuration(operator: OperatorConfig) -> Configuration:
-    """Return the configuration that a replica with an empty log begins with."""
+    """Return the configuration of a replica whose log is empty."""
     voters = sorted(config.name for config in operator.keepers if config.is_voter)
     return Configuration(tuple(voters), ())
 
@@ -207,7 +207,7 @@
         max(MIN_ELECTION_TICKS, operator.timing.election_timeout_ns // tick),
         max(MIN_HEARTBEAT_TICKS, operator.timing.heartbeat_ns // tick),
     )
-    # Election timeouts have to differ from one start to the next.
+    # A random seed: election timeouts must not repeat from one start to the next.
     seed = random.SystemRandom().getrandbits(32)
     return Replica(
         name,
--- a/mothstall/keeper/replica.py
+++ b/mothstall/keeper/replica.py
@@ -1,7 +1,7 @@
-"""One replica: consensus, state, lease expiry and the callers that wait. Pure.
+"""One replica: consensus, state, lease expiry and pending callers. Pure.
 
-The keeper's process (`replica_loop.py`) and the lab's simulation drive this same class; times are
-ns on the replica's own steady clock.
+The keeper's process (`replica_loop.py`) and the lab's simulation run this same class. Times are ns
+on the replica's monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from mothstall.store.state.changes import ChangeResult, ExpireLeases, Proposal
 from mothstall.store.state.machine import StateMachine
 
-MAX_ENTRIES_BEHIND_SNAPSHOT = 512  # kept for replicas that lag a little and need no snapshot then
+MAX_ENTRIES_BEHIND_SNAPSHOT = 512  # lets replicas that lag a little catch up without a snapshot
 DEFAULT_COMPACT_EVERY = 2000  # entries
 
-# Both begin with what clients retry on, after a pause that grows.
+# Clients recognize both by their first words, and retry with exponential backoff.
 TOO_MANY_CALLERS_REASON = "too many callers wait"
 NO_LEADER_REASON = "no quorum: no leader is known"
 
 
 @dataclass(slots=True)
 class AppliedEntries:
-    """What became of a `Ready`.
+    """The results of applying the committed entries of a `Ready`.
 
     Attributes:
-        results: Callers to be answered, with the result of their proposal.
-        reads: Callers who may now be sent the state.
+        results: Callers with the results of their proposals.
+        reads: Callers that may read the state now.
         entries: Number of entries applied.
     """
 
@@ -45,7 +45,7 @@
 
 
 class SnapshotSchedule:
-    """When the log is compacted, and the snapshot that waits to be written."""
+    """Decides when the log is compacted, and holds the snapshot that is to be written."""
 
     def __init__(self, every: int, snapshot_index: int) -> None:
         """Compact every `every` entries after the snapshot at `snapshot_index`."""
@@ -54,11 +54,11 @@
         self._compacted: Snapshot | None = None
 
     def on_loaded(self, snapshot: Snapshot) -> None:
-        """Count from a snapshot that was installed."""
+        """Count entries from an installed or loaded snapshot."""
         self._snapshot_index = snapshot.last_included_index
 
     def compact_if_due(self, raft: RaftNode, state: StateMachine) -> None:
-        """Compact the log to a snapshot of the state once enough was applied since the last."""
+        """Compact the log to a snapshot once `every` entries were applied since the last."""
         if state.applied_index - self._snapshot_index < self._every:
             return
         self._snapshot_index = state.applied_index
@@ -66,7 +66,7 @@
         self._compacted = raft.compact(self._snapshot_index, state.encode_snapshot(), retained)
 
     def take_compacted(self) -> Snapshot | None:
-        """Return the snapshot that is to be written, once."""
+        """Return the snapshot that is to be written, and clear it."""
         compacted = self._compacted
         self._compacted = None
         return compacted
@@ -76,9 +76,9 @@
     """One replica of the store, without sockets, clock and disk.
 
     Attributes:
-        raft: Consensus.
-        state: What the applied entries amount to.
-        lease_expiry: Counts terms of leases while this replica leads.
+        raft: The Raft node.
+        state: The state after the applied entries.
+        lease_expiry: Tracks the terms of leases while this replica leads.
         admission: Proposals of callers that are queued or in flight.
     """
 
@@ -96,9 +96,9 @@
         checks_token_on_apply: bool = True,
         admission: Admission | None = None,
     ) -> None:
-        """Restore a replica from what its disk holds.
+        """Restore a replica from the data on its disk.
 
-        `grants_fresh_terms` and `checks_token_on_apply` are guards: tests alone take them out.
+        `grants_fresh_terms` and `checks_token_on_apply` are guards that only tests disable.
         """
         self.raft = RaftNode(name, timing, seed, hard_state, snapshot, entries)
         self.lease_expiry = LeaseExpiryProposer(grants_fresh_terms)
@@ -106,26 +106,26 @@
         self._checks_token_on_apply = checks_token_on_apply
         self._snapshots = SnapshotSchedule(compact_every, snapshot.last_included_index)
         self._reads = PendingReads()
-        self._proposed_to = (0, "")  # the term and leader that proposals are handed to
+        self._proposed_to = (0, "")  # term and leader that the proposals in flight went to
         self._load(snapshot)
 
     def tick(self, now_ns: int) -> None:
-        """Let one tick of Raft's timing pass."""
+        """Advance Raft's timers by one tick."""
         self.raft.tick()
         self._reconcile(now_ns)
 
     def step(self, message: Message, now_ns: int) -> None:
-        """Take a Raft message of another replica."""
+        """Handle a Raft message from another replica."""
         self.raft.step(message)
         self._reconcile(now_ns)
 
     def propose(
         self, caller: int, proposal: Proposal, now_ns: int, deadline_ns: int = NO_DEADLINE
     ) -> str:
-        """Take a proposal for a caller, who waits until its deadline.
+        """Submit a proposal for a caller that waits until its deadline.
 
         Returns:
-            Why it is rejected; empty where its result comes with a later `handle_persisted`.
+            Why the proposal is rejected; empty: a later `handle_persisted` returns its result.
         """
         if not self.admission.has_capacity_for(proposal):
             return TOO_MANY_CALLERS_REASON
@@ -141,10 +141,10 @@
         return ""
 
     def read(self, caller: int) -> str:
-        """Let the caller read once the state holds all that was acknowledged before now.
+        """Request a linearizable read for a caller.
 
         Returns:
-            Why it is rejected; empty where a later `handle_persisted` lets it read.
+            Why the read is rejected; empty: a later `handle_persisted` lets the caller read.
         """
         if len(self._reads) >= MAX_PENDING:
             return TOO_MANY_CALLERS_REASON
@@ -153,18 +153,18 @@
         return ""
 
     def cancel(self, caller: int) -> None:
-        """Forget a caller that waits no longer."""
+        """Remove a caller that no longer waits."""
         self.admission.cancel(caller)
         self._reads.cancel(caller)
 
     def ready(self) -> Ready:
-        """Return what is to be written, sent and applied next."""
+        """Return the data to write, the messages to send and the entries to apply next."""
         ready = self.raft.ready()
         ready.compacted_snapshot = self._snapshots.take_compacted()
         return ready
 
     def handle_persisted(self, ready: Ready, now_ns: int) -> AppliedEntries:
-        """Apply what is committed, now that what `ready` holds is on disk."""
+        """Apply the committed entries of `ready`, whose data is on disk now."""
         applied = AppliedEntries()
         if ready.snapshot:
             self._load(ready.snapshot)
@@ -187,7 +187,7 @@
         self._snapshots.on_loaded(snapshot)
 
     def _reason_to_reject_early(self, proposal: Proposal) -> str:
-        """Check a proposal before it costs a commit, where the state is sure to be the latest."""
+        """Check a proposal before it costs a commit, if the state is known to be the latest."""
         is_latest = (
             self.raft.has_committed_in_term and self.raft.last_applied == self.raft.log.last_index
         )
@@ -199,7 +199,7 @@
         return self.state.rejection_reason(proposal.change)
 
     def _hand_in(self, now_ns: int) -> None:
-        """Hand queued proposals to the leader, as far as the window goes; all to a new one."""
+        """Hand queued proposals to the leader up to the window; a new leader gets all again."""
         if not len(self.admission) or not self.raft.leader:
             return
         leader = (self.raft.current_term, self.raft.leader)
--- a/mothstall/keeper/replica_loop.py
+++ b/mothstall/keeper/replica_loop.py
@@ -1,8 +1,8 @@
-"""Drives a replica by the clock: ticks, writes, messages to peers, and what follows from a write.
+"""Runs a replica in an event loop: ticks, writes, messages to peers and applied entries.
 
-Writes run on a thread of their own, so that a slow disk holds back what this replica sends, as it
-must, but not what it receives. What follows from a write is sent and applied once the write is on
-disk.
+Writes run on a separate thread: a slow disk delays the messages that depend on a write, as it must,
+but not the handling of received messages. Dependent messages are sent, and entries applied, once
+the write is on disk.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 
 class ReplicaClients(Protocol):
-    """Who waits for what a replica does."""
+    """Receives the ticks and the applied entries of a replica."""
 
     def on_tick(self, now_ns: int) -> None:
-        """A tick of the replica has passed."""
+        """Called after each tick of the replica."""
 
     def on_applied(self, applied: AppliedEntries) -> None:
-        """Entries were applied, or reads became possible."""
+        """Called with applied entries and with reads that are possible now."""
 
 
 class ReplicaLoop:
-    """Runs one replica. At most one write is in progress; further work waits for its end."""
+    """Runs one replica with at most one write in progress; further writes wait for its end."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         peers: PeerConnections,
         tick_s: float,
     ) -> None:
-        """Prepare the loop; `start` begins it."""
+        """Initialize the loop; `start` runs it."""
         self._replica = replica
         self._disk = disk
         self._peers = peers
@@ -50,21 +50,21 @@
         self._write_task: asyncio.Task[None] | None = None
 
     def start(self, clients: ReplicaClients) -> None:
-        """Tick now, and from now on by timer; `clients` learn of what was done."""
+        """Tick now, and from now on by timer; notify `clients` of ticks and applied entries."""
         self._clients = clients
         self._tick(self._loop.time())
 
     def stop(self) -> None:
-        """Tick, write and send no more."""
+        """Stop ticking, writing and sending."""
         self._is_stopped = True
 
     def receive(self, message: Message) -> None:
-        """Take a Raft message of a peer."""
+        """Handle a Raft message from a peer."""
         self._replica.step(message, time.monotonic_ns())
         self.schedule()
 
     def schedule(self) -> None:
-        """Let the loop look for new work as soon as the current callback is over."""
+        """Process new work as soon as the current callback has returned."""
         if not self._is_scheduled and not self._is_stopped:
             self._is_scheduled = True
             self._loop.call_soon(self._run_once)
@@ -76,7 +76,7 @@
         self._replica.tick(now_ns)
         if self._clients:
             self._clients.on_tick(now_ns)
-        # Ticks that a stall swallowed are not made up for.
+        # Ticks that were missed during a stall are not made up for.
         next_due_s = max(due_s + self._tick_s, self._loop.time())
         self._loop.call_at(next_due_s, self._tick, next_due_s)
         self.schedule()
--- a/mothstall/keeper/report_relay.py
+++ b/mothstall/keeper/report_relay.py
@@ -1,4 +1,4 @@
-"""Reports of proxies: collected from clients and passed on to other keepers and to subscribers."""
+"""Relays reports of proxies from clients to the other keepers and to subscribers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class ReportRelay:
-    """Passes reports on in batches, to other keepers once and to this keeper's subscribers.
+    """Relays reports in batches, once to each other keeper and to this keeper's subscribers.
 
-    Buffers are bounded: a proxy reports again each second, so that one report left out is no loss.
+    Buffers are bounded: a proxy sends a new report each second, so that a dropped one does no harm.
     Nothing is stored.
 
     Attributes:
-        subscribers: The clients of this keeper that get all reports.
+        subscribers: The clients of this keeper that receive all reports.
     """
 
     def __init__(
@@ -40,20 +40,20 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def publish(self, report: bytes) -> None:
-        """Take a report of a client: it goes to the other keepers and to the subscribers here."""
+        """Buffer a client's report for the other keepers and for the subscribers here."""
         self._counts["reports"] += 1
         self._buffer(self._from_clients, (report,))
 
     def receive_from_peer(self, reports: tuple[bytes, ...]) -> None:
-        """Take reports that another keeper passed on: they go to the subscribers here alone."""
+        """Buffer reports that another keeper relayed, for the subscribers here alone."""
         self._buffer(self._from_peers, reports)
 
     def start(self) -> None:
-        """Pass on what is buffered now, and from now on by timer."""
+        """Relay the buffered reports now, and from now on by timer."""
         self._pass_on()
 
     def stop(self) -> None:
-        """Pass nothing on any more."""
+        """Stop relaying reports."""
         if self._timer:
             self._timer.cancel()
 
--- a/mothstall/keeper/requests.py
+++ b/mothstall/keeper/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients that wait for their response from the replica."""
+"""Requests of clients that wait for a result of the replica."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """Whom to answer.
+    """The client that waits for a response.
 
     Attributes:
         connection: The client's connection.
@@ -21,9 +21,10 @@
 
 
 class RequestTable:
-    """Pending requests by caller id, this process's own: two clients may use one request id.
+    """Pending requests by caller id.
 
-    The replica knows a request by its caller id alone.
+    This process assigns the caller ids, as two clients may use the same request id. The replica
+    identifies a request by its caller id alone.
     """
 
     def __init__(self, counts: dict[str, int]) -> None:
@@ -34,7 +35,7 @@
         self._caller_ids: dict[FrameConnection, dict[int, int]] = {}  # by the client's request id
 
     def register(self, connection: FrameConnection, request_id: int) -> int:
-        """Return the caller id of a request; a repeated request keeps its caller id."""
+        """Add a request and return its caller id; a repeated request keeps its caller id."""
         caller_ids = self._caller_ids.setdefault(connection, {})
         if request_id in caller_ids:
             self._counts["calls_again"] += 1
@@ -46,18 +47,18 @@
         return self._last_caller_id
 
     def find(self, connection: FrameConnection, request_id: int) -> int:
-        """Return the caller id of a pending request; 0 where there is none."""
+        """Return the caller id of a pending request; 0 if there is none."""
         return self._caller_ids.get(connection, {}).get(request_id, 0)
 
     def remove(self, caller_id: int) -> PendingRequest | None:
-        """Forget a request that is answered, cancelled or too late; None: it is not pending."""
+        """Remove and return a request; None if it is not pending."""
         request = self._pending.pop(caller_id, None)
         if request is not None:
             self._caller_ids.get(request.connection, {}).pop(request.request_id, None)
         return request
 
     def remove_connection(self, connection: FrameConnection) -> list[int]:
-        """Forget all requests of a closed connection and return their caller ids."""
+        """Remove all requests of a closed connection and return their caller ids."""
         caller_ids = list(self._caller_ids.pop(connection, {}).values())
         for caller_id in caller_ids:
             self._pending.pop(caller_id, None)
--- a/mothstall/keeper/run.py
+++ b/mothstall/keeper/run.py
@@ -1,4 +1,4 @@
-"""`mothstall keeper`: one keeper in the foreground, until a signal ends it."""
+"""`mothstall keeper`: runs one keeper in the foreground until a signal stops it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 log = logging.getLogger("mothstall.keeper")
 
 SLOW_COMMIT_S = 0.15  # duration of a commit on the slow disk that the lab simulates
-STALL_POLL_S = 0.02  # interval at which a stalled commit reads the fault file again
+STALL_POLL_S = 0.02  # interval at which a stalled commit rereads the fault file
 
 
 class DiskFault(StrEnum):
-    """What the lab writes into the fault file of a keeper's disk."""
+    """Disk faults that the lab injects by writing their name to a keeper's fault file."""
 
     STALL = "stall"
     FULL = "full"
@@ -29,9 +29,9 @@
 
 
 def disk_fault_hook(fault_file: Path) -> Callable[[], None]:
-    """Return the lab's hook that a disk log calls before each commit.
+    """Return a hook for the lab that a disk log calls before each commit.
 
-    The fault named in `fault_file` applies for as long as the file exists.
+    The fault named in `fault_file` is in effect as long as the file exists.
     """
 
     def before_commit() -> None:
@@ -55,9 +55,9 @@
     """Run the keeper of this name in the foreground.
 
     Args:
-        operator: The operator file's content.
-        name: Which keeper this process is.
-        fault_file: For the lab: path of the file that names a disk fault.
+        operator: The parsed operator file.
+        name: Name of the keeper.
+        fault_file: Path of the file that names a disk fault; for the lab.
 
     Raises:
         OSError: The address or the data folder cannot be used.
--- a/mothstall/keeper/watchers.py
+++ b/mothstall/keeper/watchers.py
@@ -1,4 +1,4 @@
-"""Watch events: what is new in the state, sent to the clients that watch it."""
+"""Sends changes of the state as watch events to the clients that watch it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """A client that watches the state.
 
     Attributes:
-        connection: Where events go.
+        connection: The connection that events are sent to.
         version: The version of the state that the client has; 0: none.
         sent_at_s: When the last event was sent, by the loop's clock; 0: never.
     """
@@ -43,16 +43,16 @@
 
 
 class WatchPublisher:
-    """Sends watch events in rounds: all watchers of one round get the same version of the state.
+    """Sends watch events in rounds, which bring all their watchers to one version of the state.
 
-    Guards against a crowd each of whose members stands at another version of the same changes:
-    those who got one event together lack the same from then on, so that one encoding does for all
-    of them. A bounded number is sent in each batch; the others of the round come next. Guards too
-    against a crowd whose joining is sent to all of it twenty times a second, which then is all that
-    its members do: changes for many watchers are sent less often.
+    Guards against many watchers that are all at different versions, each of which would need its
+    own encoding: watchers that got the same event lack the same changes from then on, so that one
+    encoding serves all of them. Each batch is bounded; the rest of the round follows in later
+    batches. Also guards against mass joins whose changes would be sent to all joining members
+    twenty times a second and use up their capacity: changes for many watchers are sent less often.
 
-    A round is linear in the watchers; nothing is done for those who have the current version and
-    got a heartbeat.
+    A round takes time linear in the watchers; those that have the current version and got an event
+    within the heartbeat interval are skipped.
     """
 
     def __init__(
@@ -68,26 +68,26 @@
         self._counts = counts
         self._loop = loop
         self._watchers: dict[FrameConnection, Watcher] = {}
-        self._round: list[Watcher] = []  # watchers of this round that have not got their event yet
+        self._round: list[Watcher] = []  # watchers of this round without their event yet
         self._events: dict[
             int, EncodedEvent
-        ] = {}  # of this round, by the version that watchers have
-        self._next_changes_at_s = 0.0  # when a round may carry changes again
+        ] = {}  # of this round, by the watchers' version before it
+        self._next_changes_at_s = 0.0  # earliest time of the next round with changes
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
         return len(self._watchers)
 
     def add(self, connection: FrameConnection, version: int) -> None:
-        """Send events from this version on; a later call replaces an earlier one."""
+        """Send the changes after this version to a connection; replaces an earlier watch."""
         self._watchers[connection] = Watcher(connection, version)
 
     def discard(self, connection: FrameConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self._watchers.pop(connection, None)
 
     def start(self) -> None:
-        """Send the first batch now and the others by timer."""
+        """Send the first batch now and further ones by timer."""
         self._send_batch()
 
     def stop(self) -> None:
@@ -113,10 +113,10 @@
     def _send_event(self, watcher: Watcher, now_s: float) -> bool:
         connection = watcher.connection
         if self._watchers.get(connection) is not watcher:
-            return False  # closed, or watching anew, since the round began
+            return False  # disconnected, or replaced by a new watch, since the round began
         has_unsent = connection.unsent_bytes > 0
         if has_unsent and now_s - watcher.sent_at_s < self._limits.slow_watcher_s:
-            return False  # it has not taken the last event yet
+            return False  # the client has not read the last event yet
         event = self._events[watcher.version]
         if not connection.send(event.payload):
             return False
@@ -127,8 +127,8 @@
     def _begin_round(self, now_s: float) -> None:
         """Choose the watchers of a round and encode their events.
 
-        Changes are sent where they are due again; the complete state, at any time, to whoever got
-        nothing yet; an empty event to whoever got none for a heartbeat.
+        Changes are sent if they are due; new watchers get the complete state at any time; watchers
+        without an event for `watch_heartbeat_s` get an empty one.
         """
         state = self._replica.state
         has_leader = bool(self._replica.raft.leader)
