--- a/mothstall/keeper/admission.py
+++ b/mothstall/keeper/admission.py
@@ -50,7 +50,7 @@
     def is_in_flight(self) -> bool:
         return self.in_flight_since_ns != NOT_IN_FLIGHT
 
-    def is_too_late(self, now_ns: int) -> bool:
+    def is_past_deadline(self, now_ns: int) -> bool:
         """Whether the deadlines of all callers have passed; false if one has no deadline."""
         return all(0 < deadline_ns <= now_ns for deadline_ns in self.deadlines_ns.values())
 
@@ -142,7 +142,7 @@
                 return None
             key, _ = queue.popitem(last=False)
             pending = self._pending[key]
-            if self._drops_abandoned and pending.is_too_late(now_ns):
+            if self._drops_abandoned and pending.is_past_deadline(now_ns):
                 self._forget(pending)
                 self.dropped += 1
                 continue
--- a/mothstall/keeper/lease_expiry.py
+++ b/mothstall/keeper/lease_expiry.py
@@ -37,7 +37,7 @@
     def __init__(self, grants_fresh_terms: bool = True) -> None:
         """`grants_fresh_terms` is a guard that only tests disable."""
         self._tracker = LeaseExpiryTracker(grants_fresh_terms)
-        self._counting_in_term = 0  # the Raft term of this replica's leadership; 0: not tracking
+        self._tracked_raft_term = 0  # the Raft term of this replica's leadership; 0: not tracking
         self._proposed_at_ns: dict[LeaseTerm, int] = {}
 
     def remaining_ns(self, name: str, now_ns: int) -> int | None:
@@ -52,7 +52,7 @@
             for lease_term in change.leases:
                 self._proposed_at_ns.pop(lease_term, None)
                 self._tracker.forget(lease_term[0])
-        if not self._counting_in_term or result.rejected_reason:
+        if not self._tracked_raft_term or result.rejected_reason:
             return
         if isinstance(change, AcquireLease):
             # Guards against an acquisition that is applied a second time: its result is the first
@@ -62,23 +62,23 @@
                 self._tracker.record_grant(change.name, result.token, change.duration_ms, now_ns)
         elif isinstance(change, RenewLeases):
             for name, token in change.leases:
-                held = state.leases.get(name)
-                if held and held.token == token:
-                    self._tracker.record_grant(name, token, held.duration_ms, now_ns)
+                lease = state.leases.get(name)
+                if lease and lease.token == token:
+                    self._tracker.record_grant(name, token, lease.duration_ms, now_ns)
         elif isinstance(change, ReleaseLease | RevokeLease):
             self._tracker.forget(change.name)
 
     def reconcile(self, raft: RaftNode, state: StateMachine, now_ns: int) -> None:
         """Start or stop tracking as leadership changes, and propose to expire ended terms."""
-        if not raft.is_leader or raft.current_term != self._counting_in_term:
-            self._stop_counting()
+        if not raft.is_leader or raft.current_term != self._tracked_raft_term:
+            self._stop_tracking()
             if not raft.has_committed_in_term or state.applied_index < raft.commit_index:
                 return
-            self._start_counting(raft.current_term, state, now_ns)
+            self._start_tracking(raft.current_term, state, now_ns)
         expired = [
             lease_term
             for lease_term in self._tracker.expired(now_ns)
-            if self._is_to_be_proposed(lease_term, now_ns)
+            if self._is_proposal_due(lease_term, now_ns)
         ]
         if not expired:
             return
@@ -88,17 +88,17 @@
             names = ",".join(name for name, _ in expired[:MAX_LOGGED_NAMES])
             log.info("leases expire", extra={"kv": {"count": len(expired), "leases": names}})
 
-    def _is_to_be_proposed(self, lease_term: LeaseTerm, now_ns: int) -> bool:
+    def _is_proposal_due(self, lease_term: LeaseTerm, now_ns: int) -> bool:
         proposed_at_ns = self._proposed_at_ns.get(lease_term, -EXPIRY_RETRY_NS)
         return now_ns - proposed_at_ns >= EXPIRY_RETRY_NS
 
-    def _start_counting(self, term: int, state: StateMachine, now_ns: int) -> None:
-        self._counting_in_term = term
+    def _start_tracking(self, term: int, state: StateMachine, now_ns: int) -> None:
+        self._tracked_raft_term = term
         leases = [(row.name, row.token, row.duration_ms) for row in state.leases.values()]
         self._tracker.start_leading(leases, now_ns)
 
-    def _stop_counting(self) -> None:
-        if self._counting_in_term:
-            self._counting_in_term = 0
+    def _stop_tracking(self) -> None:
+        if self._tracked_raft_term:
+            self._tracked_raft_term = 0
             self._proposed_at_ns = {}
             self._tracker.stop_leading()
--- a/mothstall/keeper/replica.py
+++ b/mothstall/keeper/replica.py
@@ -106,7 +106,7 @@
         self._checks_token_on_apply = checks_token_on_apply
         self._snapshots = SnapshotSchedule(compact_every, snapshot.last_included_index)
         self._reads = PendingReads()
-        self._proposed_to = (0, "")  # term and leader that the proposals in flight went to
+        self._forwarded_to = (0, "")  # term and leader that the proposals in flight went to
         self._load(snapshot)
 
     def tick(self, now_ns: int) -> None:
@@ -131,13 +131,13 @@
             return TOO_MANY_CALLERS_REASON
         if isinstance(proposal.change, ExpireLeases):
             return "terms end by a keeper's word alone"
-        reason = self._reason_to_reject_early(proposal)
+        reason = self._early_rejection_reason(proposal)
         if reason:
             return reason
         if not self.raft.leader:
             return NO_LEADER_REASON
         self.admission.submit(caller, proposal, now_ns, deadline_ns)
-        self._hand_in(now_ns)
+        self._forward_queued(now_ns)
         return ""
 
     def read(self, caller: int) -> str:
@@ -186,7 +186,7 @@
         self.state.check_token_on_apply = self._checks_token_on_apply
         self._snapshots.on_loaded(snapshot)
 
-    def _reason_to_reject_early(self, proposal: Proposal) -> str:
+    def _early_rejection_reason(self, proposal: Proposal) -> str:
         """Check a proposal before it costs a commit, if the state is known to be the latest."""
         is_latest = (
             self.raft.has_committed_in_term and self.raft.last_applied == self.raft.log.last_index
@@ -198,13 +198,13 @@
             return ""
         return self.state.rejection_reason(proposal.change)
 
-    def _hand_in(self, now_ns: int) -> None:
+    def _forward_queued(self, now_ns: int) -> None:
         """Hand queued proposals to the leader up to the window; a new leader gets all again."""
         if not len(self.admission) or not self.raft.leader:
             return
         leader = (self.raft.current_term, self.raft.leader)
-        if leader != self._proposed_to:
-            self._proposed_to = leader
+        if leader != self._forwarded_to:
+            self._forwarded_to = leader
             self.admission.requeue_in_flight()
         while proposal := self.admission.next_proposal(now_ns):
             if not self.raft.forward(msgspec.msgpack.encode(proposal)):
@@ -221,5 +221,5 @@
         self.lease_expiry.on_applied(proposal.change, result, self.state, now_ns)
 
     def _reconcile(self, now_ns: int) -> None:
-        self._hand_in(now_ns)
+        self._forward_queued(now_ns)
         self.lease_expiry.reconcile(self.raft, self.state, now_ns)
--- a/mothstall/keeper/replica_loop.py
+++ b/mothstall/keeper/replica_loop.py
@@ -86,8 +86,8 @@
         if self._is_stopped:
             return
         is_writing = self._write_task is not None
-        has_unsaved = is_writing or self._replica.raft.has_unwritten_state
-        if has_unsaved and not self._disk.has_write_error:
+        has_unwritten = is_writing or self._replica.raft.has_unwritten_state
+        if has_unwritten and not self._disk.has_write_error:
             self._peers.send_messages(self._replica.raft.take_early_messages())
         if is_writing:
             return
--- a/mothstall/keeper/report_relay.py
+++ b/mothstall/keeper/report_relay.py
@@ -50,7 +50,7 @@
 
     def start(self) -> None:
         """Relay the buffered reports now, and from now on by timer."""
-        self._pass_on()
+        self._relay_buffered()
 
     def stop(self) -> None:
         """Stop relaying reports."""
@@ -62,11 +62,11 @@
         small_enough = [
             report for report in reports if len(report) <= self._limits.max_report_bytes
         ]
-        taken = small_enough[:capacity]
-        self._counts["reports_left_out"] += len(reports) - len(taken)
-        buffer += taken
+        accepted = small_enough[:capacity]
+        self._counts["reports_left_out"] += len(reports) - len(accepted)
+        buffer += accepted
 
-    def _pass_on(self) -> None:
+    def _relay_buffered(self) -> None:
         from_clients = self._from_clients
         from_all = from_clients + self._from_peers
         self._from_clients = []
@@ -76,4 +76,4 @@
         if self.subscribers:
             for batch in batches(from_all, self._limits.max_reports_per_frame):
                 self.subscribers.send(batch)
-        self._timer = self._loop.call_later(self._limits.report_interval_s, self._pass_on)
+        self._timer = self._loop.call_later(self._limits.report_interval_s, self._relay_buffered)
