--- a/mothstall/keeper/replica.py
+++ b/mothstall/keeper/replica.py
@@ -199,7 +199,7 @@
         return self.state.rejection_reason(proposal.change)
 
     def _forward_queued(self, now_ns: int) -> None:
-        """Hand queued proposals to the leader up to the window; a new leader gets all again."""
+        """Hand queued proposals to the leader up to the window; requeue first for a new leader."""
         if not len(self.admission) or not self.raft.leader:
             return
         leader = (self.raft.current_term, self.raft.leader)
