--- a/tests/keeper/test_client_requests.py
+++ b/tests/keeper/test_client_requests.py
@@ -183,7 +183,7 @@
     run(scenario)
 
 
-def test_silent_keeper_is_left(tmp_path: Path) -> None:
+def test_client_replaces_its_connection_to_a_silent_keeper(tmp_path: Path) -> None:
     async def scenario() -> None:
         config = ClientConfig(attempt_timeout_s=0.2)
         async with (
