--- a/mothstall/lab/bench.py
+++ b/mothstall/lab/bench.py
@@ -1,8 +1,9 @@
-"""What one proxy costs and bears against instant boxes: CPU a request, highest rate, latency at given rates.
+"""Benchmark of one proxy with instant backends: CPU per request, maximum rate, latency by rate.
 
-Boxes and clients run in processes of their own, so that the proxy has a core to itself. Latency counts from
-when a request was meant to be sent (open arrivals); the highest rate comes from connections that ask again as
-soon as they are answered. `parts` times the pieces of a request's path by themselves, in this process.
+Backends and clients run in processes of their own, so that the proxy has a core to itself. Latency
+counts from the time when a request was due (open arrivals); the maximum rate comes from connections
+that send the next request right after each response. `parts` times the steps of a request one by
+one, in this process.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 BOXES = 4
 CLIENTS = 2  # processes
-HELD = 48  # connections that ask without a pause, over all client processes
+HELD = 48  # connections of all client processes that send without a pause
 RATES = (500, 1500, 3000)
 WARM_S = 1.0
 SYSTEM_CALLS = ("'poll'", "'send'", "'recv'", "'accept'", "_socket.socket")
@@ -56,11 +57,11 @@
 )
 
 
-# Boxes and clients, each in a process of its own
+# Backends and clients, each in a process of its own
 
 
 class _InstantBox(asyncio.Protocol):
-    """Answers each request at once; requests are heads without a body."""
+    """Responds to each request at once; requests have no body."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -85,7 +86,7 @@
 
 
 def _wait(pipe: Connection) -> None:
-    with contextlib.suppress(EOFError):  # whoever started us is gone
+    with contextlib.suppress(EOFError):  # the parent process has ended
         pipe.recv()
 
 
@@ -122,7 +123,7 @@
 
 
 def _ask(pipe: Connection, worker: int, port: int, seconds: float, rate: float, held: int) -> None:
-    """One client process: at a rate (open arrivals) or, with rate 0, as fast as `held` connections go."""
+    """One client process: open arrivals at `rate` or, if that is 0, `held` busy connections."""
 
     async def main() -> dict[str, Any]:
         loop, rng = asyncio.get_running_loop(), random.Random(worker)
@@ -174,7 +175,7 @@
 
 
 class _List(asyncio.Protocol):
-    """Discovery for one proxy: the same list for ever."""
+    """Discovery for one proxy, with an endpoint list that never changes."""
 
     def __init__(self, word: Word, ports: dict[int, int]) -> None:
         self.word, self.ports, self.reader = word, ports, wire.Reader()
@@ -205,7 +206,7 @@
     more: tuple[str, ...] = (),
     flat_out: bool = True,
 ) -> list[dict[str, Any]]:
-    """One proxy, with `more` on its command line, at each rate and, if asked, as fast as it goes."""
+    """Measures a proxy at each rate and, with `flat_out`, its maximum. `more`: its arguments."""
     loop = asyncio.get_running_loop()
     context = multiprocessing.get_context("spawn")
     mine, theirs = context.Pipe()
@@ -230,7 +231,7 @@
                 }
             )
             for rate in (*rates, 0) if flat_out else rates:
-                say(f"{rate} a second" if rate else f"as fast as {HELD} connections go")
+                say(f"{rate} a second" if rate else f"maximum rate of {HELD} connections")
                 rows.append(await _one(context, proxy, seconds, rate))
             listing.close()
         finally:
@@ -242,7 +243,7 @@
 
 
 async def _one(context: Any, proxy: ServeProcess, seconds: float, rate: int) -> dict[str, Any]:
-    """One load: what came back, and the CPU that the proxy used for it."""
+    """Measures one load: the responses, their latency, and the proxy's CPU time."""
     loop = asyncio.get_running_loop()
     pipes, workers = [], []
     for worker in range(CLIENTS):
@@ -251,7 +252,7 @@
         workers.append(context.Process(target=_ask, args=args, daemon=True))
         workers[-1].start()
         pipes.append(mine)
-    # CPU is counted over a stretch in the middle of the load, by the requests that it answered.
+    # CPU per request is measured over an interval in the middle of the load.
     await asyncio.sleep(WARM_S + 0.25 * seconds)
     proxy.note_cpu()
     cpu, began = proxy.cpu_s, time.monotonic()
@@ -263,7 +264,7 @@
         try:
             said = await asyncio.wait_for(loop.run_in_executor(None, pipe.recv), seconds + 30)
         except (EOFError, TimeoutError) as why:
-            raise Unfinished("a client of the bench ended without a word") from why
+            raise Unfinished("a client process of the benchmark ended without a result") from why
         histogram.decode_and_add(said["histogram"])
         good, bad, late = good + said["good"], bad + said["bad"], max(late, said["late_us"])
         process.join(5.0)
@@ -281,11 +282,11 @@
     }
 
 
-# Parts of a request's path
+# Steps of a request
 
 
 def parts(repeats: int = 5) -> dict[str, float]:
-    """Microseconds of CPU for each piece, the median of some repeats."""
+    """Microseconds of CPU for each step, the median of `repeats` samples."""
     pieces = {
         "decisions": _decisions,
         "read request": _read_request,
@@ -307,7 +308,7 @@
 
 
 def _decisions() -> Callable[[], object]:
-    """One request through the module: it comes, it is sent, it is answered; timers as they fall due."""
+    """One request through the policy: arrival, attempt, response, and the timers due meanwhile."""
     balancer = Balancer(scenario.settings(TREE, 0), 1)
     entries = [io.Endpoint(1 + i, 0, 0, 0, Health.READY, 1.0, 0) for i in range(BOXES)]
     state = {"now": 1000 * NS, "id": 0}
@@ -350,10 +351,10 @@
 
 
 def spent(profile: Path, requests: int) -> dict[str, float]:
-    """Microseconds of a request by where they go, from a profile of the whole process.
+    """Microseconds per request by file or component, from a profile of the whole process.
 
-    What built-in functions take counts for the file that calls them, but for system calls, which stand by
-    themselves. A profiled process is slower than another: shares mean more than sums.
+    Time in built-in functions counts for the file that calls them, except system calls, which are
+    listed apart. Profiling slows the process down: shares mean more than absolute times.
     """
     stats: dict[Any, Any] = pstats.Stats(str(profile)).stats  # type: ignore[attr-defined]
     sums: dict[str, float] = {}
@@ -372,7 +373,7 @@
 
 
 def _place(file: str, name: str) -> str:
-    """Which part of the program a function belongs to; empty for what only starting takes."""
+    """The file or component of a function; empty for code that only runs at start-up."""
     if file == "~":
         if "poll" in name:
             return "waiting (poll)"
@@ -390,11 +391,11 @@
 
 
 def profile(seconds: float, say: Callable[[str], object]) -> dict[str, Any]:
-    """Where the time of a saturated proxy goes, by file. Raises Unfinished."""
+    """Profiles a saturated proxy: time per request by file. Raises Unfinished."""
     with tempfile.TemporaryDirectory(prefix="mothstall-profile-") as folder:
         path = Path(folder) / "serve.profile"
         rows = asyncio.run(measure(seconds, (), say, path))
-        # All that it answered, also while it warmed up.
+        # All answered requests, those of the warm-up included.
         count = round(rows[-1]["answered_per_s"] * (seconds + WARM_S))
         return {
             "revision": revision(),
@@ -405,9 +406,9 @@
 
 
 def run(seconds: float, rates: Sequence[int], say: Callable[[str], object]) -> dict[str, Any]:
-    """All figures, with the revision that they belong to. Raises Unfinished."""
+    """Runs the whole benchmark; returns its figures with their revision. Raises Unfinished."""
     rows = asyncio.run(measure(seconds, rates, say))
-    say("the parts by themselves")
+    say("the steps of a request")
     return {
         "at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
         "revision": revision(),
@@ -420,7 +421,7 @@
 
 
 def revision(root: Path = ROOT) -> str:
-    """The commit of a checkout, and a mark where the proxy's own files differ from it."""
+    """The commit of a checkout; "+changes" marks uncommitted edits under mothstall/."""
 
     def git(*words: str) -> str:
         asked = subprocess.run(
@@ -437,7 +438,7 @@
 
 
 def last(folder: Path) -> dict[str, Any] | None:
-    """The newest figures kept in a folder."""
+    """The latest benchmark result in a folder."""
     for path in sorted(folder.glob("*.json"), reverse=True):
         try:
             tree = json.loads(path.read_text(encoding="utf-8"))
@@ -449,7 +450,7 @@
 
 
 def keep(tree: dict[str, Any], folder: Path) -> Path:
-    """Writes the figures under their time and revision. Raises OSError."""
+    """Writes the figures to a file named by their time and revision. Raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     stamp = tree["at"].replace("-", "").replace(":", "")
     path = folder / f"{stamp}-{tree['revision'].replace('+', '-')}.json"
@@ -458,7 +459,7 @@
 
 
 def text(tree: dict[str, Any], before: dict[str, Any] | None) -> str:
-    """The figures for people, beside those of an earlier time where there are any."""
+    """Formats the figures as a table, with the differences from an earlier result if given."""
     rows = [
         f"{tree['revision']}, Python {tree['python']}, {tree['cores']} cores, {tree['seconds']:g} s a load",
         "",
--- a/mothstall/lab/process.py
+++ b/mothstall/lab/process.py
@@ -1,4 +1,4 @@
-"""A real proxy in a process of its own: started, watched, measured, ended."""
+"""Processes under test, a real proxy, observer or keeper each: start, readiness, CPU time, stop."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from mothstall.lab.ledger import Unfinished
 
 ROOT = Path(__file__).parents[2]
-READY_S = 20.0  # how long a proxy may take to start
+READY_S = 20.0  # limit for a process to become ready
 _PORT = re.compile(rb"event=listening .*port=(\d+)")
 _DOOR = re.compile(rb'event="agent listening" .*agent_port=(\d+)')
 
 
 def revision() -> str:
-    """The last commit of the proxy's own text, without the lab, with a mark where that text differs."""
+    """The last commit of the source without the lab; "+changes" marks uncommitted edits."""
 
     def git(*words: str) -> str:
         asked = subprocess.run(
@@ -39,16 +39,16 @@
 
 
 class ServeProcess:
-    """`python -O -m mothstall serve` on a port that the system gives."""
+    """`python -O -m mothstall serve` on a port that the system assigns."""
 
     def __init__(
         self, name: str, folder: Path, profile: Path | None = None, more: tuple[str, ...] = ()
     ) -> None:
-        """`more`: further words of its command line."""
+        """`more`: further command-line arguments."""
         self.name, self.folder, self._more = name, folder, more
         self._prefix = ("-m", "cProfile", "-o", str(profile)) if profile else ()
-        self.port = self.door = 0  # of clients, and of those who say something to its agent
-        self.cpu_s = 0.0  # used since each of its processes was ready, up to the last look
+        self.port = self.door = 0  # for clients, and for messages to its agent
+        self.cpu_s = 0.0  # used by its processes after they were ready, up to the last `note_cpu`
         self._process: asyncio.subprocess.Process | None = None
         self._log: asyncio.Task[None] | None = None
         self._said = asyncio.Event()
@@ -56,13 +56,13 @@
         self._waited = -1
 
     async def start(self, config: dict[str, Any]) -> None:
-        """Returns once it answers that it is ready. Raises Unfinished."""
+        """Returns once `/ready` responds with 200. Raises Unfinished."""
         path = self.folder / f"{self.name}.json"
         path.write_text(json.dumps(config), encoding="utf-8")
         await self._launch("serve", "--config", str(path), *self._more)
 
     async def _launch(self, *words: str) -> None:
-        """Starts the program with these words and waits until it is ready. Raises Unfinished."""
+        """Starts the program, and waits until it is ready. Raises Unfinished."""
         self._said.clear()
         self.port, self._waited = 0, -1
         words = (sys.executable, "-O", *self._prefix, "-m", "mothstall", *words)
@@ -103,7 +103,7 @@
         with contextlib.suppress(OSError, IndexError):
             text = (self.folder / f"{self.name}.log").read_text(encoding="utf-8", errors="replace")
             return text.strip().splitlines()[-1][:200]
-        return "it said nothing"
+        return "its log is empty"
 
     async def _ready(self) -> bool:
         try:
@@ -124,7 +124,7 @@
         return self._process.returncode if self._process else None
 
     def _cpu(self) -> float:
-        """CPU seconds of the process that runs; what was read last where the system does not tell."""
+        """CPU seconds of the running process; the previous reading where there is no new one."""
         if self.running and self._process:
             with contextlib.suppress(OSError, IndexError, ValueError):
                 words = (
@@ -134,13 +134,13 @@
         return self._cpu_before
 
     def note_cpu(self) -> None:
-        """Adds what was used since the last look to `cpu_s`."""
+        """Adds the CPU time used since the last call to `cpu_s`."""
         used = self._cpu()
         self.cpu_s += used - self._cpu_before
         self._cpu_before = used
 
     def starved_ns(self) -> int:
-        """How long it has waited for a core since the last look; 0 where the system does not tell."""
+        """Time spent waiting for a core since the last call; 0 if the system does not report it."""
         if not self.running or not self._process:
             return 0
         try:
@@ -156,7 +156,7 @@
             self._process.send_signal(number)
 
     async def stop(self, gently_s: float = 0.0) -> None:
-        """Ends it, and waits until it is gone: at once, or by SIGTERM and within so many seconds."""
+        """Ends the process by SIGKILL, sent at once or `gently_s` after SIGTERM, and waits."""
         if gently_s and self.running and self._process:
             self._process.terminate()
             with contextlib.suppress(TimeoutError):
@@ -169,7 +169,7 @@
 
 
 class ObserverProcess(ServeProcess):
-    """`python -O -m mothstall observer` by an operator file."""
+    """`python -O -m mothstall observer` with an operator file."""
 
     async def begin(self, operator: Path) -> None:
         """Returns once it listens. Raises Unfinished."""
@@ -180,7 +180,7 @@
 
 
 class KeeperProcess(ServeProcess):
-    """`python -O -m mothstall keeper` by an operator file."""
+    """`python -O -m mothstall keeper` with an operator file."""
 
     async def begin(self, operator: Path, switch: Path) -> None:
         """Returns once it listens. Raises Unfinished."""
--- a/mothstall/lab/soak/__init__.py
+++ b/mothstall/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of real proxies: signals, breaks and crowds by seed, judged by what clients and backends saw."""
+"""Soak test of real proxies: seeded signals, malformed uploads, idle crowds and silent watches."""
--- a/mothstall/lab/soak/backend.py
+++ b/mothstall/lab/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend of the soak: reads requests by their framing, and answers well, late, long or badly."""
+"""A backend of the soak; its responses may be late, long, cut off, refused or missing."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 LONG_BYTES = 150_000
 LONG_PIECE_BYTES = 30_000
-EARLY_PROBABILITY = 0.05  # that a response comes before the body of its request is read
-FINAL_STATUS = 200  # below it a response is interim
+EARLY_PROBABILITY = 0.05  # of a response before the request's body is read
+FINAL_STATUS = 200  # responses below this status are interim
 HANG_S = 5.0  # longer than any request waits
 
 
 class SoakBackend:
-    """One backend on loopback; what it does with a request is drawn from its seed.
+    """One backend on loopback; a seeded rng chooses its behaviour for each request.
 
     Attributes:
-        name: Its id in the endpoint list.
-        port: Where it listens.
-        is_draining: The endpoint list says so.
+        name: Id in the endpoint list.
+        port: Port that it listens on.
+        is_draining: Whether the endpoint list shows it as draining.
     """
 
     def __init__(
         self, name: str, rng: random.Random, seen: Observations, now: Callable[[], float]
     ) -> None:
-        """Prepare; `now` gives seconds from the run's begin."""
+        """Prepare; `now` returns seconds since the run's begin."""
         self.name = name
         self.port = 0
         self.is_draining = False
@@ -38,19 +38,19 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a port that the system gives."""
+        """Listen on a port that the system assigns."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=512)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Listen no more, and reset what is open."""
+        """Stop listening, and reset open connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def row(self) -> dict[str, object]:
-        """Return its row of the endpoint list."""
+        """Return the backend's row of the endpoint list."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -81,7 +81,7 @@
         is_early = self._rng.random() < EARLY_PROBABILITY
         try:
             if is_early:
-                await self._answer(writer)  # before the body is there
+                await self._answer(writer)  # before the body is read
             await read_body(reader, head)
             is_complete = True
         finally:
@@ -121,7 +121,7 @@
 
 
 def header(head: bytes, name: bytes) -> bytes:
-    """Return the value of a header by its name in lower case; empty: there is none."""
+    """Return the value of a header by its lower-case name; empty if it is missing."""
     for row in head.split(b"\r\n")[1:]:
         key, _, value = row.partition(b":")
         if key.strip().lower() == name:
@@ -130,17 +130,17 @@
 
 
 class CutResponseError(Exception):
-    """A response began, and broke off such that its reader can tell."""
+    """A response ended before its framing says it is complete."""
 
 
 async def read_response(reader: asyncio.StreamReader) -> int:
-    """Return the status of the next final response, read to its end.
+    """Read the next final response to its end; return its status.
 
     Raises:
-        asyncio.IncompleteReadError: The connection ended before.
-        OSError: It was reset before.
-        ValueError: It is no response.
-        CutResponseError: It broke off in the middle.
+        asyncio.IncompleteReadError: The connection ended before the response began.
+        OSError: The connection was reset before the response began.
+        ValueError: The input is not a response.
+        CutResponseError: The response was cut off within its body.
     """
     while True:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -155,7 +155,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader, head: bytes) -> None:
-    """Read the body that follows a head by its framing, to its end."""
+    """Read the body that follows a head to its end, by its framing."""
     if header(head, b"transfer-encoding"):
         while size := int(await reader.readline(), 16):
             await reader.readexactly(size + 2)
--- a/mothstall/lab/soak/clients.py
+++ b/mothstall/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: some keep to their connection, some upload, some break what they send."""
+"""Clients of the soak: steady, uploading (some uploads malformed), resting and idle ones."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 CLASSES = ("search", "pay", "order")
 UPLOAD_BYTES = (70_000, 150_000, 300_000)
-WAITS_S = (0.3, 0.6, 0.9)  # X-Remaining of a request
-CUT_STATUS = 0  # of a response that broke off
-GIVE_UP_S = 2.5  # beyond any answer that counts
+WAITS_S = (0.3, 0.6, 0.9)  # values of X-Remaining
+CUT_STATUS = 0  # recorded for a response that was cut off
+GIVE_UP_S = 2.5  # more than any response that still counts takes
 BREAKS = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
 class SoakClient:
-    """One client after the other's fashion, until it is cancelled.
+    """A client that sends small requests over kept connections; subclasses behave otherwise.
 
     Attributes:
-        is_paused: It sends nothing for now, and holds no connection.
+        is_paused: Whether it sends nothing and closes its connection.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         now: Callable[[], float],
         address: tuple[str, int],
     ) -> None:
-        """Prepare a client of the proxy at `address`; `now` gives seconds from the run's begin."""
+        """Prepare a client of the proxy at `address`; `now` returns seconds since the begin."""
         self.is_paused = False
         self._name = name
         self._rng = rng
@@ -43,7 +43,7 @@
         self._count = 0
 
     async def run(self) -> None:
-        """Play until cancelled."""
+        """Run until cancelled."""
         while True:
             if self.is_paused:
                 await asyncio.sleep(0.02)
@@ -62,13 +62,13 @@
             await asyncio.sleep(0.01)
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Use one connection for as long as both sides like."""
+        """Send requests on one connection until the client pauses or the connection ends."""
         while not self.is_paused:
             await self._request(reader, writer, *self._next_request())
             await asyncio.sleep(self._rng.uniform(0.0, 0.06))
 
     def _next_request(self) -> tuple[ClientRequest, list[bytes]]:
-        """Return a small request and its pieces."""
+        """Return a small request and the pieces of its encoding."""
         class_name = self._rng.choice(CLASSES)
         request = self._new_request(class_name)
         body = b"" if class_name == "search" else b"b" * self._rng.choice((0, 20, 3_000))
@@ -102,7 +102,7 @@
         request: ClientRequest,
         pieces: list[bytes],
     ) -> None:
-        """Send a request completely and wait for its final response."""
+        """Send a complete request, and wait for its final response."""
         for piece in pieces:
             writer.write(piece)
             await writer.drain()
@@ -122,7 +122,7 @@
 
 
 class UploadClient(SoakClient):
-    """Sends long bodies; some break, some end in the middle, some have noise behind them."""
+    """Sends long bodies; half of its uploads are malformed, with noise or an early end."""
 
     def _next_request(self) -> tuple[ClientRequest, list[bytes]]:
         request = self._new_request(self._rng.choice(("pay", "order")))
@@ -143,7 +143,7 @@
             await asyncio.sleep(self._rng.uniform(0.0, 0.05))
 
     async def _break(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send a part of an upload, then something else, and take what comes."""
+        """Send a part of an upload and then malformed input; record all responses to it."""
         request = self._new_request("order")
         writer.write(self._head(request, None))
         for _ in range(self._rng.randint(0, 5)):
@@ -152,7 +152,7 @@
             await asyncio.sleep(self._rng.choice((0.0, 0.01)))
         writer.write(self._rng.choice(BREAKS))
         if self._rng.random() < 0.3:
-            return  # and goes, with a reset
+            return  # leaves with a reset
         if self._rng.random() < 0.3 and writer.can_write_eof():
             writer.write_eof()
         received = b""
@@ -166,7 +166,7 @@
 
 
 class RestingClient(SoakClient):
-    """Rests on its connection until the proxy ends it, and sends at that moment."""
+    """Keeps its connection idle until the proxy closes it, and sends a request at that moment."""
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await self._request(reader, writer, *self._next_request())
@@ -180,7 +180,7 @@
 
 
 class IdleClient(SoakClient):
-    """One of a crowd: opens a connection, and says nothing."""
+    """One of a crowd: holds an idle connection open."""
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while not self.is_paused and await self._is_open(reader):
--- a/mothstall/lab/soak/command.py
+++ b/mothstall/lab/soak/command.py
@@ -1,4 +1,4 @@
-"""`mothstall lab soak`: plays seeds, and prints what was broken with the command that plays it again."""
+"""`mothstall lab soak`: plays seeds, and prints violations with the command to repeat them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 def play_seed(seed: int, logs: str | None) -> SoakResult | str:
-    """Play one seed; return why it could not be finished, if it could not.
+    """Play one seed; return its result, or the reason why it could not be finished.
 
     Args:
         seed: The seed.
-        logs: Folder that keeps the run's files; None: they are removed.
+        logs: Folder in which the run's files are kept; None: they are removed.
     """
     try:
         if logs is not None:
@@ -37,7 +37,7 @@
 
 
 def report(seed: int, result: SoakResult | str) -> tuple[str, int]:
-    """Return what is printed of a run, and its part of the exit code."""
+    """Return the text to print for a run, and its exit code."""
     again = f"python -m mothstall lab soak --first {seed} --seeds 1 --logs found/soak"
     if isinstance(result, str):
         return f"seed {seed}: not finished: {result}\n  again: {again}", 1
@@ -57,16 +57,16 @@
     parser = argparse.ArgumentParser(
         prog="mothstall lab soak",
         epilog=EPILOG,
-        description="Real proxies under signals in series, breaks, crowds and silent watches.",
+        description="Real proxies under signals, malformed uploads, idle crowds and silent watches.",
     )
     parser.add_argument("--first", type=int, default=1, help="the first seed; default: 1")
     parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="default: 6")
     parser.add_argument("--side-by-side", type=int, default=DEFAULT_SIDE_BY_SIDE, metavar="N")
-    parser.add_argument("--logs", metavar="DIR", help="keep each run's folder there")
-    parser.add_argument("--json", metavar="FILE", help="a row for each seed")
+    parser.add_argument("--logs", metavar="DIR", help="keep the folder of each run in DIR")
+    parser.add_argument("--json", metavar="FILE", help="write a row for each seed")
     options = parser.parse_args(words)
     if options.seeds < 1 or options.side_by_side < 1:
-        parser.error("--seeds and --side-by-side take numbers from 1 on")
+        parser.error("--seeds and --side-by-side must be at least 1")
     seeds = range(options.first, options.first + options.seeds)
     worst = 0
     rows = []
--- a/mothstall/lab/soak/observations.py
+++ b/mothstall/lab/soak/observations.py
@@ -1,15 +1,15 @@
-"""What clients and backends of a soak saw, and the rules that it is held to. Pure."""
+"""Records of a soak's clients and backends, and the rules that are checked on them. Pure."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-ANSWER_SLACK_S = 0.5  # a final answer this late earns nothing; later it is lost
-STOP_SENDING_S = 0.5  # the settings' grace, from when a drain counts as notified
-NOTIFIED_S = 0.3  # an endpoint update on a working watch counts as notified after this
-# The same where the watch has fallen silent: so long after that, or so long after the end of the
-# wait that its call asked for, whichever is later.
+ANSWER_SLACK_S = 0.5  # past the client's wait; a response this late earns nothing, later it is lost
+STOP_SENDING_S = 0.5  # the settings' grace period, counted from the notification of a drain
+NOTIFIED_S = 0.3  # delay after which an endpoint update counts as notified by a working watch
+# On a silent watch, an update counts as notified the first delay after the watch fell silent or the
+# second delay after the wait of its call would have ended, whichever is later.
 SILENT_NOTIFIED_S = 6.0
 SILENT_WAIT_NOTIFIED_S = 2.0
 MAX_MEMORY_MIB = 192
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request that its client sent completely, and waited for.
+    """A request that its client sent completely and waited for.
 
     Attributes:
-        request_id: Its `X-Txn`.
-        class_name: Its class.
+        request_id: Value of `X-Txn`.
+        class_name: Request class.
         sent_at_s: When its last byte was sent.
         remaining_s: How long its client waits.
-        statuses: Of the final responses that came; one is right.
-        answered_at_s: When the first of them was complete.
+        statuses: Statuses of all final responses; there must not be more than one.
+        answered_at_s: When the first final response was complete or was cut off.
         closed_at_s: When the connection ended before any response was complete.
     """
 
@@ -44,10 +44,10 @@
     """A request that a backend received.
 
     Attributes:
-        request_id: Its `X-Txn`.
-        backend: Which backend.
-        began_at_s: When its head had come.
-        is_complete: All of its body came, so that it ran.
+        request_id: Value of `X-Txn`.
+        backend: Name of the backend.
+        began_at_s: When its head was received.
+        is_complete: Whether all of its body was received, so that it ran.
     """
 
     request_id: str
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainNotice:
-    """A drain: of which backend, when the list had it, and when it counts as notified."""
+    """A drain of a backend: when the list showed it, and when it counts as notified."""
 
     backend: str
     at_s: float
@@ -66,21 +66,21 @@
 
 
 def notified_on_silent_watch_s(silent_at_s: float, wait_over_at_s: float) -> float:
-    """Return when a change counts as notified that a silent watch has missed."""
+    """Return when a change that a silent watch has missed counts as notified."""
     return max(silent_at_s + SILENT_NOTIFIED_S, wait_over_at_s + SILENT_WAIT_NOTIFIED_S)
 
 
 @dataclass(slots=True)
 class Observations:
-    """All that one run is judged by. Times are seconds from the run's begin.
+    """All records of one run that its rules are checked on. Times are seconds since its begin.
 
     Attributes:
-        requests: What clients sent.
-        received: What backends got.
+        requests: Requests that clients sent.
+        received: Requests that backends received.
         drains: Drains of backends.
-        faults: What a process showed that it must not: a fault of its own, a held descriptor.
-        judged_until_s: Requests sent later are not judged: the process may be killed before their
-            time is over.
+        faults: Violations seen on a process itself: an internal fault, a descriptor still held.
+        judged_until_s: Requests sent later are not checked: the process may be killed before their
+            deadlines.
     """
 
     requests: list[ClientRequest] = field(default_factory=list)
@@ -91,7 +91,7 @@
 
 
 def broken_rules(seen: Observations) -> list[str]:
-    """Return what was broken, a line each; empty: every rule held."""
+    """Return a line for each violation; empty if every rule held."""
     return [
         *seen.faults,
         *_lost_answers(seen),
@@ -102,9 +102,10 @@
 
 
 def _lost_answers(seen: Observations) -> list[str]:
-    """A request that was forwarded gets its final answer in time, or it is lost.
+    """Find requests whose final response was late, and forwarded ones that got none.
 
-    One that no backend saw may cross the end of its connection: its client sends it again.
+    A request that no backend received may go unanswered: it was sent as its connection was being
+    closed, and its client sends it again.
     """
     forwarded = {row.request_id for row in seen.received}
     found = []
@@ -133,7 +134,7 @@
 
 
 def _duplicate_effects(seen: Observations) -> list[str]:
-    """What may run once only is received completely once at most."""
+    """Find requests that may run only once, but were received completely more often."""
     single = {r.request_id for r in seen.requests if r.class_name == SINGLE_ATTEMPT_CLASS}
     runs = Counter(row.request_id for row in seen.received if row.is_complete)
     return [
--- a/mothstall/lab/soak/plan.py
+++ b/mothstall/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""What one seed of the soak plays. Pure: the same seed gives the same plan."""
+"""The plan of a soak run, drawn from its seed. Pure: the same seed gives the same plan."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-TRAFFIC_S = 2.5  # of each of the two phases of traffic
-MAX_HANGUPS = 6  # SIGHUPs in one series
+TRAFFIC_S = 2.5  # first phase of traffic; the second lasts half as long before the ending
+MAX_HANGUPS = 6  # maximum of SIGHUPs in the first phase
 CROWD_PROBABILITY = 0.3
 DRAINS_PROBABILITY = 0.6
-CROWD_CLIENTS = 260  # idle connections, more than the descriptors of a crowded run allow
+CROWD_CLIENTS = 260  # idle connections: more than a crowded run has descriptors for
 DESCRIPTORS = 512
 CROWDED_DESCRIPTORS = 160
 
 
 class Ending(Enum):
-    """How the proxy is made to end while its clients go on."""
+    """How the proxy is ended while its clients continue."""
 
     TERMINATE = "SIGTERM"
     TERMINATE_TWICE = "SIGTERM twice"
@@ -28,18 +28,19 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """One run.
+    """The plan of one run.
 
     Attributes:
-        seed: Of all random choices.
+        seed: Seed of all random choices.
         ending: How the proxy ends.
-        hangup_times_s: SIGHUPs of the first phase, in seconds from its begin.
-        is_crowded: Idle clients fill the descriptors.
-        descriptors: Limit that the proxy is given.
-        silent_watch_at_s: When the open watches fall silent; None: they do not.
-        drain_backend_at_s: When one backend begins to drain, just behind that; None: none does.
-        start_and_terminate_after_s: A second process is terminated so long after its start; None:
-            there is none.
+        hangup_times_s: Times of the SIGHUPs of the first phase, in seconds since its begin.
+        is_crowded: Whether idle clients use up the descriptors.
+        descriptors: Descriptor limit of the proxy.
+        silent_watch_at_s: When the open watches fall silent; None: never.
+        drain_backend_at_s: When one backend begins to drain, soon after the watches fall silent if
+            they do; None: never.
+        start_and_terminate_after_s: Time from the start of a second process to its SIGTERM; None:
+            no such process.
     """
 
     seed: int
--- a/mothstall/lab/soak/play.py
+++ b/mothstall/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one seed of the soak: processes, traffic in two phases, signals, and what is left between them."""
+"""Plays one seed of the soak: processes, signals, two phases of traffic, a leak check between."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
 STEADY_CLIENTS = 8
 UPLOAD_CLIENTS = 4
 RESTING_CLIENTS = 4
-READY_S = 20.0  # how long a process may take to start
-# From SIGTERM on the process may be killed after the longest deadline and this.
+READY_S = 20.0  # limit for a process to become ready
+# A process may be killed this long after SIGTERM: the longest deadline and a margin.
 KILL_AFTER_S = LONGEST_DEADLINE_S + 0.7
-SETTLE_S = 12.0  # by then nothing of the first phase is open
-DISCOVERY_CONNECTIONS = 1  # a poll may be out beside the watch that was open at the begin
-LATE_S = 0.3  # a driver that was held up for longer proves nothing
+SETTLE_S = 12.0  # limit for connections and requests of the first phase to close
+DISCOVERY_CONNECTIONS = 1  # a poll may be open in addition to the watch counted at the begin
+LATE_S = 0.3  # a longer delay of the driver makes the run inconclusive
 TICK_S = 0.02
-LISTEN_DESCRIPTOR = 3  # that processes inherit
+LISTEN_DESCRIPTOR = 3  # the listening socket's number in each process
 
 
 @dataclass
 class SoakResult:
-    """What became of one seed.
+    """The result of one seed.
 
     Attributes:
-        plan: What was played.
-        broken: What was broken, a line each.
-        requests: How many requests clients sent completely.
-        answered: How many of them got a complete response of status 200.
-        late_s: For how long the driver was held up at most.
+        plan: The plan that was played.
+        broken: A line for each violation.
+        requests: Number of requests that clients sent completely.
+        answered: Number of these that got a complete response of status 200.
+        late_s: Longest delay of the driver.
     """
 
     plan: SoakPlan
@@ -68,7 +68,7 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether the machine was too late for the run to prove anything."""
+        """Whether the driver was delayed so long that the run is inconclusive."""
         return self.late_s > LATE_S
 
 
@@ -83,7 +83,7 @@
 
 @dataclass
 class _Run:
-    """One run while it plays."""
+    """The state of one run."""
 
     plan: SoakPlan
     folder: Path
@@ -106,17 +106,17 @@
         self._rng = rng
 
     def now(self) -> float:
-        """Seconds since the run's begin."""
+        """Return seconds since the run's begin."""
         return time.monotonic() - self.began_s
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run beside all else, until the run ends."""
+        """Run a task in the background until the run ends."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def watch_driver(self) -> None:
-        """Measure for how long this process was held up."""
+        """Measure the longest delay of this process's event loop."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(TICK_S)
@@ -125,10 +125,10 @@
     # Processes
 
     async def start_process(self) -> _Process:
-        """Start `serve` on the inherited listener; it is ready when this returns.
+        """Start `serve` on the inherited listener, and wait until it is ready.
 
         Raises:
-            Unfinished: It did not become ready in time.
+            Unfinished: The process did not become ready in time.
         """
         started = await self.launch()
         try:
@@ -140,7 +140,7 @@
         return started
 
     async def launch(self) -> _Process:
-        """Start `serve`, and do not wait for it."""
+        """Start `serve` without waiting until it is ready."""
         number = len(self.processes)
         admin_port = _free_port()
         tree = configuration(
@@ -171,7 +171,7 @@
         return started
 
     async def end(self) -> None:
-        """End all that the run started."""
+        """End all tasks, processes and servers that the run started."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -187,7 +187,7 @@
     # Traffic
 
     def add_clients(self) -> None:
-        """Begin the traffic: steady, uploading and resting clients, and the crowd if there is one."""
+        """Start the steady, uploading and resting clients, and the crowd if the plan has one."""
         counts = {
             SoakClient: STEADY_CLIENTS,
             UploadClient: UPLOAD_CLIENTS,
@@ -203,12 +203,12 @@
                 self.spawn(client.run())
 
     def pause_clients(self, is_paused: bool) -> None:
-        """Let all clients leave and rest, or go on."""
+        """Make all clients close their connections and pause, or resume."""
         for client in self.clients:
             client.is_paused = is_paused
 
     async def drain_one(self) -> None:
-        """Let the watches fall silent and one backend drain, as the plan says."""
+        """Silence the open watches and drain one backend, as planned."""
         plan = self.plan
         silent_until_s: float | None = None
         if plan.silent_watch_at_s is not None:
@@ -226,23 +226,25 @@
         self.seen.drains.append(DrainNotice(self.backends[0].name, at_s, notified_at_s))
 
     async def hang_up(self, target: _Process, times_s: tuple[float, ...]) -> None:
-        """Send SIGHUPs at the given times from now on."""
+        """Send SIGHUPs at the given times, in seconds from now."""
         began = time.monotonic()
         for at_s in times_s:
             await asyncio.sleep(max(0.0, began + at_s - time.monotonic()))
             _signal(target, signal.SIGHUP)
 
     async def start_and_terminate(self, after_s: float) -> None:
-        """Terminate a second process right after its start: it must end, and take nobody along."""
+        """Terminate a second process right after its start; it must end and harm no request."""
         second = await self.launch()
         await asyncio.sleep(after_s)
         _signal(second, signal.SIGTERM)
         try:
             await asyncio.wait_for(second.process.wait(), READY_S)
         except TimeoutError:
-            self.seen.faults.append("early end: SIGTERM right after the start did not end it")
+            self.seen.faults.append(
+                "early end: SIGTERM right after the start did not end the process"
+            )
 
-    # The run
+    # Phases
 
     async def play(self) -> None:
         """Play both phases.
@@ -279,7 +281,7 @@
         return held_descriptors(proxy.process.pid, self.address[1], ports)
 
     async def _check_nothing_open(self, proxy: _Process, other_before: int) -> None:
-        """With all clients gone, what they had open is given back."""
+        """Check that sockets and requests are released after all clients have closed."""
         end = time.monotonic() + SETTLE_S
         while time.monotonic() < end:
             open_requests = await _open_requests(proxy.admin_port)
@@ -296,7 +298,7 @@
             self.seen.faults.append(f"memory: {memory_mib} MiB of {MAX_MEMORY_MIB}")
 
     async def _end_proxy(self, proxy: _Process) -> None:
-        """End the proxy as the plan says, and kill it as early as that may come."""
+        """End the proxy as planned, and kill it at the earliest permitted time."""
         ending = self.plan.ending
         if self._upgrades():
             if ending is Ending.UPGRADE_WITH_HANGUP:
@@ -379,7 +381,7 @@
 
 
 async def _open_requests(admin_port: int) -> int:
-    """Return `open_requests` of the figures; -1: there was no answer."""
+    """Return `open_requests` from the telemetry; -1 if there was no response."""
     for row in (await _call_admin(admin_port, "GET", "/api/telemetry")).splitlines():
         name, _, value = row.partition(b":")
         if name.endswith(b"open_requests"):
@@ -388,7 +390,7 @@
 
 
 async def _call_admin(port: int, method: str, path: str) -> bytes:
-    """Call the admin API; return the raw response, empty if there was none."""
+    """Call the admin API; return the raw response, empty on failure."""
     request = (
         f"{method} {path} HTTP/1.1\r\nHost: soak\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     )
--- a/mothstall/lab/soak/settings.py
+++ b/mothstall/lab/soak/settings.py
@@ -8,7 +8,7 @@
 LONGEST_DEADLINE_S = 1.0
 MEMORY_MIB = 192
 BODY_MIB = 4
-KEEPALIVE_MS = 1_500  # backends' own idle timeout: what rests is closed between the phases
+KEEPALIVE_MS = 1_500  # idle timeout of backends: idle connections are closed between the phases
 
 
 def configuration(
@@ -19,14 +19,14 @@
     members: list[dict[str, object]],
     descriptors: int,
 ) -> dict[str, Any]:
-    """Return the tree of a configuration file.
+    """Return the contents of a configuration file.
 
     Args:
-        listen: Address for clients.
+        listen: Address that clients connect to.
         discovery: Address of the endpoint list.
         admin: Address of the admin API.
         members: Rows of the cached endpoint list.
-        descriptors: The process's limit.
+        descriptors: Descriptor limit of the process.
     """
     return {
         "name": "soak",
--- a/mothstall/lab/soak/sockets.py
+++ b/mothstall/lab/soak/sockets.py
@@ -1,4 +1,4 @@
-"""Which descriptors a process holds, by what its sockets are connected to: read off `/proc`."""
+"""Counts a process's descriptors by the peers of its sockets, read from `/proc`."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 def held_descriptors(pid: int, listen_port: int, backend_ports: Collection[int]) -> Counter[str]:
-    """Count a process's descriptors.
+    """Count the descriptors of a process by kind.
 
     Args:
-        pid: The process.
-        listen_port: Where its clients connect to.
-        backend_ports: Where its backends listen.
+        pid: Id of the process.
+        listen_port: Port that its clients connect to.
+        backend_ports: Ports that its backends listen on.
 
     Returns:
-        Counts of `clients`, `backends` and `other`; of connections only what is open counts.
+        Counts of `clients`, `backends` and `other`; connections that are closed do not count.
     """
     ports = _ports_by_inode(pid)
     counts: Counter[str] = Counter()
     folder = Path(f"/proc/{pid}/fd")
     for descriptor in os.listdir(folder):
         target = ""
-        with contextlib.suppress(OSError):  # closed meanwhile
+        with contextlib.suppress(OSError):  # closed since the folder was listed
             target = os.readlink(folder / descriptor)
         inode = target.removeprefix(_SOCKET).rstrip("]")
         local, remote = ports.get(inode, (0, 0))
@@ -41,7 +41,7 @@
 
 
 def _ports_by_inode(pid: int) -> dict[str, tuple[int, int]]:
-    """Return local and remote port of each TCP socket; a listener's remote port is 0."""
+    """Return local and remote port of each TCP socket by inode; a listener's remote port is 0."""
     found = {}
     for row in Path(f"/proc/{pid}/net/tcp").read_text(encoding="ascii").splitlines()[1:]:
         words = row.split()
--- a/mothstall/lab/sockets.py
+++ b/mothstall/lab/sockets.py
@@ -1,8 +1,8 @@
-"""The sockets driver: real proxies in processes of their own, and the same world behind real connections.
+"""The sockets driver: runs a scenario's world against real proxy processes on loopback.
 
-Boxes, discovery, the front and the clients live in this process, on loopback, on ports that the system
-gives. A box that cannot be reached stops accepting with a full backlog, so that connections to it never come
-up. When this machine ran late, and by how much, is said in the result.
+Backends, discovery, front and clients run in this process, on ports that the system assigns. The
+listener of an unreachable backend stops accepting and keeps its backlog full, so that connections
+to it never complete. The result records when this machine ran late, and by how much.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from mothstall.lab.scenario import Scenario, settings_tree
 from mothstall.lab.world import World
 
-LATE_NS = 40_000_000  # a look at the clock later than this is lateness of the machine
+LATE_NS = 40_000_000  # a clock check delayed by more than this counts as lateness of the machine
 LOOK_NS = 10_000_000
-STARVED_NS = 40_000_000  # a proxy that waited so long for a core within LOOK_PROXIES_NS ran late
+STARVED_NS = 40_000_000  # wait for a core, per LOOK_PROXIES_NS, beyond which a proxy ran late
 LOOK_PROXIES_NS = 100_000_000
 SWEEP_NS = 500_000_000
 BACKLOG = 256
 
 
 class RealTime:
-    """Time as it passes, ns since `begin`."""
+    """Real time, in ns since the last call of `begin`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self._start = loop, time.monotonic_ns()
@@ -63,7 +63,7 @@
 
 
 class Listener:
-    """Accepts for one stand-in; it can be made to look like a machine that is not there."""
+    """Accepts connections for one stand-in; it can imitate an unreachable machine."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, factory: Callable[[], asyncio.Protocol]
@@ -88,7 +88,7 @@
             self._loop.add_reader(self.sock, self._accept)
             return
         self._loop.remove_reader(self.sock)
-        # With its backlog full the kernel drops further connections' first packets, as a cut would.
+        # With the backlog full, the kernel drops SYN packets of new connections, as a cut would.
         self.sock.listen(0)
         for _ in range(4):
             filler = socket.socket()
@@ -111,7 +111,7 @@
     def _done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # a connection that ended while it was taken in
+            task.exception()  # marks the error of a failed accept as retrieved
 
     def close(self) -> None:
         if self._accepting:
@@ -124,7 +124,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """What all connections share: a reader, and a close on what cannot be read."""
+    """Base of all connections: parses the input, and aborts on a malformed message."""
 
     transport: asyncio.Transport
 
@@ -147,7 +147,7 @@
 
 
 class BoxConnection(_Connection):
-    """One connection of a proxy to a box."""
+    """One connection of a proxy to a backend."""
 
     def __init__(self, server: BoxServer) -> None:
         super().__init__()
@@ -169,7 +169,7 @@
         run, box = self.server.run, self.server.box
         number = wire.txn(message)
         if not 1 <= number <= len(run.ledger.tries) or self.job is not None:
-            raise wire.Malformed("a request that no client sent, or two at once")
+            raise wire.Malformed("a request with an unknown id, or two requests at once")
         row = run.ledger.tries[number - 1]
         arrival = Arrival(number, row.proxy, box.id, run.time.now, row.intent.work)
         kind = run.s.classes[row.intent.cls]
@@ -178,7 +178,7 @@
         box.offer(job, fresh)
 
     def replied(self, job: Job, fate: Fate) -> None:
-        """The world has an answer; across zones it takes its time."""
+        """Writes the backend's response, across zones after the network's round trip."""
         run, box = self.server.run, self.server.box
         proxy_zone = job.arrival.proxy % len(run.s.zones)
         way = run.s.network.far if proxy_zone != box.zone else 0
@@ -218,7 +218,7 @@
 
 
 class BoxServer:
-    """A box behind a real listener: one for each life, so that a new process has a new address."""
+    """A backend behind a real listener; each restart makes a new one, and so a new address."""
 
     def __init__(self, run: Sockets, box: Box) -> None:
         self.run, self.box = run, box
@@ -226,7 +226,7 @@
         self.listener = Listener(run.loop, lambda: BoxConnection(self))
 
     def look(self) -> None:
-        """Follows what the world says of the box: gone, silent, cut."""
+        """Applies the backend's simulated state: stopped, silent or cut off."""
         box = self.box
         if not box.up and not box.silent:
             self.close()
@@ -238,7 +238,7 @@
                 connection.transport.pause_reading()
 
     def sweep(self) -> None:
-        """Closes what stood idle for the box's limit."""
+        """Closes connections that have reached the backend's idle timeout."""
         last = self.run.time.now - self.box.group.idle
         for connection in list(self.connections):
             if connection.job is None and connection.idle_since < last:
@@ -250,14 +250,14 @@
             connection.transport.abort()
 
     def healed(self) -> None:
-        """A cut is over: what was open through it is reset."""
+        """Ends a cut: accepts again, and resets the connections that were open during it."""
         self.listener.reachable(True)
         for connection in list(self.connections):
             connection.transport.abort()
 
 
 class DirectoryConnection(_Connection):
-    """One connection of a proxy to discovery, on the listener that is that proxy's own."""
+    """One connection of a proxy to discovery, which has a listener for each proxy."""
 
     def __init__(self, run: Sockets, proxy: int) -> None:
         super().__init__()
@@ -275,7 +275,7 @@
     def take(self, message: wire.Message) -> None:
         parts = message.line.split(b" ")
         if len(parts) != 3 or not parts[1].startswith(b"/v1/endpoints"):
-            raise wire.Malformed("not a call that discovery knows")
+            raise wire.Malformed("unknown discovery request")
         query = dict(
             pair.partition("=")[::2] for pair in parts[1].decode().partition("?")[2].split("&")
         )
@@ -311,7 +311,7 @@
         self.tell(turn)
 
     def tell(self, turn: int) -> None:
-        """What is newer, now; a call is answered once."""
+        """Responds with all changes since the proxy's version; each call gets one response."""
         if turn != self.turn:
             return
         self.turn += 1
@@ -327,7 +327,7 @@
 
 
 class ClientConnection(_Connection):
-    """One connection of a client; one request at a time."""
+    """One connection of a client; it carries one request at a time."""
 
     def __init__(self, run: Sockets, proxy: int) -> None:
         super().__init__()
@@ -347,7 +347,7 @@
     def take(self, message: wire.Message) -> None:
         run, row = self.run, self.row
         if row is None:
-            if self.last:  # an answer that nobody asked for
+            if self.last:  # a response without an open request
                 run.world.clients.answered(self.last, Answer.FAILED)
             self.transport.abort()
             return
@@ -378,7 +378,7 @@
         if run.proxy_dead(self.proxy, row.taken):
             row.excused = True
         elif self.used and not self.reader.begun:
-            # Closed by the proxy while our request was on its way: once more, on a new connection.
+            # The proxy closed the idle connection as the request was sent: retry on a new one.
             row.taken = -1
             run.connect(row, self.repeated)
             return
@@ -386,13 +386,13 @@
 
 
 class RealProxy:
-    """One proxy of the run: its process, its own way to discovery, and when it was ended."""
+    """One proxy of the run: its process, its discovery listener, and when it was ended."""
 
     def __init__(self, run: Sockets, number: int, more: tuple[str, ...] = ()) -> None:
         self.run, self.number = run, number
         self.process = ServeProcess(f"proxy-{number}", run.folder, more=more)
         self.up = False
-        self.lost_at: list[int] = []  # when it was killed or stopped
+        self.lost_at: list[int] = []  # times of SIGKILL or SIGSTOP
         self.listener = Listener(run.loop, lambda: DirectoryConnection(run, number))
 
     async def start(self) -> None:
@@ -422,7 +422,7 @@
 
 
 class Sockets:
-    """One run on real sockets."""
+    """One run on real sockets; the driver of its world."""
 
     def __init__(
         self,
@@ -431,7 +431,7 @@
         folder: Path,
         more: Callable[[int], tuple[str, ...]] = lambda _: (),
     ) -> None:
-        """`more`: further words of the command line of the proxy with that number."""
+        """`more`: further command-line arguments of the proxy with a given number."""
         self.s, self.folder = s, folder
         self.loop = asyncio.get_running_loop()
         self.time = RealTime(self.loop)
@@ -448,7 +448,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._looked = 0
         self._over = False
-        self.begun = asyncio.Event()  # clients ask from now on
+        self.begun = asyncio.Event()  # set once clients send requests
 
     async def play(self, watch: Callable[[int], object] | None = None) -> Ledger:
         self.world.prepare()
@@ -488,11 +488,11 @@
         return self.ledger
 
     def finish(self) -> None:
-        """Nobody asks any more; `play` returns once all that was asked has had its time."""
+        """Stops new client requests; `play` returns after the deadlines of those already sent."""
         self.world.clients.until = min(self.world.clients.until, self.time.now)
 
     def notes(self) -> dict[str, Any]:
-        """What the machine did: lateness of this driver and of the proxies, and their CPU."""
+        """Figures of the machine: lateness of this driver and the proxies, and the proxies' CPU."""
         late = sum(b - a for a, b in self.ledger.late)
         return {
             "late": late > 0.01 * self.time.now,
@@ -501,10 +501,10 @@
             "proxy_cpu_s": round(sum(proxy.process.cpu_s for proxy in self.proxies), 3),
         }
 
-    # Looking after the machine
+    # Checks of the machine
 
     def _look(self) -> None:
-        """Guards against blaming proxies for a machine that was late itself."""
+        """Records lateness of this machine, so that proxies are not blamed for it."""
         now = self.time.now
         lag = now - self._looked - LOOK_NS
         if lag > LATE_NS:
@@ -525,7 +525,7 @@
                 self.ledger.late.append((now - LOOK_PROXIES_NS, now))
             if not proxy.process.running:
                 code = proxy.process.returncode
-                self.failure = Unfinished(f"proxy {proxy.number} ended by itself: {code}")
+                self.failure = Unfinished(f"proxy {proxy.number} exited by itself: {code}")
         self.loop.call_later(LOOK_PROXIES_NS / NS, self._look_at_proxies)
 
     def _sweep(self) -> None:
@@ -559,7 +559,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _restart(self, proxy: RealProxy, ready: Callable[[], object]) -> None:
-        await proxy.process.stop()  # where it only stood still
+        await proxy.process.stop()  # a proxy halted by SIGSTOP still runs
         for connection in self.idle.pop(proxy.number, []):
             connection.transport.abort()
         try:
@@ -570,7 +570,7 @@
         ready()
 
     def proxy_dead(self, proxy: int, since: int) -> bool:
-        """Whether a proxy was killed or stopped after a time."""
+        """Whether a proxy is down, or has been since a time."""
         one = self.proxies[proxy]
         return not one.up or any(at >= since for at in one.lost_at)
 
@@ -616,7 +616,7 @@
 def run(
     s: Scenario, seed: int, watch: Callable[[Sockets], Callable[[int], object]] | None = None
 ) -> tuple[Ledger, dict[str, Any]]:
-    """Plays a scenario on sockets: the ledger, and notes on the machine. Raises Unfinished."""
+    """Plays a scenario on sockets; returns its ledger and `notes`. Raises Unfinished."""
 
     async def main() -> tuple[Ledger, dict[str, Any]]:
         with tempfile.TemporaryDirectory(prefix="mothstall-lab-") as folder:
--- a/mothstall/lab/start.py
+++ b/mothstall/lab/start.py
@@ -1,10 +1,10 @@
-"""What a start costs: processor time from exec to ready, by size of the first list, and where it goes.
+"""Benchmark of start-up: CPU time from exec to ready, by phase and by size of the first list.
 
-The program is started as the deploy file's `run` starts it (`-O -B`, files compiled before), against
-discovery that answers the list at once, or with the list in `known` and discovery refusing. Another checkout
-may be started in turn with this one, so that pairs meet the same machine. Each figure is the median of all
-repeats; a slope is Theil and Sen's over sizes. On a small share of a core a start takes its processor time
-divided by that share.
+The program is started as the deploy file's `run` starts it (`-O -B`, bytecode compiled before). The
+endpoint list comes from discovery, which responds at once, or from `known`, while discovery refuses
+connections. Another checkout may be started in turn with this one, so that both are measured under
+the same load of the machine. Each figure is the median of all repeats; slopes over sizes are
+Theil-Sen estimates. On a fraction of a core, a start takes its CPU time divided by that fraction.
 """
 
 from __future__ import annotations
@@ -35,11 +35,12 @@
 
 SIZES = (200, 2_000, 20_000)  # backends in the first list
 REPEATS = 9
-WAYS = ("asked", "known")  # where the list comes from: discovery's first answer, or the file
+WAYS = ("asked", "known")  # list from discovery's first response, or from the file
 READY_S = 60.0
-LOOK_S = 0.004  # between two looks whether it is ready
-# Where a piece of the start ends: an audit event of the interpreter, and how its first argument begins. A
-# piece ends with the first such event after the one before it has ended; the last one when it is ready.
+LOOK_S = 0.004  # interval between readiness checks
+# Phases of the start, each with the interpreter's audit event that ends it and a prefix of the
+# event's first argument. A phase ends at the first such event after the previous phase; the last
+# phase, not listed, ends at readiness.
 PIECES = (
     ("interpreter", "import", "mothstall"),
     ("asyncio, command line", "import", "mothstall.config"),
@@ -49,7 +50,7 @@
     ("other modules, the proxy made", "socket.bind", ""),
 )
 LAST_PIECE = "sockets, first list"
-# Runs the program in a process that tells, by line, the processor time (ns) at the end of each piece.
+# Runs the program, and writes a line with the process's CPU time (ns) at the end of each phase.
 _TELL = """
 import os, runpy, sys, time
 ends = iter({ends!r})
@@ -68,13 +69,13 @@
 
 
 def _environment(cache: Path) -> dict[str, str]:
-    """Compiled files in a folder of the bench's own: filled by a first start, read by all others."""
+    """Environment with a bytecode cache of the benchmark's own, filled by a first start."""
     env = {key: value for key, value in os.environ.items() if not key.startswith(("LB_", "PYTHON"))}
     return {**env, "PYTHONPYCACHEPREFIX": str(cache)}
 
 
 def _cpu_ms(pid: int) -> float:
-    """Processor time of a process that runs, over all of its threads."""
+    """CPU time of a running process, all of its threads included."""
     total = 0
     for path in Path(f"/proc/{pid}/task").iterdir():
         with contextlib.suppress(OSError, IndexError, ValueError):
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class Start:
-    """One start, in ms: processor time and time of the clock from exec to ready, and each piece's part."""
+    """One start, in ms: CPU time and wall-clock time from exec to ready, and CPU time by phase."""
 
     cpu: float
     clock: float
@@ -101,7 +102,7 @@
 
 
 async def _start(root: Path, config: Path, env: dict[str, str], pieces: bool) -> Start:
-    """Raises Unfinished. With `pieces` the process also tells where the time goes, which costs a little."""
+    """Starts once; `pieces` also times the phases, at a small cost. Raises Unfinished."""
     words = (
         ("-c", _TELL.format(ends=tuple(end[1:] for end in PIECES)))
         if pieces
@@ -143,20 +144,20 @@
         await process.wait()
     if pieces and len(ends) != len(PIECES) + 2:
         raise Unfinished(
-            f"the program of {root} told {len(ends) - 2} pieces of its start, not {len(PIECES)}"
+            f"the program of {root} reported {len(ends) - 2} phases of its start, not {len(PIECES)}"
         )
     return Start(ends[-1], 1000 * took, [b - a for a, b in itertools.pairwise(ends)])
 
 
 def _files(folder: Path, sizes: Sequence[int], port: int) -> Iterator[tuple[str, int, Path, Word]]:
-    """A configuration for each way and size, and the list that discovery tells."""
+    """Writes a configuration for each source and size; yields it with discovery's list."""
     for way, size in itertools.product(WAYS, sizes):
         entries = tuple(io.Endpoint(1 + i, 0, 0, 0, Health.READY, 1.0, 0) for i in range(size))
         word = Word(1, True, entries)
         tree = {
             "name": "start",
             "listen": "127.0.0.1:0",
-            # Nobody listens on the port 1: a call is refused at once.
+            # Nothing listens on port 1: a connection is refused at once.
             "discovery": f"127.0.0.1:{port if way == 'asked' else 1}",
             "seed": "1",
             "settings": scenario.settings_tree(TREE, 0),
@@ -169,7 +170,7 @@
 
 
 class _Once(asyncio.Protocol):
-    """Discovery's list, encoded beforehand, for a first call; one that waits for news gets none."""
+    """Discovery: responds to a first call with a pre-encoded list, and to a waiting call never."""
 
     answer = b""
 
@@ -185,7 +186,7 @@
 async def measure(
     roots: dict[str, Path], sizes: Sequence[int], repeats: int, say: Callable[[str], object]
 ) -> dict[str, Any]:
-    """Each checkout of `roots` (by its name), in turn. Raises Unfinished."""
+    """Measures the named checkouts of `roots` in turn. Raises Unfinished."""
     starts: dict[tuple[str, str, int], list[Start]] = {}
     pieces: dict[str, list[Start]] = {name: [] for name in roots}
     with tempfile.TemporaryDirectory(prefix="mothstall-start-") as text:
@@ -236,7 +237,7 @@
 
 
 async def _compile(root: Path, config: Path, env: dict[str, str]) -> None:
-    """Leaves the compiled files of all that a start loads, as the deploy's build does."""
+    """Fills the bytecode cache by a first start, as the deploy's build does."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-O",
@@ -267,7 +268,7 @@
 
 
 def _slope_us(starts: dict[tuple[str, str, int], list[Start]], name: str, way: str) -> float | None:
-    """Microseconds that one more backend costs: the median of the slopes between each two sizes."""
+    """Microseconds per additional backend: the median slope over all pairs of sizes."""
     at = {
         size: statistics.median(start.cpu for start in taken)
         for (whose, how, size), taken in starts.items()
@@ -280,7 +281,7 @@
 def run(
     sizes: Sequence[int], repeats: int, beside: Path | None, say: Callable[[str], object]
 ) -> dict[str, Any]:
-    """All figures, with the revision that they belong to. Raises Unfinished."""
+    """Runs the whole benchmark; returns its figures with their revisions. Raises Unfinished."""
     roots = {"this": ROOT, **({"beside": beside} if beside else {})}
     found = asyncio.run(measure(roots, sizes, repeats, say))
     return {
@@ -295,7 +296,7 @@
 
 
 def text(tree: dict[str, Any]) -> str:
-    """The figures for people."""
+    """Formats the figures as a table."""
     names = list(tree["start"])
     about = f"{tree['revision']}, Python {tree['python']}, {tree['cores']} cores, medians of {tree['repeats']}"
     rows = [about + (f"; beside: {tree['beside']}" if tree["beside"] else ""), ""]
--- a/mothstall/lab/wire.py
+++ b/mothstall/lab/wire.py
@@ -1,7 +1,7 @@
-"""The platform's protocol as boxes, discovery and clients speak it: bytes to messages and back. Pure.
+"""Parses and encodes the platform's protocol for the lab's backends, discovery and clients. Pure.
 
-The stand-ins trust no one, but they are not servers for the world: bodies and heads are bounded, anything
-unreadable raises Malformed, and its connection is to be closed.
+Heads and bodies have size limits. Anything unreadable raises Malformed; the caller then closes the
+connection. This covers the needs of the lab; it is no general HTTP implementation.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Malformed(ValueError):
-    """Bytes that are no message of the protocol."""
+    """The input is not a valid message of the protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A request or an answer: its first line, headers with names in small letters, and body."""
+    """A request or response: its first line, headers with lower-case names, and body."""
 
     line: bytes
     headers: dict[bytes, bytes]
@@ -34,7 +34,7 @@
 
 
 class Reader:
-    """Takes bytes as they come and gives whole messages."""
+    """Incremental parser: takes input of any split and yields complete messages."""
 
     def __init__(self) -> None:
         self._data = bytearray()
@@ -45,18 +45,20 @@
             end = self._data.find(b"\r\n\r\n")
             if end < 0:
                 if len(self._data) > MAX_HEAD:
-                    raise Malformed("a head that does not end")
+                    raise Malformed("the head exceeds its size limit")
                 return
             line, *rows = bytes(self._data[:end]).split(b"\r\n")
             headers = {}
             for row in rows:
                 name, sep, value = row.partition(b":")
                 if not sep:
-                    raise Malformed(f"{row[:40]!r} is no header")
+                    raise Malformed(f"{row[:40]!r} is not a header")
                 headers[name.strip().lower()] = value.strip()
             length = headers.get(b"content-length", b"0")
             if not length.isdigit() or int(length) > MAX_BODY or b"transfer-encoding" in headers:
-                raise Malformed("a body whose end cannot be told")
+                raise Malformed(
+                    "the body's length is invalid, too large, or not given by Content-Length"
+                )
             whole = end + 4 + int(length)
             if len(self._data) < whole:
                 return
@@ -66,12 +68,12 @@
 
     @property
     def begun(self) -> bool:
-        """Whether a message has come in part."""
+        """Whether a message has been received in part."""
         return bool(self._data)
 
 
 def request(s: Scenario, row: Try, kind: Kind, left_ns: int, repeated: bool) -> bytes:
-    """A client's request."""
+    """Encodes a client's request."""
     safe = kind.effect == "safe"
     rows = [
         f"{'GET' if safe else 'POST'} /{kind.name} HTTP/1.1",
@@ -92,20 +94,20 @@
 
 
 def txn(message: Message) -> int:
-    """The number of the try that a request belongs to."""
+    """The id of the client request that a received request belongs to."""
     try:
         return int(message.headers[b"x-txn"], 16)
     except (KeyError, ValueError):
-        raise Malformed("a request with no id of ours") from None
+        raise Malformed("a request without a valid X-Txn header") from None
 
 
 def served(number: int) -> bytes:
-    """The body of a box's answer: nobody but the box of this very request makes it."""
+    """The body of a backend's response; it holds the request's id, so that a mix-up is found."""
     return b"served %016x\n" % number
 
 
 def answer(status: int, body: bytes = b"", load: str = "", more: str = "") -> bytes:
-    """A box's or discovery's answer; `more` holds further headers, each with its end of line."""
+    """Encodes a response of a backend or of discovery; each header in `more` ends with CRLF."""
     if load:
         more += f"X-Pressure: {load}\r\n"
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
@@ -116,26 +118,26 @@
 
 
 def read_answer(message: Message, row: Try) -> tuple[Answer, int]:
-    """What an answer means to a client, and when it may come back (ns; 0: not told)."""
+    """The result of a client's request, and the Retry-After time in ns (0: none given)."""
     parts = message.line.split(b" ", 2)
     if len(parts) < 2 or not parts[1].isdigit():
-        raise Malformed(f"{message.line[:40]!r} is no status")
+        raise Malformed(f"{message.line[:40]!r} is not a status line")
     status = int(parts[1])
     if status == 200:
         if message.body != served(row.txn):
-            raise Malformed("an answer that no box made for this request")
+            raise Malformed("a response that belongs to another request")
         return Answer.SERVED, 0
     if status in (429, 503):
         try:
             after = float(message.headers.get(b"retry-after", b"0"))
         except ValueError:
-            raise Malformed("Retry-After is no number") from None
+            raise Malformed("Retry-After is not a number") from None
         return Answer.REFUSED, int(after * 1e9)
     return Answer.FAILED, 0
 
 
 def listing(word: Word, zones: tuple[str, ...], ports: dict[int, int]) -> dict[str, object]:
-    """The list, or its changes, as discovery's JSON."""
+    """The endpoint list, or changes to it, as discovery's JSON."""
     return {
         "revision": word.version,
         "complete": word.full,
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its rules on what clients and backends saw, its plans, and a short seeded run."""
+"""The soak: the rules checked on its records, its plans, and short runs of some seeds."""
 
 from __future__ import annotations
 
@@ -46,7 +46,9 @@
 
 def test_forwarded_request_without_an_answer_is_lost() -> None:
     cut_off = request(closed_at_s=1.2)
-    assert broken_rules(seen_with(cut_off)) == [], "nobody saw it: its client sends it again"
+    assert broken_rules(seen_with(cut_off)) == [], (
+        "no backend received it: its client sends it again"
+    )
     assert "lost: r1" in broken_rules(seen_with(cut_off, received=(received(),)))[0]
 
 
@@ -82,7 +84,7 @@
 
 
 def test_silent_watch_counts_as_notified_by_its_silence_or_its_wait() -> None:
-    """6 s after it fell silent, or 2 s after the wait of its call would have been over."""
+    """6 s after the watch fell silent, or 2 s after its call's wait would have ended if later."""
     assert notified_on_silent_watch_s(1.0, 2.0) == 7.0
     assert notified_on_silent_watch_s(1.0, 5.9) == 7.9
 
@@ -110,7 +112,7 @@
     with pytest.raises(SystemExit) as error:
         main(["--seeds", "0"])
     assert error.value.code == 2
-    assert "from 1 on" in capsys.readouterr().err
+    assert "must be at least 1" in capsys.readouterr().err
 
 
 @pytest.fixture(scope="module")
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets driver: real proxies on loopback behind the same world, and the protocol that they meet."""
+"""The sockets driver with real proxies on loopback, and the wire protocol of its stand-ins."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
     real = runs.play(SCENE, "module", 3, "sockets")
     assert not real.verdict.rules, real.text()
     assert {Fate.SERVED, Fate.SPOILT} <= {row.fate for row in real.ledger.arrivals}
-    assert {life.box for life in real.ledger.lives} >= {101, 107}  # a successor was listed and met
+    assert {life.box for life in real.ledger.lives} >= {
+        101,
+        107,
+    }  # 107: a successor that the deploy started
     assert any(spans for spans in real.ledger.told_out.values())
     assert real.notes["proxy_cpu_s"] > 0
     model = runs.play(SCENE, "module", 3)
