--- a/mothstall/lab/bench.py
+++ b/mothstall/lab/bench.py
@@ -96,14 +96,14 @@
     """One connection of a client: one request at a time."""
 
     def __init__(self, done: Callable[[Client, bool], object]) -> None:
-        self.done, self.begun, self.data = done, 0.0, b""
+        self.done, self.due_s, self.data = done, 0.0, b""  # `due_s` 0: no request is open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def ask(self, number: int, begun: float) -> None:
-        self.begun = begun
+    def send(self, number: int, due_s: float) -> None:
+        self.due_s = due_s
         head = b"GET /search HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %016x\r\n" % number
         self.transport.write(head + b"X-Lane: search\r\nX-Remaining: 1400m\r\n\r\n")
 
@@ -120,7 +120,7 @@
             self.done(self, good)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.begun:
+        if self.due_s:
             self.done(self, False)
 
 
@@ -139,16 +139,16 @@
         end = begin + seconds
 
         def done(client: Client, good: bool) -> None:
-            now, begun, client.begun = loop.time(), client.begun, 0.0
+            now, due_s, client.due_s = loop.time(), client.due_s, 0.0
             if begin <= now < end:
                 counts["good" if good else "bad"] += 1
-                histogram.record_value(max(1, min(TOP_US, int((now - begun) * 1e6))))
+                histogram.record_value(max(1, min(TOP_US, int((now - due_s) * 1e6))))
             if client.transport.is_closing():
                 return
             if rate:
                 idle.append(client)
             elif now < end:
-                client.ask(next(numbers), now)
+                client.send(next(numbers), now)
 
         async def connect() -> Client:
             _, made = await loop.create_connection(lambda: Client(done), "127.0.0.1", port)
@@ -157,7 +157,7 @@
         clients = [await connect() for _ in range(connections)]
         if not rate:
             for client in clients:
-                client.ask(next(numbers), loop.time())
+                client.send(next(numbers), loop.time())
             await asyncio.sleep(end - loop.time() + 0.2)
         else:
             idle += clients
@@ -168,7 +168,7 @@
                     await asyncio.sleep(wait)
                 counts["late_us"] = max(counts["late_us"], int((loop.time() - due) * 1e6))
                 client = idle.pop() if idle else await connect()
-                client.ask(next(numbers), due)
+                client.send(next(numbers), due)
             await asyncio.sleep(0.3)
         return {**counts, "histogram": histogram.encode()}
 
--- a/mothstall/lab/scale/path.py
+++ b/mothstall/lab/scale/path.py
@@ -259,7 +259,7 @@
         end = begin + seconds
 
         def done(way: int, asker: bench.Client, good: bool) -> None:
-            now, begun, asker.begun = loop.time(), asker.begun, 0.0
+            now, begun, asker.due_s = loop.time(), asker.due_s, 0.0
             if begun >= begin and good:
                 spent[way].append((now - begun) * 1e6)
             if not asker.transport.is_closing():
@@ -284,8 +284,8 @@
             asker = idle[way].pop() if idle[way] else await connect(way)
             lane = b"c%d" % rng.randrange(classes)
             org = b"X-Org: t%d\r\n" % rng.randrange(tenants) if tenants else b""
-            asker.begun = loop.time()
-            asked[way] += asker.begun >= begin
+            asker.due_s = loop.time()
+            asked[way] += asker.due_s >= begin
             asker.transport.write(
                 b"GET /%b HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %016x\r\nX-Lane: %b\r\n%b"
                 b"X-Remaining: 1400m\r\n\r\n" % (lane, number, lane, org)
--- a/mothstall/lab/soak/play.py
+++ b/mothstall/lab/soak/play.py
@@ -210,19 +210,19 @@
     async def silence_watches_and_drain(self) -> None:
         """Silence the open watches and drain one backend, as planned."""
         plan = self.plan
-        silent_until_s: float | None = None
+        silent_notified_at_s: float | None = None
         if plan.silent_watch_at_s is not None:
             await asyncio.sleep(plan.silent_watch_at_s)
             silent_at_s = self.now()
             wait_over_at_s = silent_at_s + self.discovery.silence()
-            silent_until_s = notified_on_silent_watch_s(silent_at_s, wait_over_at_s)
+            silent_notified_at_s = notified_on_silent_watch_s(silent_at_s, wait_over_at_s)
         if plan.drain_backend_at_s is None:
             return
         await asyncio.sleep(plan.drain_backend_at_s - (plan.silent_watch_at_s or 0.0))
         self.backends[0].is_draining = True
         self.discovery.tell()
         at_s = self.now()
-        notified_at_s = silent_until_s or at_s + NOTIFIED_S
+        notified_at_s = silent_notified_at_s or at_s + NOTIFIED_S
         self.observations.drains.append(DrainNotice(self.backends[0].name, at_s, notified_at_s))
 
     async def send_hangups(self, target: _Process, times_s: tuple[float, ...]) -> None:
--- a/mothstall/lab/sockets.py
+++ b/mothstall/lab/sockets.py
@@ -231,8 +231,8 @@
         if not box.up and not box.silent:
             self.close()
             return
-        quiet = box.silent or box.cut_in or box.cut_out
-        self.listener.set_reachable(not quiet)
+        is_unreachable = box.silent or box.cut_in or box.cut_out
+        self.listener.set_reachable(not is_unreachable)
         for connection in list(self.connections):
             if box.silent or box.cut_in:
                 connection.transport.pause_reading()
@@ -537,8 +537,8 @@
     # The world's driver
 
     def box_up(self, box: Box) -> None:
-        if former := self.servers.get(box.id):
-            former.close()
+        if previous := self.servers.get(box.id):
+            previous.close()
         server = self.servers[box.id] = BackendServer(self, box)
         self.ports[box.id] = server.listener.port
 
--- a/mothstall/lab/start.py
+++ b/mothstall/lab/start.py
@@ -41,7 +41,7 @@
 # Phases of the start, each with the interpreter's audit event that ends it and a prefix of the
 # event's first argument. A phase ends at the first such event after the previous phase; the last
 # phase, not listed, ends at readiness.
-PIECES = (
+PHASES = (
     ("interpreter", "import", "mothstall"),
     ("asyncio, command line", "import", "mothstall.config"),
     ("configuration, settings", "import", "mothstall.net"),
@@ -49,7 +49,7 @@
     ("aiohttp", "import", "mothstall."),
     ("other modules, the proxy made", "socket.bind", ""),
 )
-LAST_PIECE = "sockets, first list"
+LAST_PHASE = "sockets, first list"
 # Runs the program, and writes a line with the process's CPU time (ns) at the end of each phase.
 _PHASE_PROGRAM = """
 import os, runpy, sys, time
@@ -98,14 +98,14 @@
 
     cpu_ms: float
     clock_ms: float
-    pieces: list[float]
+    phases: list[float]
 
 
-async def _start(root: Path, config: Path, env: dict[str, str], pieces: bool) -> StartTimes:
-    """Starts once; `pieces` also times the phases, at a small cost. Raises Unfinished."""
+async def _start(root: Path, config: Path, env: dict[str, str], with_phases: bool) -> StartTimes:
+    """Starts once; `with_phases` also times the phases, at a small cost. Raises Unfinished."""
     args = (
-        ("-c", _PHASE_PROGRAM.format(ends=tuple(end[1:] for end in PIECES)))
-        if pieces
+        ("-c", _PHASE_PROGRAM.format(ends=tuple(end[1:] for end in PHASES)))
+        if with_phases
         else ("-m", "mothstall")
     )
     began = time.monotonic()
@@ -130,8 +130,8 @@
                 if not line:
                     raise Unfinished(f"the program of {root} ended before it was ready")
                 listening = _PORT.search(line)
-                if piece := _PHASE_END.match(line):
-                    ends.append(int(piece[1]) / 1e6)
+                if phase := _PHASE_END.match(line):
+                    ends.append(int(phase[1]) / 1e6)
             while not await _ready(int(listening[1])):
                 await asyncio.sleep(READY_POLL_S)
         ends.append(_cpu_ms(process.pid))
@@ -142,9 +142,9 @@
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
-    if pieces and len(ends) != len(PIECES) + 2:
+    if with_phases and len(ends) != len(PHASES) + 2:
         raise Unfinished(
-            f"the program of {root} reported {len(ends) - 2} phases of its start, not {len(PIECES)}"
+            f"the program of {root} reported {len(ends) - 2} phases of its start, not {len(PHASES)}"
         )
     return StartTimes(ends[-1], 1000 * elapsed_s, [b - a for a, b in itertools.pairwise(ends)])
 
@@ -190,7 +190,7 @@
 ) -> dict[str, Any]:
     """Measures the named checkouts of `roots` in turn. Raises Unfinished."""
     starts: dict[tuple[str, str, int], list[StartTimes]] = {}
-    pieces: dict[str, list[StartTimes]] = {name: [] for name in roots}
+    phases: dict[str, list[StartTimes]] = {name: [] for name in roots}
     with tempfile.TemporaryDirectory(prefix="mothstall-start-") as folder_name:
         folder = Path(folder_name)
         env = {name: _environment_with_cache(folder / f"cache-{name}") for name in roots}
@@ -209,17 +209,17 @@
                     )
                     for name, root in order:
                         if index == 0:
-                            pieces[name].append(await _start(root, path, env[name], True))
+                            phases[name].append(await _start(root, path, env[name], True))
                         sample = await _start(root, path, env[name], False)
                         starts.setdefault((name, source, size), []).append(sample)
         finally:
             server.close()
-    names = [*(piece for piece, _, _ in PIECES), LAST_PIECE]
+    names = [*(phase for phase, _, _ in PHASES), LAST_PHASE]
     return {
         name: {
             "pieces_ms": {
-                piece: _median([start.pieces[index] for start in pieces[name]])
-                for index, piece in enumerate(names)
+                phase: _median([start.phases[index] for start in phases[name]])
+                for index, phase in enumerate(names)
             },
             "starts": [
                 {
@@ -317,8 +317,8 @@
             f"{label:<32}" + "".join(f"{'' if cell is None else cell:>10}" for cell in cells)
         )
 
-    for piece in tree["start"][names[0]]["pieces_ms"]:
-        add(piece, lambda result, piece=piece: result["pieces_ms"][piece])  # type: ignore[misc]
+    for phase in tree["start"][names[0]]["pieces_ms"]:
+        add(phase, lambda result, phase=phase: result["pieces_ms"][phase])  # type: ignore[misc]
     for index, row in enumerate(tree["start"][names[0]]["starts"]):
         label = f"exec to ready, {row['way']}, {row['backends']}"
         add(label, lambda result, index=index: result["starts"][index]["cpu_ms"])  # type: ignore[misc]
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -183,8 +183,8 @@
     assert set(tree["start"]) == {"this", "beside"}
     for found in tree["start"].values():
         assert list(found["pieces_ms"]) == [
-            *(name for name, _, _ in start.PIECES),
-            start.LAST_PIECE,
+            *(name for name, _, _ in start.PHASES),
+            start.LAST_PHASE,
         ]
         assert all(ms > 0 for ms in found["pieces_ms"].values())
         assert [(row["way"], row["backends"]) for row in found["starts"]] == [
