--- a/mothstall/lab/fleetjudge.py
+++ b/mothstall/lab/fleetjudge.py
@@ -88,10 +88,10 @@
         default_factory=list
     )  # operator commands without the expected result
 
-    def add_fault(self, at: float, lasts: float) -> None:
-        """Extends the fault period by a fault that begins at `at` and lasts `lasts` seconds."""
+    def add_fault(self, at: float, duration_s: float) -> None:
+        """Extends the fault period by a fault that begins at `at` and lasts `duration_s` seconds."""
         old = self.fault_period or FaultPeriod(at, at)
-        self.fault_period = FaultPeriod(min(old.since, at), max(old.until, at + lasts))
+        self.fault_period = FaultPeriod(min(old.since, at), max(old.until, at + duration_s))
 
 
 @dataclass(slots=True)
@@ -114,15 +114,15 @@
         *(Violation("operator call", 0.0, description) for description in record.command_failures),
         *_check_expectations(spec, observed, record),
     ]
-    zones, more = zonejudge.check_failover(
+    zone_violations, zone_figures = zonejudge.check_failover(
         spec, observed, record.fault_period, record.plan_number, dict(record.restarted_backends)
     )
-    violations += [Violation(*row) for row in zones]
-    good = [row for row in observed.client_requests if row.status == 200]
-    gaps = _replacement_times(observed, record)
+    violations += [Violation(*row) for row in zone_violations]
+    served = [row for row in observed.client_requests if row.status == 200]
+    replacement_times = _replacement_times(observed, record)
     figures = {
         "requests": len(observed.client_requests),
-        "served": round(len(good) / max(1, len(observed.client_requests)), 4),
+        "served": round(len(served) / max(1, len(observed.client_requests)), 4),
         "effects": sum(not e.rejected_reason for e in observed.effects),
         "refused_late": sum(bool(e.rejected_reason) for e in observed.effects),
         "writes_acked": sum(w.acked > 0 for w in record.writes),
@@ -132,8 +132,8 @@
             if spec.observers
             else {}
         ),
-        "replaced_s": round(max(gaps), 3) if gaps else 0.0,
-        **more,
+        "replaced_s": round(max(replacement_times), 3) if replacement_times else 0.0,
+        **zone_figures,
     }
     return CheckResult(sorted(violations, key=lambda b: b.at), figures)
 
@@ -158,9 +158,9 @@
             )
         else:
             highest[(e.receiver, e.lease)] = (e.token, e.sender, e.at)
-        first = owner.setdefault((e.lease, e.token), e.sender)
-        if first != e.sender:
-            description = f"{e.lease} token {e.token} came from {first} and from {e.sender}"
+        first_sender = owner.setdefault((e.lease, e.token), e.sender)
+        if first_sender != e.sender:
+            description = f"{e.lease} token {e.token} came from {first_sender} and from {e.sender}"
             found.append(Violation("one owner", e.at, description))
     return found
 
@@ -327,7 +327,7 @@
 
 def _replacement_times(observed: Observations, record: RunRecord) -> list[float]:
     """Seconds from each stop or kill of an owner to the first accepted effect with a newer token."""
-    gaps = []
+    replacement_times = []
     for lease, at in record.owner_faults:
         before = [
             e for e in observed.effects if e.lease == lease and e.at <= at and not e.rejected_reason
@@ -339,8 +339,8 @@
                 for e in observed.effects
                 if e.lease == lease and e.at > at and not e.rejected_reason
             )
-            gaps += [e.at - at for e in rest if e.token > old.token][:1]
-    return gaps
+            replacement_times += [e.at - at for e in rest if e.token > old.token][:1]
+    return replacement_times
 
 
 def _check_expectations(
--- a/mothstall/lab/fleetplay.py
+++ b/mothstall/lab/fleetplay.py
@@ -119,7 +119,7 @@
         }
         self.lists: dict[str, standins.StandInDiscovery] = {}
         self.clients: dict[str, standins.StandInClients] = {}
-        self.labelled: dict[str, list[str]] = {}  # what earlier faults selected
+        self.selections: dict[str, list[str]] = {}  # what earlier faults selected
         self.store: KeeperClient | None = None
         # Replaced when the run begins; events before that get negative times.
         self.began = self.loop.time() + START_OFFSET_S
@@ -216,8 +216,8 @@
             for backend in self.backends.values():
                 await backend.listen(proxy)
                 await self.mesh.add(proxy, backend.name, partial(_port_of_backend, backend, proxy))
-            one = self.lists[proxy] = standins.StandInDiscovery(partial(self._endpoint_rows, proxy))
-            await one.start()
+            service = self.lists[proxy] = standins.StandInDiscovery(partial(self._endpoints, proxy))
+            await service.start()
         await asyncio.gather(*(self._start_proxy(name) for name in self.proxies))
         operator = parse_operator_file(self._operator_tree("lab", self._addresses("lab")))
         self.operator: OperatorConfig = operator
@@ -264,10 +264,10 @@
         path.write_text(as_toml(self._operator_tree(name, self._addresses(name))), encoding="utf-8")
         await self.proxies[name].start(self._proxy_config(name))
 
-    def _endpoint_rows(self, proxy: str) -> list[dict[str, object]]:
+    def _endpoints(self, proxy: str) -> list[dict[str, object]]:
         wall, now = time.time(), self.now()
 
-        def up(backend: standins.StandInBackend) -> int:
+        def up_since_ms(backend: standins.StandInBackend) -> int:
             return int((wall - (120 if backend.started is None else now - backend.started)) * 1000)
 
         return [
@@ -279,7 +279,7 @@
                 "cell": 0,
                 "phase": "SERVING",
                 "size": 1.0,
-                "up_since_ms": up(backend),
+                "up_since_ms": up_since_ms(backend),
             }
             for name, backend in self.backends.items()
         ]
@@ -413,10 +413,10 @@
             try:
                 if not token or self.now() - renewed > self.spec.lease_term / 3e9:
                     renewed = self.now()
-                    taken = await store.propose(
+                    lease = await store.propose(
                         AcquireLease(LAB_LEASE, "lab", self.spec.lease_term // 1_000_000), 8.0
                     )
-                    token = 0 if taken.rejected_reason else taken.token
+                    token = 0 if lease.rejected_reason else lease.token
                     continue
                 value += 1
                 sent, row = (
@@ -424,8 +424,8 @@
                     PutValue(LAB_LEASE, token, LAB_KEY, value.to_bytes(8, "big")),
                 )
                 self.record.writes.append(fleetjudge.WriteRecord(value, sent, 0.0))
-                done = await store.propose(row, 8.0)
-                if done.rejected_reason:
+                result = await store.propose(row, 8.0)
+                if result.rejected_reason:
                     token = 0
                 else:
                     self.record.writes.append(fleetjudge.WriteRecord(value, sent, self.now()))
@@ -477,12 +477,12 @@
         await self.mesh.close()
         for backend in self.backends.values():
             await backend.close()
-        for one in self.lists.values():
-            one.close()
+        for service in self.lists.values():
+            service.close()
 
     # Faults
 
-    async def _resolve(self, text: str) -> list[str]:
+    async def _resolve(self, selector: str) -> list[str]:
         keepers = [name for name in self.keepers if name not in self.removed]
         groups = {
             "keepers": keepers,
@@ -490,40 +490,40 @@
             "proxies": list(self.proxies),
             "boxes": list(self.backends),
         }
-        if text in groups:
-            return groups[text]
-        if re.fullmatch(r"z\d(\.\w+)?", text):
-            zone, _, group = text.partition(".")
-            some = groups[group] if group else [name for rows in groups.values() for name in rows]
-            return [name for name in some if self.zone(name) == zone]
-        if text.startswith("@"):
-            return self.labelled.get(text[1:], [])
-        if text.startswith("any-"):
-            key = {"any-keeper": "keepers", "any-proxy": "proxies", "any-box": "boxes"}[text]
+        if selector in groups:
+            return groups[selector]
+        if re.fullmatch(r"z\d(\.\w+)?", selector):
+            zone, _, group = selector.partition(".")
+            names = groups[group] if group else [name for rows in groups.values() for name in rows]
+            return [name for name in names if self.zone(name) == zone]
+        if selector.startswith("@"):
+            return self.selections.get(selector[1:], [])
+        if selector.startswith("any-"):
+            key = {"any-keeper": "keepers", "any-proxy": "proxies", "any-box": "boxes"}[selector]
             return [self.rng.choice(groups[key])]
-        if text in ("leader", "followers"):
+        if selector in ("leader", "followers"):
             leader = await self._find_leader()
-            return [k for k in keepers if (k == leader) == (text == "leader")]
-        if ":" in text:
-            kind, _, lease = text.partition(":")
+            return [k for k in keepers if (k == leader) == (selector == "leader")]
+        if ":" in selector:
+            kind, _, lease = selector.partition(":")
             owner = await self._find_owner(lease)
             return [p for p in self.proxies if (p == owner) == (kind == "owner")]
-        return [text]
+        return [selector]
 
     async def _find_leader(self) -> str:
         """The leader that most keepers report; used only to select the target of a fault, never in checks."""
         leaders: list[str] = []
         for name in [n for n in self.keepers if n not in self.removed]:
-            one = KeeperClient(
+            client = KeeperClient(
                 self.operator, "lab", PeerRole.TOOL, loop=self.loop, only_keeper=name
             )
             with contextlib.suppress(KeeperUnavailableError):
                 leaders.append(
-                    json.loads((await one.send_admin_command(AdminVerb.STATUS, "", 1.0)).body)[
+                    json.loads((await client.send_admin_command(AdminVerb.STATUS, "", 1.0)).body)[
                         "leader"
                     ]
                 )
-            await one.close()
+            await client.close()
         return max(set(leaders), key=leaders.count) if leaders else ""
 
     async def _find_owner(self, lease: str) -> str:
@@ -536,17 +536,17 @@
     def _process(self, name: str) -> ServeProcess:
         return {**self.keepers, **self.observers, **self.proxies}[name]
 
-    def _defer(self, wait_ns: int, coroutine: Any) -> None:
+    def _defer(self, wait_ns: int, function: Any) -> None:
         async def run() -> None:
             await asyncio.sleep(wait_ns / 1e9)
-            await coroutine()
+            await function()
 
         self._spawn(run())
 
     async def _inject(self, fault: fleet.Fault) -> None:
         who = await self._resolve(fault.who) if hasattr(fault, "who") else []
         if fault.label:
-            self.labelled[fault.label] = who
+            self.selections[fault.label] = who
         at = self.now()
         self.record.add_fault(at, getattr(fault, "duration", getattr(fault, "downtime", 0)) / 1e9)
         if isinstance(fault, fleet.Stop | fleet.Kill | fleet.OldDisk | fleet.BitFlip):
@@ -584,8 +584,8 @@
             for name in who:
                 self.backends[name].started = at
                 self.record.restarted_backends.append((name, at))
-            for one in self.lists.values():
-                one.publish()
+            for service in self.lists.values():
+                service.publish()
         elif isinstance(fault, fleet.OperatorCall):
             await self._run_operator_call(fault)
 
@@ -715,13 +715,13 @@
                     )
                 ).rejected_reason
             else:
-                one = KeeperClient(self.operator, "lab-ops", PeerRole.TOOL, loop=self.loop)
+                client = KeeperClient(self.operator, "lab-ops", PeerRole.TOOL, loop=self.loop)
                 try:
                     failure = (
-                        await one.propose(change, 4.0, wait_for_quorum=fault.at >= 0)
+                        await client.propose(change, 4.0, wait_for_quorum=fault.at >= 0)
                     ).rejected_reason
                 finally:
-                    await one.close()
+                    await client.close()
             if not failure:
                 self._record_drain(fault, name)
             return failure
@@ -743,13 +743,13 @@
         for _ in range(20):
             leader = await self._find_leader()
             if leader:
-                one = KeeperClient(
+                client = KeeperClient(
                     self.operator, "lab", PeerRole.TOOL, loop=self.loop, only_keeper=leader
                 )
                 try:
-                    response = await one.send_admin_command(fault.verb, who[0], 1.0)
+                    response = await client.send_admin_command(fault.verb, who[0], 1.0)
                 finally:
-                    await one.close()
+                    await client.close()
                 if not response.rejected_reason and fault.verb == "remove":
                     self.removed.add(who[0])
                 elif not response.rejected_reason and fault.verb == "add":
@@ -776,11 +776,11 @@
 
     async def _watch_forwarded_drain(self, backend: str) -> None:
         """Polls until the store has a drain that was set at one proxy; from then on it binds all proxies."""
-        one = KeeperClient(self.operator, "lab-look", PeerRole.TOOL, loop=self.loop)
+        client = KeeperClient(self.operator, "lab-look", PeerRole.TOOL, loop=self.loop)
         try:
             while True:
                 with contextlib.suppress(KeeperUnavailableError):
-                    if f"box:{backend}" in (await one.read_state(2.0)).drains:
+                    if f"box:{backend}" in (await client.read_state(2.0)).drains:
                         self.record.drains.append(
                             fleetjudge.DrainRecord(backend, "", self.now(), float("inf"))
                         )
@@ -788,7 +788,7 @@
                         return
                 await asyncio.sleep(0.2)
         finally:
-            await one.close()
+            await client.close()
 
 
 def _port_of_backend(backend: standins.StandInBackend, proxy: str) -> int:
--- a/mothstall/lab/planbench.py
+++ b/mothstall/lab/planbench.py
@@ -86,11 +86,11 @@
     planner_cpu_s, plan_sizes = _run_planner(reports_by_round)
     counters = ZoneCounters("p", names[0], CLASSES, [300_000_000] * len(CLASSES))
 
-    def attempts() -> None:
+    def record_attempts() -> None:
         for _ in range(10_000):
             counters.record_attempt(names[0], 1, AttemptResult.OK, 20_000_000, 0.5)
 
-    attempts_s = _median_s(attempts, 5)
+    attempts_s = _median_s(record_attempts, 5)
     decode_s = _median_s(lambda: [decode_report(row) for row in reports_by_round[0]], 5) / proxies
     encode_s = _median_s(lambda: msgspec.msgpack.encode(make_report(0, 1)), 50)
     planner_s = statistics.median(planner_cpu_s)
@@ -123,20 +123,20 @@
             for i in range(proxies)
         ]
         rows: list[bytes] = []
-        for at, observer in enumerate(observers):
+        for index, observer in enumerate(observers):
             # Proxy i is in zone i % zones and attached to one of the observers of that zone.
             attached = [
                 row
                 for i, row in enumerate(reports)
-                if i % zones == at % zones and i // zones % observers_per_zone == at // zones
+                if i % zones == index % zones and i // zones % observers_per_zone == index // zones
             ]
             began = time.process_time()
             for name, data in attached:
                 if not observer.add(name, data):
                     raise ValueError(f"{name}: report rejected")
-            counters = [encode_report(row) for row in observer.flush()]
+            aggregates = [encode_report(row) for row in observer.flush()]
             aggregation_cpu_s.append(time.process_time() - began)
-            rows += counters
+            rows += aggregates
         reports_by_round.append(rows)
     decode_s = _median_s(lambda: [decode_report(row) for row in reports_by_round[-1]], 5)
     planner_cpu_s, _ = _run_planner(reports_by_round)
--- a/mothstall/lab/standins.py
+++ b/mothstall/lab/standins.py
@@ -212,9 +212,9 @@
                         with contextlib.suppress(TimeoutError):
                             await asyncio.wait_for(changed.wait(), wait_s)
                         self._wait_ends.pop(number, None)
-                    has_news = known_revision < self._revision
-                    members = self._members() if has_news else []
-                    body = {"revision": self._revision, "complete": has_news, "members": members}
+                    has_changed = known_revision < self._revision
+                    members = self._members() if has_changed else []
+                    body = {"revision": self._revision, "complete": has_changed, "members": members}
                     if number > self._silent_up_to:
                         writer.write(wire.answer(200, json.dumps(body).encode()))
                 await writer.drain()
@@ -268,7 +268,7 @@
 
     async def _send_request(self) -> None:
         self._request_count += 1
-        number = (zlib.crc32(self.proxy.encode()) & 0xFFFF) << 32 | self._request_count
+        transaction_id = (zlib.crc32(self.proxy.encode()) & 0xFFFF) << 32 | self._request_count
         began, status = self._now(), 0
         try:
             async with asyncio.timeout(2.0):
@@ -277,7 +277,7 @@
                 else:
                     reader, writer = await asyncio.open_connection("127.0.0.1", self._port())
                 writer.write(
-                    f"GET /ask HTTP/1.1\r\nHost: lab\r\nX-Txn: {number:016x}\r\nX-Lane: ask\r\n"
+                    f"GET /ask HTTP/1.1\r\nHost: lab\r\nX-Txn: {transaction_id:016x}\r\nX-Lane: ask\r\n"
                     "X-Remaining: 1500m\r\n\r\n".encode()
                 )
                 messages = wire.Reader()
