--- a/mothstall/lab/fleetjudge.py
+++ b/mothstall/lab/fleetjudge.py
@@ -12,8 +12,8 @@
 
 PROXY_DRAIN_S = 0.5  # time in which a drain set at a proxy takes effect there
 STORE_DRAIN_S = 1.0  # added for a drain set in the store to reach connected proxies
-WINDOW_S = 3.0  # a healthy backend must get a request in each window of this length
-PROBE_SLACK = 2  # of the planned probe rate, in any second
+WINDOW_S = 3.0  # length of the windows in which at most one healthy backend may be idle
+PROBE_SLACK = 2  # highest allowed multiple of the planned probe rate, in any second
 
 
 @dataclass(slots=True, frozen=True)
--- a/mothstall/lab/zonejudge.py
+++ b/mothstall/lab/zonejudge.py
@@ -19,9 +19,8 @@
 # before the fault, over RESTORED_FOR_S.
 RESTORED_FRACTION = 0.95
 RESTORED_FOR_S = 2.0
-CROSSING_TOLERANCE = (
-    0.05  # accepted rise of the cross-zone fraction over its value before the fault
-)
+# Accepted rise of the cross-zone fraction over its value before the fault.
+CROSSING_TOLERANCE = 0.05
 OVERLOAD_RATIO = 1.1  # of a zone's capacity
 MAX_OVERLOAD_S = 1.0  # a zone may be above OVERLOAD_RATIO for at most this long
 
