--- a/mothstall/lab/linear.py
+++ b/mothstall/lab/linear.py
@@ -1,7 +1,7 @@
-"""Whether a history of one register is linear: an order explains what each operation was told. Pure.
+"""A linearizability checker for histories of one register. Pure.
 
-The search of Wing and Gong (1993), with what was seen kept (Lowe, 2017). An operation whose end nobody saw
-may have taken effect at any time after its begin, or never.
+The search of Wing and Gong (1993) with a cache of visited states (Lowe, 2017). An operation without an
+observed response may have taken effect at any time after its start, or never.
 """
 
 from __future__ import annotations
@@ -9,47 +9,50 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-NEVER = 1 << 62
+NEVER_ENDED = 1 << 62
 
 
 @dataclass(slots=True, frozen=True)
-class Op:
+class Operation:
     began: int
-    ended: int  # NEVER: nobody saw it end
-    writes: bool
-    value: int  # written, or read; 0: nothing was there
+    ended: int  # NEVER_ENDED: no response was observed
+    is_write: bool
+    value: int  # written or read; 0: the register was empty
 
 
-MOST = 100_000  # places looked at; a history that is not linear, with many open ends, has far more
+# States visited; a history that is not linearizable and has many pending operations has far more.
+MAX_STATES = 100_000
 
 
-def linear(ops: Sequence[Op], most: int = MOST) -> bool | None:
-    """Whether the operations can be put in an order that their times allow and their values explain.
+def is_linearizable(ops: Sequence[Operation], max_states: int = MAX_STATES) -> bool | None:
+    """Whether an order of the operations is consistent with both their times and their values.
 
-    None: not decided within `most` places.
+    None: not decided within `max_states` states.
     """
-    rows = sorted((op for op in ops if op.writes or op.ended < NEVER), key=lambda op: op.began)
-    whole = (1 << len(rows)) - 1
-    must = sum(1 << i for i, op in enumerate(rows) if op.ended < NEVER)
+    rows = sorted(
+        (op for op in ops if op.is_write or op.ended < NEVER_ENDED), key=lambda op: op.began
+    )
+    all_mask = (1 << len(rows)) - 1
+    ended_mask = sum(1 << i for i, op in enumerate(rows) if op.ended < NEVER_ENDED)
     stack = [(0, 0)]
-    met: set[tuple[int, int]] = set()
+    visited: set[tuple[int, int]] = set()
     while stack:
-        done, value = stack.pop()
-        if done & must == must:
+        done_mask, value = stack.pop()
+        if done_mask & ended_mask == ended_mask:
             return True
-        if (done, value) in met:
+        if (done_mask, value) in visited:
             continue
-        if len(met) >= most:
+        if len(visited) >= max_states:
             return None
-        met.add((done, value))
-        first = min(op.ended for i, op in enumerate(rows) if not done >> i & 1)
+        visited.add((done_mask, value))
+        earliest_end = min(op.ended for i, op in enumerate(rows) if not done_mask >> i & 1)
         for i, op in enumerate(rows):
-            if op.began > first:
+            if op.began > earliest_end:
                 break
-            if done >> i & 1:
+            if done_mask >> i & 1:
                 continue
-            if op.writes:
-                stack.append((done | 1 << i, op.value))
+            if op.is_write:
+                stack.append((done_mask | 1 << i, op.value))
             elif op.value == value:
-                stack.append((done | 1 << i, value))
-    return not whole
+                stack.append((done_mask | 1 << i, value))
+    return not all_mask
--- a/mothstall/lab/standins.py
+++ b/mothstall/lab/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for runs of a fleet: boxes that keep fences, the list, clients."""
+"""Stand-in backends that check fencing tokens, discovery service and clients, all on loopback."""
 
 from __future__ import annotations
 
@@ -13,40 +13,38 @@
 from mothstall.fleet.leases.fencing import FencingTokens
 from mothstall.lab import wire
 
-MAX_SEEN = 500_000
+MAX_RECORDS = 500_000
 CORES = 2
-COLD_S, COLD_FROM = (
-    5.0,
-    0.2,
-)  # how long a box is cold after its start, and the part that it bears at first
-QUEUE_S = 1.0  # a box turns away what would wait longer
-FULL = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+# Duration of the warm-up after a start, and the fraction of its capacity that a backend has at first.
+WARM_UP_S, INITIAL_WARMTH = 5.0, 0.2
+MAX_QUEUE_WAIT_S = 1.0  # a backend rejects requests that would wait longer
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 @dataclass(slots=True, frozen=True)
-class Effect:
-    """An act under a lease as its receiver saw it."""
+class EffectRecord:
+    """An effect under a lease (a probe with a fencing token), as recorded by its receiver."""
 
-    at: float  # seconds since the run's begin
+    at: float  # seconds since the begin of the run
     receiver: str
-    sender: str  # whose link it came by
+    sender: str  # the process whose link it arrived on
     lease: str
     token: int
-    refused: str  # the reason; empty: it was taken
+    rejected_reason: str  # empty: accepted
 
 
 @dataclass(slots=True, frozen=True)
-class Served:
-    """A client's request as a box saw it."""
+class BackendRequestRecord:
+    """A client's request, as recorded by a backend."""
 
     at: float
-    box: str
+    backend: str
     proxy: str
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """A client's request as the client saw it. `status` 0: no answer came."""
+class ClientRequestRecord:
+    """A client's request, as recorded by the client. `status` 0: no response."""
 
     at: float
     proxy: str
@@ -55,45 +53,46 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """All that receivers saw; the judge reads nothing else of what proxies and keepers do."""
+class Observations:
+    """Everything recorded at backends and clients; the checks use no other account of the processes."""
 
-    effects: list[Effect] = field(default_factory=list)
-    served: list[Served] = field(default_factory=list)
-    asked: list[Asked] = field(default_factory=list)
+    effects: list[EffectRecord] = field(default_factory=list)
+    backend_requests: list[BackendRequestRecord] = field(default_factory=list)
+    client_requests: list[ClientRequestRecord] = field(default_factory=list)
 
 
 def warmth(started: float | None, now: float) -> float:
-    """The part of what it bears warm that a box bears now."""
-    if started is None or now >= started + COLD_S:
+    """The fraction of its warm capacity that a backend has at `now`."""
+    if started is None or now >= started + WARM_UP_S:
         return 1.0
-    return COLD_FROM + (1.0 - COLD_FROM) * max(0.0, now - started) / COLD_S
+    return INITIAL_WARMTH + (1.0 - INITIAL_WARMTH) * max(0.0, now - started) / WARM_UP_S
 
 
-class BoxStandIn:
-    """A web box that keeps the highest token of each lease. One listener for each proxy.
+class StandInBackend:
+    """An HTTP backend that tracks the highest fencing token of each lease. One listener for each proxy.
 
-    `bears`: requests a second that it works off, two at a time, the others in a queue; 0: all, at once.
+    `capacity`: requests a second, served two at a time from a queue; 0: unlimited, without delay.
+    `fenced` False: effects with an older token are accepted.
     """
 
     def __init__(
         self,
         name: str,
-        seen: Seen,
+        observed: Observations,
         now: Callable[[], float],
         *,
-        keeps_tokens: bool = True,
-        bears: float = 0.0,
+        fenced: bool = True,
+        capacity: float = 0.0,
     ) -> None:
-        self.name, self.seen, self._now = name, seen, now
-        self._work_s = CORES / bears if bears else 0.0
-        self._free = [0.0] * CORES  # when each core is done with what it has
+        self.name, self.observed, self._now = name, observed, now
+        self._service_time_s = CORES / capacity if capacity else 0.0
+        self._core_free_at = [0.0] * CORES  # when each core finishes its assigned requests
         self._rng = random.Random(name)
-        self.slow_s, self.slow_part = 0.0, 0.0
-        self.started: float | None = None  # when it began anew, cold; None: long ago
-        self.fence = FencingTokens(is_enforced=keeps_tokens)
+        self.slow_s, self.slow_fraction = 0.0, 0.0
+        self.started: float | None = None  # time of the last restart, cold; None: long ago
+        self.fencing_tokens = FencingTokens(is_enforced=fenced)
         self.ports: dict[str, int] = {}
-        self.ill = False  # fails its probes and its requests
+        self.is_failing = False  # answers probes and requests with status 500
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, proxy: str) -> None:
@@ -110,51 +109,55 @@
         try:
             while data := await reader.read(65536):
                 for message in messages.feed(data):
-                    answer, wait_s = self._answer(proxy, message), 0.0
+                    response, wait_s = self._respond(proxy, message), 0.0
                     if b"x-fence" not in message.headers:
-                        wait_s = self._takes()
-                    if wait_s > QUEUE_S:
-                        answer = FULL
+                        wait_s = self._schedule_response()
+                    if wait_s > MAX_QUEUE_WAIT_S:
+                        response = OVERLOADED_RESPONSE
                     elif wait_s:
                         await asyncio.sleep(wait_s)
-                    writer.write(answer)
+                    writer.write(response)
                 await writer.drain()
         except (wire.Malformed, OSError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
 
-    def _takes(self) -> float:
-        """Seconds until a request that comes now is answered; what would wait too long is turned away."""
+    def _schedule_response(self) -> float:
+        """Seconds until a request that arrives now is answered. Reserves a core unless the wait is too long."""
         now = self._now()
-        more = self.slow_s if self._rng.random() < self.slow_part else 0.0
-        if not self._work_s:
-            return more
-        core = self._free.index(min(self._free))
-        ends = max(now, self._free[core]) + self._work_s / warmth(self.started, now)
-        if ends - now <= QUEUE_S:
-            self._free[core] = ends
-        return ends - now + more
-
-    def _answer(self, proxy: str, message: wire.Message) -> bytes:
-        fence = message.headers.get(b"x-fence")
-        if fence is not None:
-            name, _, token = fence.decode("ascii", "replace").partition(";")
+        added_s = self.slow_s if self._rng.random() < self.slow_fraction else 0.0
+        if not self._service_time_s:
+            return added_s
+        core = self._core_free_at.index(min(self._core_free_at))
+        done_at = max(now, self._core_free_at[core]) + self._service_time_s / warmth(
+            self.started, now
+        )
+        if done_at - now <= MAX_QUEUE_WAIT_S:
+            self._core_free_at[core] = done_at
+        return done_at - now + added_s
+
+    def _respond(self, proxy: str, message: wire.Message) -> bytes:
+        fence_header = message.headers.get(b"x-fence")
+        if fence_header is not None:
+            name, _, token = fence_header.decode("ascii", "replace").partition(";")
             if not token.isdigit():
-                raise wire.Malformed("a token that is no number")
-            refused = self.fence.admit(name, int(token))
-            if len(self.seen.effects) < MAX_SEEN:
-                self.seen.effects.append(
-                    Effect(self._now(), self.name, proxy, name, int(token), refused)
+                raise wire.Malformed("fencing token is not a number")
+            rejected_reason = self.fencing_tokens.admit(name, int(token))
+            if len(self.observed.effects) < MAX_RECORDS:
+                self.observed.effects.append(
+                    EffectRecord(self._now(), self.name, proxy, name, int(token), rejected_reason)
                 )
-            if refused:
-                return wire.answer(412, refused.encode() + b"\n")
-            return wire.answer(500 if self.ill else 200, b"fine\n")
+            if rejected_reason:
+                return wire.answer(412, rejected_reason.encode() + b"\n")
+            return wire.answer(500 if self.is_failing else 200, b"fine\n")
         if message.line.split(b" ")[1:2] == [b"/health"]:
-            return wire.answer(500 if self.ill else 200, b"fine\n")
-        if len(self.seen.served) < MAX_SEEN:
-            self.seen.served.append(Served(self._now(), self.name, proxy))
-        if self.ill:
+            return wire.answer(500 if self.is_failing else 200, b"fine\n")
+        if len(self.observed.backend_requests) < MAX_RECORDS:
+            self.observed.backend_requests.append(
+                BackendRequestRecord(self._now(), self.name, proxy)
+            )
+        if self.is_failing:
             return wire.answer(500, b"ill\n")
         return wire.answer(200, wire.served(wire.txn(message)))
 
@@ -163,28 +166,30 @@
             server.close()
 
 
-class ListStandIn:
-    """The service that lists boxes, for one proxy. `tell` makes its next list known to who waits."""
+class StandInDiscovery:
+    """The discovery service of one proxy. `publish` raises the revision and wakes waiting calls."""
 
     def __init__(self, members: Callable[[], list[dict[str, object]]]) -> None:
         self._members = members
         self.port = 0
         self._revision = 1
-        self._told = asyncio.Event()
+        self._changed = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self._connections = 0  # so far
-        self._silent_up_to = 0  # connections up to this one get no answer any more
-        self._wait_ends: dict[int, float] = {}  # of the calls that wait, on the loop's clock
+        self._connections = 0  # accepted so far
+        self._silent_up_to = 0  # connections up to this number get no further response
+        self._wait_ends: dict[
+            int, float
+        ] = {}  # of waiting calls, on the loop's clock, by connection number
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def silence(self) -> float:
-        """Let the open connections fall silent: they stay open, and no answer comes on them.
+        """Stop responding on the open connections, which stay open.
 
         Returns:
-            Seconds until the last of the waits that are silent now would have been over.
+            Seconds until the last wait on these connections would have timed out.
         """
         self._silent_up_to = self._connections
         now = asyncio.get_running_loop().time()
@@ -198,20 +203,20 @@
             while data := await reader.read(65536):
                 for message in messages.feed(data):
                     query = message.line.split(b" ")[1].partition(b"?")[2].decode()
-                    words = dict(pair.partition("=")[::2] for pair in query.split("&"))
-                    since = int(words.get("since") or 0)
-                    told = self._told
-                    if since >= self._revision:
-                        wait_s = min(60.0, int(words.get("timeout_ms") or 0) / 1000)
+                    parameters = dict(pair.partition("=")[::2] for pair in query.split("&"))
+                    known_revision = int(parameters.get("since") or 0)
+                    changed = self._changed
+                    if known_revision >= self._revision:
+                        wait_s = min(60.0, int(parameters.get("timeout_ms") or 0) / 1000)
                         self._wait_ends[number] = asyncio.get_running_loop().time() + wait_s
                         with contextlib.suppress(TimeoutError):
-                            await asyncio.wait_for(told.wait(), wait_s)
+                            await asyncio.wait_for(changed.wait(), wait_s)
                         self._wait_ends.pop(number, None)
-                    news = since < self._revision
-                    members = self._members() if news else []
-                    tree = {"revision": self._revision, "complete": news, "members": members}
+                    has_changed = known_revision < self._revision
+                    members = self._members() if has_changed else []
+                    body = {"revision": self._revision, "complete": has_changed, "members": members}
                     if number > self._silent_up_to:
-                        writer.write(wire.answer(200, json.dumps(tree).encode()))
+                        writer.write(wire.answer(200, json.dumps(body).encode()))
                 await writer.drain()
         except (wire.Malformed, OSError, ValueError, IndexError, asyncio.CancelledError):
             pass
@@ -219,24 +224,35 @@
             self._wait_ends.pop(number, None)
             writer.close()
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         self._revision += 1
-        self._told.set()
-        self._told = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     def close(self) -> None:
         if self._server:
             self._server.close()
 
 
-class ClientStandIn:
-    """Clients of one proxy: a steady rate of requests, each on a connection kept while it lasts."""
+class StandInClients:
+    """Clients of one proxy: requests at a constant rate over reused connections."""
 
     def __init__(
-        self, proxy: str, rate: float, seen: Seen, now: Callable[[], float], port: Callable[[], int]
+        self,
+        proxy: str,
+        rate: float,
+        observed: Observations,
+        now: Callable[[], float],
+        port: Callable[[], int],
     ) -> None:
-        self.proxy, self.rate, self.seen, self._now, self._port = proxy, rate, seen, now, port
-        self._number = 0
+        self.proxy, self.rate, self.observed, self._now, self._port = (
+            proxy,
+            rate,
+            observed,
+            now,
+            port,
+        )
+        self._request_count = 0
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -246,13 +262,13 @@
             due = max(due + 1.0 / self.rate, self._now() - 0.2)
             await asyncio.sleep(max(0.0, due - self._now()))
             if len(self._tasks) < 200:
-                task = asyncio.get_running_loop().create_task(self._ask())
+                task = asyncio.get_running_loop().create_task(self._send_request())
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self) -> None:
-        self._number += 1
-        number = (zlib.crc32(self.proxy.encode()) & 0xFFFF) << 32 | self._number
+    async def _send_request(self) -> None:
+        self._request_count += 1
+        transaction_id = (zlib.crc32(self.proxy.encode()) & 0xFFFF) << 32 | self._request_count
         began, status = self._now(), 0
         try:
             async with asyncio.timeout(2.0):
@@ -261,7 +277,7 @@
                 else:
                     reader, writer = await asyncio.open_connection("127.0.0.1", self._port())
                 writer.write(
-                    f"GET /ask HTTP/1.1\r\nHost: lab\r\nX-Txn: {number:016x}\r\nX-Lane: ask\r\n"
+                    f"GET /ask HTTP/1.1\r\nHost: lab\r\nX-Txn: {transaction_id:016x}\r\nX-Lane: ask\r\n"
                     "X-Remaining: 1500m\r\n\r\n".encode()
                 )
                 messages = wire.Reader()
@@ -277,11 +293,13 @@
                     writer.close()
         except (OSError, TimeoutError, wire.Malformed, ValueError):
             pass
-        if len(self.seen.asked) < MAX_SEEN:
-            self.seen.asked.append(Asked(began, self.proxy, status, self._now() - began))
+        if len(self.observed.client_requests) < MAX_RECORDS:
+            self.observed.client_requests.append(
+                ClientRequestRecord(began, self.proxy, status, self._now() - began)
+            )
 
-    def forget(self) -> None:
-        """Its proxy is another process now."""
+    def close_idle_connections(self) -> None:
+        """Close the idle connections; used when the proxy is restarted."""
         for _, writer in self._idle:
             writer.close()
         self._idle.clear()
@@ -289,4 +307,4 @@
     def close(self) -> None:
         for task in self._tasks:
             task.cancel()
-        self.forget()
+        self.close_idle_connections()
