--- a/mothstall/lab/command.py
+++ b/mothstall/lab/command.py
@@ -1,4 +1,7 @@
-"""`mothstall lab`: list, run, compare and bench. Exit codes: 0 done, 2 bad input, 3 a rule was broken."""
+"""`mothstall lab`: runs, comparisons and benchmarks of simulated and real fleets.
+
+Exit codes: 0 done, 1 the run could not be finished, 2 bad input, 3 a rule was broken.
+"""
 
 from __future__ import annotations
 
@@ -19,76 +22,78 @@
     parser = argparse.ArgumentParser(
         prog="mothstall lab",
         epilog=EPILOG,
-        description="Plays fleets and their troubles, and judges.",
+        description="Runs fleets with injected troubles and judges the results.",
     )
     commands = parser.add_subparsers(dest="command", metavar="COMMAND", required=True)
     listing = commands.add_parser(
         "list", help="the shipped scenarios and the policies", epilog=EPILOG
     )
     listing.add_argument("--json", action="store_true", help="as JSON on standard output")
-    run = commands.add_parser("run", help="play one scenario and judge it", epilog=EPILOG)
+    run = commands.add_parser("run", help="run one scenario and judge it", epilog=EPILOG)
     run.add_argument("scenario", help="a shipped name, or the path of a .toml file")
     run.add_argument("--driver", choices=("virtual", "sockets"), default="virtual")
     run.add_argument(
-        "--policy", default="module", help="see `lab list`; the sockets driver plays the module"
+        "--policy", default="module", help="see `lab list`; the sockets driver only runs the module"
     )
     run.add_argument("--seed", type=int, default=1)
-    run.add_argument("--seconds", type=float, help="in place of the scenario's")
+    run.add_argument("--seconds", type=float, help="duration, in place of the scenario's")
     run.add_argument(
-        "--json", metavar="FILE", help="figures and breaches as JSON; - for standard output"
+        "--json", metavar="FILE", help="write figures and breaches as JSON; - for standard output"
     )
     run.add_argument("--report", metavar="FILE", help="one HTML page with plots")
-    run.add_argument("--live", action="store_true", help="show the fleet while it plays")
+    run.add_argument("--live", action="store_true", help="show the fleet during the run")
     demo = commands.add_parser(
-        "demo", help="three real proxies, a hung box and a deploy, 20 s", epilog=EPILOG
+        "demo", help="three real proxies, a hung backend and a deploy, 20 s", epilog=EPILOG
     )
     demo.add_argument(
         "--report", metavar="FILE", default="found/demo.html", help="default: found/demo.html"
     )
     compare = commands.add_parser(
-        "compare", help="variants in pairs on the same seeds", epilog=EPILOG
+        "compare", help="compare policy variants in pairs on the same seeds", epilog=EPILOG
+    )
+    compare.add_argument(
+        "policy", nargs="+", help="policies; the others are compared with the first"
     )
-    compare.add_argument("policy", nargs="+", help="the first is what the others are held against")
     compare.add_argument(
-        "--scenario", nargs="+", default=["all"], metavar="S", help="names; default: all"
+        "--scenario", nargs="+", default=["all"], metavar="S", help="scenario names; default: all"
     )
     compare.add_argument("--seeds", type=int, default=20, help="pairs; default: 20")
-    compare.add_argument("--seconds", type=float, help="in place of each scenario's")
-    compare.add_argument("--workers", type=int, default=0, help="processes; default: one a core")
+    compare.add_argument("--seconds", type=float, help="duration, in place of each scenario's")
+    compare.add_argument("--workers", type=int, default=0, help="processes; default: one per core")
     compare.add_argument("--measure", choices=("worth", "worst_10s"), default="worth")
-    compare.add_argument("--markdown", action="store_true", help="the table as Markdown")
+    compare.add_argument("--markdown", action="store_true", help="print the table as Markdown")
     compare.add_argument(
-        "--kept", metavar="FILE", help="keep each run there, and go on where it broke off"
+        "--kept",
+        metavar="FILE",
+        help="record finished runs there, and resume an interrupted comparison",
     )
     compare.add_argument(
         "--json", metavar="FILE", help="all figures as JSON; - for standard output"
     )
     bench = commands.add_parser(
-        "bench", help="what one proxy costs a request, and bears", epilog=EPILOG
-    )
-    bench.add_argument("--seconds", type=float, default=5.0, help="a load; default: 5")
-    bench.add_argument(
-        "--rates", type=int, nargs="*", help="requests a second; default: 500 1500 3000"
+        "bench", help="cost per request and maximum load of one proxy", epilog=EPILOG
     )
+    bench.add_argument("--seconds", type=float, default=5.0, help="per load; default: 5")
     bench.add_argument(
-        "--keep", metavar="FOLDER", help="write the figures there, as benchmarks/ holds them"
+        "--rates", type=int, nargs="*", help="requests per second; default: 500 1500 3000"
     )
     bench.add_argument(
-        "--profile", action="store_true", help="where the time of a saturated proxy goes instead"
+        "--keep", metavar="FOLDER", help="write the figures there, in the format of benchmarks/"
     )
+    bench.add_argument("--profile", action="store_true", help="profile a saturated proxy instead")
     bench.add_argument(
-        "--start", action="store_true", help="what a start costs instead, from exec to ready"
+        "--start", action="store_true", help="measure starts instead, from exec to ready"
     )
     bench.add_argument(
         "--sizes", type=int, nargs="+", help="with --start: backends; default: 200 2000 20000"
     )
     bench.add_argument("--repeats", type=int, default=9, help="with --start; default: 9")
     bench.add_argument(
-        "--beside", metavar="FOLDER", help="with --start: another checkout, started in turn"
+        "--beside", metavar="FOLDER", help="with --start: another checkout, started alternately"
     )
     bench.add_argument("--json", metavar="FILE", help="figures as JSON; - for standard output")
     cold = commands.add_parser(
-        "cold", help="what cold boxes get from a whole fleet, against their bound"
+        "cold", help="the load that a fleet sends to cold backends, compared with its bound"
     )
     cold.add_argument(
         "--policy", default="module", help="default: module; rev:REVISION and file:PATH too"
@@ -96,16 +101,16 @@
     cold.add_argument(
         "--proxies", type=int, nargs="+", default=[5, 20, 30, 200], help="default: 5 20 30 200"
     )
-    cold.add_argument("--seeds", type=int, default=200, help="of each size; default: 200")
+    cold.add_argument("--seeds", type=int, default=200, help="per fleet size; default: 200")
     cold.add_argument("--workers", type=int, default=2, help="processes; default: 2")
     commands.add_parser(
         "fleet", help="keepers and proxies as processes; `lab fleet --help`", add_help=False
     )
     commands.add_parser(
-        "scale", help="what grows with the fleet; `lab scale --help`", add_help=False
+        "scale", help="resource use as the fleet grows; `lab scale --help`", add_help=False
     )
     commands.add_parser(
-        "soak", help="signals, breaks and crowds by seed; `lab soak --help`", add_help=False
+        "soak", help="seeded random signals, failures and load; `lab soak --help`", add_help=False
     )
     commands.add_parser("capacity", help="the tables of docs/CAPACITY.md", add_help=False)
     return parser
@@ -138,7 +143,7 @@
         print(f"mothstall: {why}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        # Whoever read our output has enough; nothing more can be flushed to it.
+        # The reader closed the pipe; prevents another error when stdout is flushed at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
@@ -183,7 +188,7 @@
 def _demo(args: argparse.Namespace) -> int:
     s = scenario.load("demo")
     print(
-        f"{s.tries}\nstarting {s.proxies.count} proxies and {s.box_count} web boxes on 127.0.0.1 ..."
+        f"{s.tries}\nstarting {s.proxies.count} proxies and {s.box_count} web backends on 127.0.0.1 ..."
     )
     result = _play(s, "module", 1, "sockets", True)
     _write_report(result, args.report)
@@ -208,7 +213,7 @@
     if args.seeds < 1 or args.workers < 0:
         raise scenario.ScenarioError("--seeds must be 1 or more, --workers 0 or more")
     if len(set(args.policy)) < len(args.policy):
-        raise policies.PolicyError("a variant is named twice")
+        raise policies.PolicyError("a variant is given twice")
     names = scenario.names() if args.scenario == ["all"] else list(dict.fromkeys(args.scenario))
     for name in names:
         scenario.load(name)
@@ -220,7 +225,7 @@
     )
     kept = compare.Kept(Path(args.kept)) if args.kept else None
     with Progress(*columns, console=Console(stderr=True)) as progress:
-        task = progress.add_task("playing", total=len(names) * len(args.policy) * args.seeds)
+        task = progress.add_task("running", total=len(names) * len(args.policy) * args.seeds)
         rows = compare.play(
             names,
             args.policy,
@@ -233,7 +238,7 @@
     if args.json:
         _write_json(args.json, compare.as_json(rows, args.policy, args.seeds))
     if args.json != "-":
-        head = ["scenario", args.policy[0], *(f"{name} less it" for name in args.policy[1:])]
+        head = ["scenario", args.policy[0], *(f"{name} minus it" for name in args.policy[1:])]
         body = compare.cells(rows, args.policy, args.measure)
         if args.markdown:
             print(
@@ -248,7 +253,7 @@
             for line in body:
                 table.add_row(*line)
             Console(width=None if sys.stdout.isatty() else 60 + 36 * len(args.policy)).print(table)
-        print("[low, high]: 95% of the mean difference;  ~ means nothing;  ! broke a rule")
+        print("[low, high]: 95% of the mean difference;  ~ not significant;  ! broke a rule")
     return 3 if any(row.broken for row in rows if row.policy != "careless") else 0
 
 
@@ -267,7 +272,7 @@
         if args.json:
             _write_json(args.json, tree)
         if args.json != "-":
-            print(f"{tree['revision']}, profiled; us a request by where they go")
+            print(f"{tree['revision']}, profiled; us per request by place")
             print("\n".join(f"{us:8.1f}  {place}" for place, us in tree["spent_us"].items()))
         return 0
     folder = Path(args.keep or "benchmarks")
@@ -279,7 +284,7 @@
         print(bench.text(tree, before))
     if args.keep:
         try:
-            print(f"kept in {bench.keep(tree, folder)}", file=sys.stderr)
+            print(f"written to {bench.keep(tree, folder)}", file=sys.stderr)
         except OSError as why:
             raise scenario.ScenarioError(f"--keep {args.keep}: {why.strerror}") from why
     return 0
@@ -293,7 +298,7 @@
     if not 1 <= args.repeats <= 99 or any(not 1 <= size <= 200_000 for size in sizes):
         raise scenario.ScenarioError("--repeats must be 1 to 99, --sizes 1 to 200000")
     if beside and not (beside / "mothstall" / "__main__.py").is_file():
-        raise scenario.ScenarioError(f"--beside {beside}: no checkout of mothstall")
+        raise scenario.ScenarioError(f"--beside {beside}: not a checkout of mothstall")
     tree = start.run(
         sizes, args.repeats, beside, lambda what: print(f"measuring: {what}", file=sys.stderr)
     )
@@ -303,14 +308,14 @@
         print(start.text(tree))
     if args.keep:
         try:
-            print(f"kept in {bench.keep(tree, Path(args.keep))}", file=sys.stderr)
+            print(f"written to {bench.keep(tree, Path(args.keep))}", file=sys.stderr)
         except OSError as why:
             raise scenario.ScenarioError(f"--keep {args.keep}: {why.strerror}") from why
     return 0
 
 
 def _cold(args: argparse.Namespace) -> int:
-    """The table of docs/results.md; 3 where a box got more than its bound."""
+    """Prints the table of docs/results.md; returns 3 if a backend got more than its bound."""
     from concurrent.futures import ProcessPoolExecutor
     from functools import partial
 
--- a/mothstall/lab/compare.py
+++ b/mothstall/lab/compare.py
@@ -1,8 +1,8 @@
-"""Experiments: variants played in pairs on the same seeds, differences with intervals, and what they mean.
+"""Experiments: paired comparison of policy variants on equal seeds, with confidence intervals.
 
-Clients and troubles draw from streams of their own, so two variants with one seed meet the same day; a pair's
-difference holds far less chance than either figure. Intervals are percentile bootstraps over pairs (Efron,
-"Bootstrap methods", 1979), drawn from a seed of their own.
+Clients and troubles draw from separate random streams, so two variants with one seed see the same
+requests and faults, and a paired difference varies far less than either figure. Intervals are
+percentile bootstraps over pairs (Efron, "Bootstrap methods", 1979), drawn with a fixed seed.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 
 DRAWS = 4000
 CONFIDENCE = 0.95
-LEAST_SEEDS = 4  # with fewer pairs no interval is given
-PARENT_S = 1.0  # how often a worker looks whether its parent lives
+LEAST_SEEDS = 4  # with fewer pairs no interval is computed
+PARENT_S = 1.0  # interval at which a worker checks that its parent process is running
 MEASURES = ("worth", "worst_10s")
 
 
 @dataclass(slots=True)
 class Row:
-    """One variant in one scenario, over all seeds; lists run over the seeds in order."""
+    """One variant in one scenario; lists hold one value per seed, in the order of seeds."""
 
     scenario: str
     policy: str
     worth: list[float] = field(default_factory=list)
     worst_10s: list[float] = field(default_factory=list)
-    broken: dict[str, int] = field(default_factory=dict)  # breaches by kind, over all seeds
+    broken: dict[str, int] = field(default_factory=dict)  # breaches per kind, over all seeds
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """A variant less the first one: mean over pairs, and its interval."""
+    """A variant minus the first one: the mean over pairs and its confidence interval."""
 
     mean: float
     low: float
@@ -52,7 +52,7 @@
 
     @property
     def means_nothing(self) -> bool:
-        """Whether nought lies within the interval, or there were too few pairs to tell."""
+        """Whether the interval includes zero; always so with fewer than `LEAST_SEEDS` pairs."""
         return not (self.low > 0 or self.high < 0)
 
     def __str__(self) -> str:
@@ -61,7 +61,7 @@
 
 
 def difference(one: Sequence[float], other: Sequence[float]) -> Difference:
-    """`other` less `one`, pair by pair."""
+    """`other` minus `one`, paired by position."""
     pairs = np.asarray(other) - np.asarray(one)
     mean = float(pairs.mean())
     if len(pairs) < LEAST_SEEDS:
@@ -88,10 +88,10 @@
 
 
 class Kept:
-    """Runs of long experiments, a line each as they end, so that a broken-off one goes on where it was.
+    """File of finished runs, one line each, from which an interrupted experiment resumes.
 
-    A run counts only for the program that made it: its fingerprint is in each line. Lines that cannot be read
-    (the last one, where the machine stopped within it) are left out and played again.
+    Each line holds the fingerprint of the program; lines of another program are ignored. Unreadable
+    lines (such as a last line cut short by a crash) are skipped, and their runs repeated.
     """
 
     def __init__(self, path: Path) -> None:
@@ -118,7 +118,7 @@
 
 
 def fingerprint() -> str:
-    """Of all that a virtual run depends on: the decisions, the lab, its scenarios."""
+    """Hash of the files that a virtual run depends on: the policy, the lab and its scenarios."""
     made = hashlib.blake2b(digest_size=8)
     package = Path(__file__).parents[1]
     for path in sorted(
@@ -138,15 +138,15 @@
     done: Callable[[], object] | None = None,
     kept: Kept | None = None,
 ) -> list[Row]:
-    """All variants in all scenarios with seeds 1 to `seeds`. Raises ScenarioError, PolicyError.
+    """Runs all variants in all scenarios, seeds 1 to `seeds`. Raises ScenarioError, PolicyError.
 
-    `done` is called with each run that ends. Runs share nothing, so the order of their ends does not matter.
+    `done` is called after each run. Runs share no state, so their order does not matter.
     """
     for variant in variants:
         policies.parse(variant)
     rows = {(name, policy): Row(name, policy) for name in names for policy in variants}
     found: dict[tuple[str, str, int], tuple[float, float, dict[str, int]]] = {}
-    # Long ones first, so that no core is left with one at the end.
+    # Longest runs first, so that no single core is busy with one at the end.
     jobs = [
         (n, p, seed)
         for n in sorted(names, key=_length, reverse=True)
@@ -184,7 +184,7 @@
 
 
 def _follow(parent: int) -> None:
-    """Guards against workers left behind for ever when whoever started them was killed."""
+    """Guards against workers that outlive a killed parent: ends this process with its parent."""
 
     def look() -> None:
         while os.getppid() == parent:
@@ -219,9 +219,9 @@
 
 
 def cells(rows: Sequence[Row], variants: Sequence[str], measure: str) -> list[list[str]]:
-    """A table: a scenario a line; the first variant's mean, then each other's difference from it.
+    """Table rows, one per scenario: the first variant's mean, then the others' differences from it.
 
-    A mark `~` says that a difference means nothing, `!` that a rule was broken.
+    `~` marks a difference that is not significant, `!` a broken rule.
     """
     table = []
     by = {(row.scenario, row.policy): row for row in rows}
--- a/mothstall/lab/explore.py
+++ b/mothstall/lab/explore.py
@@ -1,14 +1,14 @@
-"""All that the consensus core can do within small bounds: every order of words, time-outs and crashes. Pure.
+"""Explores all states of the consensus core within small bounds. Pure.
 
-A state is what three replicas hold and the words on their way. From each state every step is taken: one
-word arrives (or never does), one replica's time is up, the leader gets an entry, one replica crashes and
-comes back with its disk. After each step: one leader a term, logs that match, nothing committed that a
-leader lacks.
+A state is the local states of three replicas and the messages in flight. From each state every
+step is taken: one message is delivered (or lost), one election timeout expires, the leader gets an
+entry, one replica crashes and restarts from its disk. Each new state is checked for one leader per
+term, matching logs, and leaders that have all committed entries.
 
-What a replica does with a word hangs on what it holds alone, so each such step is worked out once and kept:
-a state is a few numbers, and the core itself runs a few thousand times for millions of steps. States that
-were met are kept as 64 bits (hash compaction: Stern and Dill, 1996); the odds that two of them share one, and
-that a state is so left out, are told with the result.
+The reaction of a replica to a message depends on its local state alone, so each such step is
+computed once and cached: a state is a few numbers, and the core itself runs a few thousand times
+for millions of steps. Visited states are stored as 64-bit hashes (hash compaction: Stern and Dill,
+1996); the result bounds the probability of a collision, which would leave a state out.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 @dataclass(slots=True, frozen=True)
 class Bounds:
     terms: int = 2
-    entries: int = 2  # that the outside world asks for, over all leaders
+    entries: int = 2  # client entries proposed, over all leaders
     crashes: int = 1
-    candidates: tuple[str, ...] = NAMES  # whose time may be up
+    candidates: tuple[str, ...] = NAMES  # replicas whose election timeout may expire
     ordered: bool = (
-        True  # each link keeps the order of words, and may lose any; else they come in any order
+        True  # links deliver in order and may lose any message; otherwise delivery in any order
     )
-    states: int = 2_000_000  # to give up at
-    batch: int = MAX_BATCH_BYTES  # bytes of entries in a word; 1: one entry each
-    own_term_only: bool = True  # a guard; tests take it out
+    states: int = 2_000_000  # the exploration stops at this number
+    batch: int = MAX_BATCH_BYTES  # bytes of entries in a message; 1 sends one entry per message
+    own_term_only: bool = True  # safeguard of Raft 5.4.2 that tests turn off
 
 
 @dataclass(slots=True)
@@ -54,21 +54,21 @@
     states: int = 0
     steps: int = 0
     leaders: int = 0  # states in which a replica leads
-    committed: int = 0  # states in which an entry of the outside world is committed
-    whole: bool = True  # whether all states within the bounds were seen
+    committed: int = 0  # states in which a client entry is committed
+    whole: bool = True  # whether all states within the bounds were visited
 
     @property
     def missed_odds(self) -> float:
-        """At most so likely did two states share their 64 bits."""
+        """Upper bound of the probability that two states share a 64-bit hash."""
         return self.states**2 / 2.0**65
 
 
 @dataclass(slots=True, frozen=True)
 class _Local:
-    """What one replica holds, by number; `packed` is never stepped itself."""
+    """The local state of one replica; each step runs on a fresh copy unpickled from `packed`."""
 
     packed: bytes
-    at: int  # which replica
+    at: int  # index of the replica in NAMES
     term: int
     role: Role
     log: tuple[tuple[int, bytes], ...]
@@ -77,18 +77,18 @@
 
 _State = tuple[
     tuple[int, int, int], tuple[int, ...], int, int
-]  # replicas, words, entries and crashes left
+]  # local states, messages in flight, entries left, crashes left
 
 
 class _Space:
-    """The steps of single replicas, worked out once each."""
+    """Cache of local states, messages and the steps of single replicas."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.locals: list[_Local] = []
         self.words: list[Message] = []
-        self.to: list[int] = []  # by word, the place of its receiver
-        self.link: list[int] = []  # by word, the link that it goes by
+        self.to: list[int] = []  # by message number, the index of the recipient
+        self.link: list[int] = []  # by message number, the link of sender and recipient
         self._local_ids: dict[object, int] = {}
         self._word_ids: dict[Message, int] = {}
         self._steps: dict[tuple[int, int], tuple[int, tuple[int, ...]]] = {}
@@ -106,7 +106,7 @@
         return made
 
     def settled(self, raft: RaftNode) -> tuple[int, tuple[int, ...]]:
-        """Writes what is to be written: the number of what it then holds, and of what it says."""
+        """Completes all writes. Returns the numbers of the local state and of the messages sent."""
         said: list[int] = []
         while True:
             ready = raft.ready()
@@ -116,7 +116,7 @@
                 return self._known(raft), tuple(said)
 
     def _known(self, raft: RaftNode) -> int:
-        raft.recovery.observed.clear()  # what others promised: heeded only by replicas that are asked at their start
+        raft.recovery.observed.clear()  # used only to answer recovery queries, which are off here
         log = tuple((e.term, e.data) for e in raft.log.entries)
         followers = tuple(
             sorted(
@@ -157,14 +157,14 @@
         return raft
 
     def heard(self, local: int, word: int) -> tuple[int, tuple[int, ...]]:
-        """A replica takes a word."""
+        """Delivers a message to a replica. Returns its new local state and the messages sent."""
         key = (local, word)
         if (found := self._steps.get(key)) is None:
             raft = self._raft(local)
             if isinstance(self.words[word], m.RequestVote):
                 raft.election.elapsed_ticks = (
                     raft.timing.election_ticks
-                )  # time may have gone by; else the word changes nothing
+                )  # otherwise a replica that recently heard from a leader ignores the vote request
             raft.step(self.words[word])
             found = self._steps[key] = self.settled(raft)
         return found
@@ -172,7 +172,7 @@
     def own(
         self, local: int, entries: int, crashes: int
     ) -> list[tuple[int, tuple[int, ...], int, int]]:
-        """What a replica may do by itself: then its number, words, entries and crashes left."""
+        """Steps without a message: timeout, proposal, crash; with the entries and crashes left."""
         key = (local, entries * 8 + crashes)
         if (found := self._owns.get(key)) is not None:
             return found
@@ -200,10 +200,11 @@
         return found
 
     def dead(self, local: int, word: int) -> bool:
-        """Whether a word to this replica changes nothing, now or ever.
+        """Whether a message to this replica has no effect, now or later.
 
-        Answers of an older term, and those of its own term to one that neither asks for votes (or leads)
-        in it nor will again. An answer that tells a leader nothing new stays so, as what it knows grows.
+        True for responses of an older term, and for those of the current term if the replica is not
+        (and will not again be) candidate or leader in it. A success response that changes nothing
+        at a leader never will, because the leader's progress only grows.
         """
         key = (local, word)
         if (found := self._dead.get(key)) is None:
@@ -240,12 +241,12 @@
         for b in locals_:
             if b.role is Role.LEADER and b.term >= a.term and len(b.log) < a.commit:
                 raise Breach(
-                    f"leader completeness: {NAMES[b.at]} lacks what {NAMES[a.at]} committed"
+                    f"leader completeness: {NAMES[b.at]} lacks entries {NAMES[a.at]} committed"
                 )
 
 
 def explore(bounds: Bounds) -> Explored:
-    """Sees every state within the bounds. Raises Breach at the first one in which something does not hold."""
+    """Visits every state within the bounds. Raises Breach at the first violation."""
     found, space = Explored(), _Space(bounds)
     replicas = tuple(space.settled(space.fresh(name, HardState(), []))[0] for name in NAMES)
     first: _State = (replicas, (), bounds.entries, bounds.crashes)  # type: ignore[assignment]
@@ -282,7 +283,7 @@
         fresh = (*replicas[:at], local, *replicas[at + 1 :])
         live = [w for w in (*rest, *said) if not space.dead(fresh[space.to[w]], w)]
         if space.bounds.ordered:
-            live.sort(key=space.link.__getitem__)  # stable: each link's own order stays
+            live.sort(key=space.link.__getitem__)  # stable: keeps the order within each link
         else:
             live = sorted(set(live))
         return fresh, tuple(live), e, c  # type: ignore[return-value]
@@ -292,7 +293,7 @@
         local, said = space.heard(replicas[at], word)
         lost = (
             space.link[word] if space.bounds.ordered else -1
-        )  # what was said before it there never comes
+        )  # earlier messages of that link are lost
         rest = tuple(w for w in words[:i] if space.link[w] != lost) + words[i + 1 :]
         yield put(at, local, rest, said, entries, crashes)
     for at in range(len(NAMES)):
--- a/mothstall/lab/live.py
+++ b/mothstall/lab/live.py
@@ -1,4 +1,4 @@
-"""What a run shows while it goes on: a table of boxes and proxies, second by second."""
+"""Live view of a run: a table of backends and proxies, updated each second."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class Playing(Protocol):
-    """A driver that plays now."""
+    """A driver whose run is in progress."""
 
     world: World
     ledger: Ledger
 
 
 class Board:
-    """Watches a run. On a terminal the table is drawn over and over; elsewhere a line comes each second."""
+    """Shows a run: a table that is redrawn on a terminal, one line per second elsewhere."""
 
     def __init__(self, s: Scenario, console: Console | None = None) -> None:
         self.s = s
@@ -63,7 +63,7 @@
         )
 
     def _service(self, ledger: Ledger, now: int) -> tuple[float, float, float]:
-        """Worth, requests and refusals a second over the last seconds that can be told by now."""
+        """Fraction of worth served, requests/s and refusals/s in the last judgeable window."""
         late = max(k.aim for k in self.s.classes)
         until, since = now - late, now - late - WINDOW_NS
         asked = got = count = 0.0
@@ -90,7 +90,7 @@
             expand=False,
             title=f"{self.s.name}: {min(now / NS, self.s.seconds):.0f} of {self.s.seconds:.0f} s",
         )
-        for name in ("box", "zone", "state", "warmth", "in flight", ""):
+        for name in ("backend", "zone", "state", "warmth", "in flight", ""):
             table.add_column(name, justify="right" if name in ("warmth", "in flight") else "left")
         for box in run.world.boxes.values():
             if not box.up and not box.silent and now - max(0, box.life.ended) > 3 * NS:
--- a/mothstall/lab/replicas.py
+++ b/mothstall/lab/replicas.py
@@ -1,8 +1,8 @@
-"""Keepers, owners and a receiver in one world played by seed, what must hold looked at after each step.
+"""Seeded simulation of keepers, lease owners and a fenced receiver; checks invariants at each step.
 
-Messages are dropped, doubled, reordered, delayed and cut one way; replicas crash at any write, stand still,
-come back with an older copy of their disk; clocks drift; the replicas change under load. A `Breach` names the
-seed and what did not hold; the same seed plays the same world.
+Messages are dropped, duplicated, reordered, delayed and blocked in one direction; replicas crash at
+any write, pause, and restart with an older copy of their disk; clocks drift; members change under
+load. A `Breach` names the seed and the violated invariant; equal seeds give equal runs.
 """
 
 from __future__ import annotations
@@ -49,22 +49,22 @@
 
 
 class Breach(AssertionError):
-    """Something that must hold did not."""
+    """An invariant of the simulated system is violated."""
 
 
 @dataclass(slots=True, frozen=True)
 class Guards:
-    """What a test may take out, to see that the world catches it."""
+    """Safeguards that a test turns off to show that the invariants detect their absence."""
 
     prevote: bool = True
     own_term_only: bool = True
-    synced: bool = True  # what is said waits for the write that it follows from
+    synced: bool = True  # messages are sent only after the write that they depend on
     fresh_terms: bool = True
     token_on_apply: bool = True
     fence: bool = True
-    from_sending: bool = True  # owners count from before they sent
-    hurried: bool = True  # what waits for no write is said while one is out
-    asks_first: bool = True  # a replica that started asks what the others have seen of it
+    from_sending: bool = True  # owners count a lease term from the time they sent the request
+    hurried: bool = True  # messages that depend on no write are sent during a running write
+    asks_first: bool = True  # a started replica first queries the others for its earlier promises
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,12 +72,12 @@
     seed: int
     replicas: int = 3
     seconds: float = 12.0
-    quiet: float = 3.0  # the last seconds go without faults: all has to come back
+    quiet: float = 3.0  # seconds without faults at the end, in which the cluster must recover
     loss: float = 0.08
     doubled: float = 0.04
-    faults_every: float = 0.35  # mean seconds between two
-    crash_odds: float = 0.004  # of a crash at each write
-    write_ms: float = 2.0  # mean of what a write takes
+    faults_every: float = 0.35  # mean seconds between faults
+    crash_odds: float = 0.004  # probability of a crash at each write
+    write_ms: float = 2.0  # mean duration of a write
     kinds: tuple[str, ...] = FAULTS
     guards: Guards = field(default_factory=Guards)
 
@@ -92,9 +92,9 @@
         return Disk(self.hard, self.snapshot, list(self.entries))
 
     def write(self, ready: Ready, part: float = 1.0) -> None:
-        """A transaction; with `part` below 1 nothing of it but whole entries up to there is kept."""
+        """Applies one transaction; with `part` below 1 it is torn and has no effect."""
         if part < 1.0:
-            return  # a torn transaction is rolled back whole
+            return  # a torn transaction is rolled back entirely
         if ready.snapshot:
             self.snapshot, self.entries = ready.snapshot, []
         if (
@@ -111,7 +111,7 @@
 
 
 class Node:
-    """One keeper of the world: its replica while it is up, its disk always."""
+    """One simulated keeper: its disk, and its replica while it is running."""
 
     def __init__(self, world: World, name: str, members: Configuration) -> None:
         self.world, self.name = world, name
@@ -179,7 +179,7 @@
         self.world.lost_callers(self)
 
     def pump(self) -> None:
-        """Writes, then speaks and applies; a write takes a while, and the replica may crash in it."""
+        """Writes, then sends and applies; the replica may crash during a write."""
         if self.replica is None:
             return
         if (self.writing or self.replica.raft.has_unwritten_state) and self.world.guards.hurried:
@@ -206,7 +206,7 @@
     def _wrote(self, ready: Ready, life: int) -> None:
         if life != self.life:
             return
-        if self.paused:  # a stopped process sees its write end when it wakes
+        if self.paused:  # a paused process sees the end of its write after the pause
             self.world.after(TICK, self._wrote, ready, life)
             return
         self.disk.write(ready)
@@ -232,17 +232,17 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call of an owner to a keeper."""
+    """One request of an owner to the keepers."""
 
     owner: Owner
-    proposal: Proposal | None  # None: a read
+    proposal: Proposal | None  # None for a read
     key: str = ""
     sent: int = 0
     op: int = -1
 
 
 class Owner:
-    """One process that wants the leases: takes, renews, writes under them and acts on the receiver."""
+    """A process that holds leases, writes under them and sends effects to the receiver."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
@@ -270,7 +270,7 @@
         if self.call is not None:
             if (
                 now - self.since > 500 * MS
-            ):  # once more, by another keeper: the serial makes it one change
+            ):  # retries, maybe at another keeper; the serial number deduplicates the change
                 self.since = now
                 self.world.submit(self.call)
             return
@@ -298,7 +298,7 @@
             self._ask(Proposal(self.session, self.serial, PutValue(name, token, key, value)), key)
 
     def _act(self, now: int) -> None:
-        """Looks at its lease, then acts; what it sends may arrive at any time later."""
+        """Sends an effect under each valid lease; it may arrive at any later time."""
         for name in NAMES:
             if token := self.holder.valid_token(name, now):
                 self.world.effect(self.name, name, token)
@@ -343,7 +343,7 @@
         names = [f"k{i + 1}" for i in range(plan.replicas)]
         members = Configuration(tuple(names))
         self.cuts: set[tuple[str, str]] = set()
-        self.alone_since: set[str] = set()  # replicas cut off since the newest leader began
+        self.alone_since: set[str] = set()  # replicas isolated at some time since the last election
         self.leaders: dict[int, str] = {}
         self.prefix: dict[tuple[int, int], tuple[int, bytes]] = {}
         self.committed: dict[int, tuple[int, bytes]] = {}
@@ -351,8 +351,8 @@
         self.fence = FencingTokens(is_enforced=plan.guards.fence)
         self.accepted: dict[str, int] = {}
         self.effects = self.refused = self.elections = self.acknowledged = 0
-        self.undecided = 0  # histories too tangled to judge
-        self.looked = 0  # the newest index whose state was looked at
+        self.undecided = 0  # histories whose linearizability check hit its search limit
+        self.looked = 0  # highest applied index whose state was checked
         self.wrote: dict[str, int] = {}
         self.calls: dict[int, Call] = {}
         self.history: dict[str, list[list[int]]] = {key: [] for key in KEYS}
@@ -376,14 +376,14 @@
         return self.now < self.end - int(self.plan.quiet * 1e9) and not self._asking()
 
     def _asking(self) -> bool:
-        """Whether a replica with an older disk still asks: what nobody answers, nobody knows."""
+        """Whether a replica with a restored disk is verifying, for which all others must answer."""
         node = self.nodes.get(self.restored)
         if node is None or node.life not in (self.restored_life - 1, self.restored_life):
             return False
         return node.replica is None or node.replica.raft.recovery_status == RecoveryStatus.VERIFYING
 
     def play(self) -> World:
-        """Plays to the end; Breach if something did not hold on the way or does not at the end."""
+        """Runs to the end. Raises Breach on a violation during the run or in the final state."""
         while self._heap and self._heap[0][0] <= self.end:
             self.now, _, what, args = heapq.heappop(self._heap)
             what(*args)
@@ -443,7 +443,7 @@
     def _cut(self, ways: set[tuple[str, str]], lasts: int) -> None:
         others = {
             name for name, _ in self.cuts
-        }  # two cut off at once may leave no quorum to anybody
+        }  # two overlapping isolations may leave no leader a quorum
         self.alone_since |= others or {
             name for name, _ in ways if sum(name in way for way in ways) > 2
         }
@@ -461,9 +461,9 @@
             node.start()
 
     def _old_disk(self, node: Node) -> None:
-        """A copy of a disk is taken, and some time later the replica comes back with it.
+        """Copies a replica's disk, or restarts the replica with the copy taken by an earlier call.
 
-        One replica at a time, and only while all others stand: what two have forgotten nobody can know.
+        One replica at a time, while all others run: promises lost by two cannot be recovered.
         """
         if copy := self.old_copy.pop(node.name, None):
             others = [n for n in self.nodes.values() if n is not node]
@@ -483,7 +483,7 @@
             self.old_copy[node.name] = node.disk.copy()
 
     def _safe(self, node: Node) -> bool:
-        """Whether the replicas' memory of one another, which a restart empties, still covers the copy."""
+        """Whether all replicas are voters, and the others, never restarted, know its promises."""
         others = [n for n in self.nodes.values() if n is not node]
         whole = all(
             n.replica
@@ -525,7 +525,7 @@
         if (message.sender, message.recipient) not in self.cuts:
             self.nodes[message.recipient].take(message)
 
-    # Owners' calls and effects
+    # Owners' requests and effects
 
     def begin(self, call: Call) -> None:
         if call.key:
@@ -551,7 +551,7 @@
         node.pump()
 
     def lost_callers(self, node: Node) -> None:
-        """Whoever waited at a keeper that died asks another: nothing to do here."""
+        """Does nothing: callers of a crashed keeper retry at another one after a timeout."""
 
     def answered(self, number: int, result: ChangeResult) -> None:
         self.after(
@@ -569,7 +569,7 @@
                 row[1] = min(row[1], self.now)
                 self.acknowledged += 1
             elif call.owner.call is call:
-                row[2:] = [2, 0]  # refused when applied, so it never took effect
+                row[2:] = [2, 0]  # rejected when applied, so the write never took effect
         call.owner.answered(call, result)
 
     def told(self, number: int, node: Node) -> None:
@@ -601,12 +601,12 @@
     def granted(self, name: str, token: int) -> None:
         held = self.tokens.setdefault(f"{name}/{token}", token)
         if held != token:
-            self.breach(f"{name}: token {token} given twice")
+            self.breach(f"{name}: token {token} was granted twice")
 
-    # What must hold
+    # Invariants
 
     def saw(self, node: Node, ready: Ready) -> None:
-        """Log matching: one entry for each place and term, and one before it (Raft, 5.3)."""
+        """Log matching: index and term identify one entry and its predecessor (Raft, 5.3)."""
         assert node.replica is not None
         log = node.replica.raft.log
         for entry in ready.entries:
@@ -617,12 +617,12 @@
                 )
 
     def applied(self, node: Node, ready: Ready) -> None:
-        """State-machine safety: every replica applies the same entry at each place (Raft, 5.4.3)."""
+        """State-machine safety: all replicas apply the same entry at each index (Raft, 5.4.3)."""
         for entry in ready.committed_entries:
             row = (entry.term, entry.data)
             if self.committed.setdefault(entry.index, row) != row:
                 self.breach(
-                    f"state-machine safety: {node.name} applied another entry {entry.index}"
+                    f"state-machine safety: {node.name} applied a different entry {entry.index}"
                 )
         assert node.replica is not None
         state = node.replica.state
@@ -661,13 +661,13 @@
                 self.breach(f"{name}: {' and '.join(acting)} both act within their terms")
 
     def _unseated(self, raft: RaftNode) -> None:
-        """Where the only fault is one replica cut off, a leader that was not cut off goes on leading."""
+        """With isolated replicas as the only fault, no leader with a quorum may be deposed."""
         old = self.leaders[max(self.leaders)]
         if old not in self.alone_since:
-            self.breach(f"{raft.name} unseated {old}, whom a quorum heard")
+            self.breach(f"{raft.name} unseated {old}, which a quorum could reach")
 
     def _complete(self, raft: RaftNode) -> None:
-        """Leader completeness: a leader holds all that was committed in earlier terms (Raft, 5.4.3)."""
+        """Leader completeness: a leader has all entries of earlier commits (Raft, 5.4.3)."""
         for index, (term, _) in self.committed.items():
             if (
                 index > raft.log.base_index
@@ -679,23 +679,23 @@
                 )
 
     def _settled(self) -> None:
-        """After the quiet seconds all replicas agree, and the histories are linear."""
+        """Checks unique tokens, a leader, an acknowledged write and linearizable histories."""
         tokens = [int(key.rpartition("/")[2]) for key in self.tokens]
         if len(set(tokens)) < len(tokens):
-            self.breach("a token was given for two leases")
+            self.breach("one token was granted for two leases")
         rafts = [n.replica.raft for n in self.nodes.values() if n.replica]
         if not any(raft.has_committed_in_term for raft in rafts):
-            self.breach("no leader after the faults were over")
+            self.breach("no leader with a commit in its term after the faults ended")
         if not self.acknowledged:
-            self.breach("nothing was written")
+            self.breach("no write was acknowledged")
         for key, rows in self.history.items():
             ops = [linear.Op(b, e, bool(w), v) for b, e, w, v in rows if w != 2]
             decided = linear.linear(ops)
             self.undecided += decided is None
             if decided is False:
-                self.breach(f"the history of {key} is not linear")
+                self.breach(f"the history of {key} is not linearizable")
 
 
 def play(plan: Plan) -> World:
-    """One world to its end. Raises Breach."""
+    """Runs one simulation to its end. Raises Breach."""
     return World(plan).play()
--- a/mothstall/lab/report.py
+++ b/mothstall/lab/report.py
@@ -1,4 +1,4 @@
-"""One run as one HTML page: figures, breaches, and plots as SVG inside it. Nothing is fetched."""
+"""HTML report of one run: figures, breaches and inline SVG plots, without external resources."""
 
 from __future__ import annotations
 
@@ -68,16 +68,16 @@
         f"digest {result.digest}</p>",
         _rules(result),
         _tiles(result),
-        "<h2>Worth served, of what was asked for</h2>",
+        "<h2>Fraction of the requested worth that was served</h2>",
         _svg(_worth(result), "worth"),
-        "<h2>Latency of served requests, from the intended start</h2>",
+        "<h2>Latency of served requests, measured from the intended start</h2>",
         _svg(_latency(result), "latency"),
         _latency_table(result),
-        "<h2>Requests in each box</h2>",
+        "<h2>Requests in flight at each backend</h2>",
         _svg(_boxes(result, 0), "boxes"),
-        "<h2>Warmth of each box</h2>",
+        "<h2>Warmth of each backend</h2>",
         _svg(_boxes(result, 1), "warmth"),
-        "<h2>Who got no good answer</h2>",
+        "<h2>Tries without a good response</h2>",
         _svg(_turned_away(result), "ends"),
         _who(result),
     ]
@@ -105,7 +105,7 @@
         ("worth", f"{v.worth:.3f}"),
         ("worst 10 s", f"{v.worst_10s:.3f}"),
         ("recovered after", recover),
-        ("work for nobody", f"{1 - v.wasted.get('served', 0.0) if v.wasted else 0.0:.1%}"),
+        ("wasted work", f"{1 - v.wasted.get('served', 0.0) if v.wasted else 0.0:.1%}"),
         ("requests", f"{v.intents}"),
         ("tries, attempts", f"{v.tries}, {v.attempts}"),
     ]
@@ -122,7 +122,7 @@
 
 
 def _svg(figure: Figure, salt: str) -> str:
-    """The drawing as an element; its ids are of its own, as several stand in one page."""
+    """The figure as an SVG element; the salt keeps its ids apart from those of other figures."""
     out = io.StringIO()
     with matplotlib.rc_context({"svg.hashsalt": salt, "svg.fonttype": "none"}):
         figure.savefig(out, format="svg", metadata={"Date": None})
@@ -131,7 +131,7 @@
 
 
 def _mark(axes: Axes, result: Result) -> None:
-    """The troubles as bands, named above them on as many lines as they overlap."""
+    """Shades the troubles; their names stand above the plot, overlapping ones on separate lines."""
     ends: list[int] = []
     for since, until, what in sorted(result.ledger.marks):
         until = min(until, result.scenario.total_ns)
@@ -144,7 +144,7 @@
         )
     axes.set_xlim(0, result.scenario.seconds)
     axes.set_xlabel("seconds")
-    # Names above the axes take room that no layout engine would leave.
+    # No layout engine reserves space for the names above the axes.
     figure = axes.figure
     assert isinstance(figure, Figure)
     figure.set_layout_engine(None)
@@ -194,7 +194,7 @@
             axes.axhline(aim, color=COLOURS[i % len(COLOURS)], lw=0.6, ls=":")
     axes.set_xticks([-math.log10(1 - p / 100) for p in (0, 50, 90, 99, 99.9, 99.99)])
     axes.set_xticklabels(["0", "50", "90", "99", "99.9", "99.99"])
-    axes.set_xlabel("percentile (dotted: the aim)")
+    axes.set_xlabel("percentile (dotted: the objective)")
     axes.set_yscale("log")
     axes.set_ylabel("ms")
     _legend(axes, 4, "upper left")
@@ -214,7 +214,7 @@
 
 
 def _boxes(result: Result, which: int) -> Figure:
-    """Boxes as rows, time as columns: requests in flight, or warmth. Where a box is not there it is white."""
+    """Requests in flight or warmth by backend and time; white while a backend is absent."""
     samples = result.ledger.samples
     boxes = sorted({box for _, rows in samples for box in rows})
     figure, axes = _figure(max(1.6, min(7.0, 0.7 + 0.17 * len(boxes))))
@@ -234,7 +234,7 @@
         axes.set_yticks(range(len(boxes)))
         axes.set_yticklabels([str(box) for box in boxes], fontsize=7)
     else:
-        axes.set_ylabel("boxes")
+        axes.set_ylabel("backends")
     figure.colorbar(image, ax=axes, pad=0.01, label="in flight" if which == 0 else "warmth")
     axes.set_xlim(0, result.scenario.seconds)
     axes.set_xlabel("seconds")
@@ -260,14 +260,14 @@
                 label=end.name.lower(),
             )
             base = [a + b for a, b in zip(base, counts[end], strict=True)]
-    axes.set_ylabel("tries a second")
+    axes.set_ylabel("tries per second")
     _legend(axes, len(ENDS), "upper right")
     _mark(axes, result)
     return figure
 
 
 def _who(result: Result) -> str:
-    """Refusals and failures by tenant and class, beside what each asked."""
+    """Tables of tries, served tries and other results, by class and by tenant."""
     s = result.scenario
     tables = []
     for label, names, at in (
@@ -297,7 +297,7 @@
         return "<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in cells) + "</tr>"
 
     head = "".join(
-        f"<th>{h}</th>" for h in ("s", "rule", "breach", "request", "box", "what was seen")
+        f"<th>{h}</th>" for h in ("s", "rule", "breach", "request", "backend", "what was observed")
     )
     rows = "".join(row(b) for b in result.verdict.breaches[:100])
     return f"<h2>Breaches</h2><table><tr>{head}</tr>{rows}</table>"
--- a/mothstall/lab/runs.py
+++ b/mothstall/lab/runs.py
@@ -1,4 +1,4 @@
-"""One run from its parts: scenario, policy, seed and driver in; figures, breaches and the ledger out."""
+"""Runs one scenario with a policy, seed and driver; returns figures, breaches and the ledger."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from mothstall.lab.scenario import Scenario
 from mothstall.lab.virtual import MakePolicy, Virtual
 
-# Given a driver that begins, what to call with each second that is over (ns since the start).
+# Takes a starting driver; returns the callback for each elapsed second (ns since the start).
 Watch = Callable[[Any], Callable[[int], object]]
 
 __all__ = ["Result", "Unfinished", "play", "play_made"]
@@ -72,14 +72,14 @@
         }
 
     def text(self) -> str:
-        """A page for people."""
+        """A readable summary."""
         v = self.verdict
         simulated = "simulated" if self.driver == "virtual" else "real proxies on loopback"
         rows = [
             f"{self.scenario.name}: {self.scenario.tries}",
             f"{self.policy}, seed {self.seed}, {self.scenario.seconds:g} s, {simulated}",
             f"digest     {self.digest}",
-            f"worth      {v.worth:.3f} of what was asked for; the worst 10 s {v.worst_10s:.3f}",
+            f"worth      {v.worth:.3f} of what was requested; the worst 10 s {v.worst_10s:.3f}",
             "classes    " + _pairs(v.by_class),
         ]
         if v.within_share:
@@ -89,7 +89,7 @@
             + "; ".join(
                 f"{name} p50 {q['p50']:.0f} p99 {q['p99']:.0f} ms" for name, q in v.latency.items()
             ),
-            f"requests   {v.intents} wanted, {v.tries} tries, {v.attempts} attempts at boxes",
+            f"requests   {v.intents} wanted, {v.tries} tries, {v.attempts} attempts at backends",
             "work       " + _pairs(v.wasted),
         ]
         if v.recover_s is not None:
@@ -98,7 +98,7 @@
             rows.append("recovered  not within the run")
         if self.notes.get("late"):
             rows.append(
-                f"LATE       this machine ran late; {v.excused} breaches near it do not count"
+                f"LATE       this machine ran late; {v.excused} breaches near that time do not count"
             )
         if not v.broken:
             return "\n".join([*rows, "rules      all four kept"])
@@ -106,7 +106,7 @@
             "rules      BROKEN: " + ", ".join(f"{kind} {n}" for kind, n in sorted(v.rules.items()))
         )
         for b in v.breaches[:20]:
-            who = [f"request {b.request}"] * bool(b.request) + [f"box {b.box}"] * bool(b.box)
+            who = [f"request {b.request}"] * bool(b.request) + [f"backend {b.box}"] * bool(b.box)
             who += [f"proxy {b.proxy}"] * (b.proxy >= 0)
             rows.append(f"  {b.at_ns / NS:9.3f} s  {b.kind}: {', '.join(who)}: {b.what}")
         if len(v.breaches) > 20:
@@ -121,7 +121,7 @@
 def play(
     s: Scenario, policy: str, seed: int, driver: str = "virtual", watch: Watch | None = None
 ) -> Result:
-    """One run and its verdict. Raises PolicyError, Unfinished, and what a broken policy raises."""
+    """Runs and judges one scenario. Raises PolicyError, Unfinished and errors of the policy."""
     if driver == "virtual":
         return play_made(s, policies.parse(policy), policy, seed, watch)
     return _sockets(s, policy, seed, watch)
@@ -130,10 +130,10 @@
 def play_made(
     s: Scenario, make: MakePolicy, name: str, seed: int, watch: Watch | None = None
 ) -> Result:
-    """One run of a policy that the caller has made, on the virtual driver."""
+    """Runs and judges one scenario on the virtual driver, with a policy made by the caller."""
     run = Virtual(s, make, seed)
     gc.collect()
-    gc.freeze()  # a run makes many rows and next to no cycles: collecting them would only cost time
+    gc.freeze()  # a run makes many objects and almost no cycles, so collection would only cost time
     gc.disable()
     try:
         ledger = run.play(watch(run) if watch else None)
@@ -148,7 +148,7 @@
 
     if policy != "module":
         raise policies.PolicyError(
-            f"policy {policy}: the sockets driver plays real proxies, and so the module"
+            f"policy {policy}: the sockets driver runs real proxies, which use the module"
         )
     ledger, notes = sockets.run(s, seed, watch)
     return Result(s, policy, "sockets", seed, ledger.digest(), judge(s, ledger), ledger, notes)
--- a/mothstall/lab/tier.py
+++ b/mothstall/lab/tier.py
@@ -1,9 +1,9 @@
-"""Observers and their proxies in one world played by seed, what must hold looked at after each step.
+"""Seeded simulation of observers and their proxies; invariants are checked after each step.
 
-The keepers are one log with an order of its own and two copies of the state that lag behind it; consensus
-itself is played in `replicas`. What is said is lost, doubled, late or overtaken; observers and proxies crash,
-stand still and are cut off; a proxy takes nothing for a while; the leader of the log changes. A `Breach`
-names the seed and what did not hold; the same seed plays the same world.
+The keepers are modelled as one ordered log and two lagging copies of the state; `replicas` has the
+consensus itself. Messages are lost, duplicated, delayed and reordered; observers and proxies crash,
+pause and are partitioned; proxies stop reading; the leader of the log changes. A `Breach` names the
+seed and the violated invariant; equal seeds give equal runs.
 """
 
 from __future__ import annotations
@@ -49,9 +49,9 @@
 SPANS = AttachmentTimings.from_lease_term(TERM_MS * MS)
 GRACE_NS = 3_000 * MS
 TICK = 50 * MS
-BACK_NS = 8_000 * MS  # after the last fault, until every living proxy is a member
-MAX_UNSAID = 2  # frames on their way to one reader
-KEEPERS_SIDE = ("observer cut", "lag", "leader", "region")  # proxies and their observers are sound
+BACK_NS = 8_000 * MS  # from the last fault until each running proxy is a member again
+MAX_UNSAID = 2  # frames in flight to one subscriber
+KEEPERS_SIDE = ("observer cut", "lag", "leader", "region")  # no fault at proxies or on their links
 FAULTS = (
     "observer",
     "observer stalls",
@@ -68,14 +68,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Guards:
-    """What a test may take out, to see that the world catches it."""
+    """Safeguards that a test turns off to show that the invariants detect their absence."""
 
-    turns: bool = True  # an attachment that was left behind takes no row
+    turns: bool = True  # an attachment with an older epoch cannot replace a newer row
     token_on_apply: bool = True
-    fenced: bool = True  # an observer answers under the lease of now alone
+    fenced: bool = True  # attachments count only under the observer's current lease token
     newer_only: bool = True
     bounded: bool = True
-    grace: bool = True  # proxies that move are not taken out at once
+    grace: bool = True  # orphaned proxies get time to attach elsewhere before they are removed
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,25 +84,25 @@
     observers: int = 4
     proxies: int = 8
     seconds: float = 24.0
-    quiet: float = 9.0  # the last seconds go without faults
+    quiet: float = 9.0  # seconds without faults at the end of the run
     loss: float = 0.04
     doubled: float = 0.04
-    late: float = 0.04  # part of what is said that takes much longer
+    late: float = 0.04  # fraction of messages with a 300 times longer delay
     faults_every: float = 0.4
-    crash_odds: float = 0.003  # of an observer's crash at each step of its own
+    crash_odds: float = 0.003  # probability that an observer crashes at one of its ticks
     kinds: tuple[str, ...] = FAULTS
     guards: Guards = field(default_factory=Guards)
 
     @property
     def proxies_sound(self) -> bool:
-        """Whether nothing happens to proxies, nor between them and their observers."""
+        """Whether the plan has no fault of proxies or of their links to observers."""
         said = self.loss or self.doubled or self.late or self.crash_odds
         return not said and set(self.kinds) <= set(KEEPERS_SIDE)
 
 
 @dataclass(slots=True)
 class Call:
-    """A change of one observer: asked for until it is answered or given up."""
+    """A proposal of one observer, resubmitted until it is answered or times out."""
 
     observer: Observer
     life: int
@@ -112,7 +112,7 @@
 
 
 class Observer:
-    """The pure parts of one observer's process, driven as its shell drives them."""
+    """The pure components of one observer process, driven the way the real process drives them."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
@@ -144,13 +144,13 @@
         self.batch: UpdateMembers | None = None
         self.session = self.serial = 0
         self.renewed = 0
-        self.heard = 0  # when a keeper that hears a leader last told it something
+        self.heard = 0  # time of the last update from a keeper
         self.keeper = self.world.rng.randrange(len(self.world.copies))
         self.unsaid: dict[str, int] = {}
         self.world.after(self.world.rng.randrange(TICK), self._tick, self.life)
 
     def is_authoritative_for(self, name: str) -> bool:
-        """Whether a proxy is a member under this observer's lease, which is in force."""
+        """Whether this observer has a valid lease under which the proxy is a member."""
         token = self.holder.valid_token(self.lease, self.now())
         return self.presence.is_authoritative_for(name, token)
 
@@ -158,7 +158,7 @@
         self.up, self.life, self.mail = False, self.life + 1, []
 
     def take(self, what: Callable[..., None], *args: Any) -> None:
-        """Something reaches this process: at once, or when it goes on."""
+        """Delivers an input to this process, after the pause if it is paused."""
         if not self.up:
             return
         if self.paused:
@@ -202,7 +202,7 @@
     def _again(self, now: int) -> None:
         assert self.call is not None
         if now - self.call.sent > 1500 * MS:
-            # What became of it is not known: its serial must not be used again.
+            # The outcome is unknown, so its serial must not be reused: a new session is opened.
             if self.batch is not None:
                 self.presence.complete_batch(self.batch, None, now)
             self.call, self.batch, self.session = None, None, 0
@@ -226,7 +226,7 @@
             self.batch = batch
             for join in batch.joins:
                 if not self.presence.attachments[join.name].is_connected:
-                    self.world.breach(f"{self.name} asks for {join.name}, whose connection is gone")
+                    self.world.breach(f"{self.name} joins {join.name}, whose connection is closed")
             self._ask(batch, now)
 
     def _ask(self, change: Change, now: int) -> None:
@@ -269,7 +269,7 @@
             for seat in self.presence.complete_batch(batch or change, done, now):
                 self.world.say(self, seat.name, "seated", seat.owner, seat.epoch)
 
-    # The copy, and who is told of it
+    # State updates and their fan-out
 
     def told(self, delta: StateDelta) -> None:
         now = self.now()
@@ -292,7 +292,7 @@
             self.unsaid[name] = self.unsaid.get(name, 0) + 1
             self.world.say(self, name, "fed", data, age)
 
-    # What proxies say
+    # Messages of proxies
 
     def hear(self, proxy: Proxy, word: str, *args: Any) -> None:
         now, name = self.now(), proxy.name
@@ -317,13 +317,13 @@
             self.fanout.unsubscribe(name)
 
     def taken(self, name: str) -> None:
-        """A reader has taken a frame."""
+        """Records that a proxy has read a frame, or that its connection dropped it."""
         if name in self.unsaid:
             self.unsaid[name] = max(0, self.unsaid[name] - 1)
 
 
 class Proxy:
-    """A proxy's part in the tier: it goes to an observer, says that it lives, and follows the state."""
+    """A proxy's agent: attaches to an observer, sends heartbeats and applies state updates."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
@@ -398,14 +398,14 @@
             self.mail.append((sender, turn, word, args))
             if len(self.mail) > 40:
                 self.world.breach(
-                    f"{self.name} takes nothing, and {len(self.mail)} frames wait for it"
+                    f"{self.name} reads nothing, and {len(self.mail)} frames are queued for it"
                 )
             return
         self._take(sender, turn, word, args)
 
     def _take(self, sender: str, turn: int, word: str, args: tuple[Any, ...]) -> None:
         if sender != self.at or turn != self.turn:
-            return  # of a connection that was left
+            return  # sent on an earlier connection
         now = self.now()
         if word == "fed":
             data, age = args
@@ -414,7 +414,7 @@
             self._follow(msgspec.msgpack.decode(data, type=StateDelta))
             self.world.observers[sender].taken(self.name)
         elif word == "unknown" and args == (self.owner, self.turn):
-            self._leave("it does not know this proxy", now)
+            self._leave("the observer has no attachment of this proxy", now)
         elif word == "seated":
             self.seated = self.turn
 
@@ -460,11 +460,11 @@
         self.copies = [self._empty(), self._empty()]
         self.lagging = [0, 0]
         self.log: list[bytes] = []
-        self.cuts: set[tuple[str, str]] = set()  # a proxy or "keepers", and an observer
+        self.cuts: set[tuple[str, str]] = set()  # pairs of (a proxy's name or "keepers", observer)
         self.went: dict[
             tuple[str, int], str
-        ] = {}  # the observer to which a process went with a turn
-        self.over: dict[tuple[str, int], int] = {}  # observers' leases that ended, and when
+        ] = {}  # observer chosen by a proxy process for an epoch
+        self.over: dict[tuple[str, int], int] = {}  # end of each ended observer lease
         self.images: dict[int, tuple[Any, ...]] = {0: ({}, {}, {}, {})}
         self.joined = self.moved = self.swept = self.refused = self.fed = self.snapshots = (
             self.crashes
@@ -502,7 +502,7 @@
         return self.now < self.end - int(self.plan.quiet * 1e9)
 
     def play(self) -> World:
-        """Plays to the end; Breach if something did not hold on the way or does not at the end."""
+        """Runs to the end. Raises Breach on a violation during the run or in the final state."""
         while self._heap and self._heap[0][0] <= self.end:
             self.now, _, what, args = heapq.heappop(self._heap)
             what(*args)
@@ -557,7 +557,7 @@
             rows = [(row.name, row.token, row.duration_ms) for row in self.state.leases.values()]
             self.grantor.start_leading(rows, self.now)
             self.expiring.clear()
-        else:  # a region alone: all observers of one zone, for longer than the grace
+        else:  # "region": no observer of one zone reaches keepers, for up to twice the grace
             zone = rng.choice(("z1", "z2"))
             names = {("keepers", o.name) for o in self.observers.values() if o.zone == zone}
             self._cut(names, lasts * 3)
@@ -581,7 +581,7 @@
             one.start()
 
     def _waits(self) -> list[int]:
-        """When what is said arrives: once, never, twice, or late."""
+        """Delays of the copies of one message: none if it is lost, two if it is duplicated."""
         rng, plan = self.rng, self.plan
         if not self.faulty():
             return [int(rng.uniform(0.2, 4.0) * MS)]
@@ -593,10 +593,10 @@
             found.append(int(rng.uniform(0.2, 4.0) * MS * slow))
         return found
 
-    # The log and its copies
+    # The log and the lagging copies of the state
 
     def _operator(self) -> None:
-        """Somebody drains and undrains backends, under no lease, so that there is something to tell."""
+        """Drains and undrains backends, under no lease, to produce state changes to fan out."""
         self.after(int(self.rng.uniform(0.05, 0.6) * 1e9), self._operator)
         self._drain += 1
         name = f"b{self._drain % 7}"
@@ -611,7 +611,7 @@
         return 1
 
     def _keep(self) -> None:
-        """The leader's look at terms, and what copies have applied since."""
+        """Proposes the expiry of overdue leases and lets the copies apply the new log entries."""
         self.after(TICK, self._keep)
         due = [row for row in self.grantor.expired(self.now) if row not in self.expiring]
         if due:
@@ -679,7 +679,7 @@
         return result
 
     def _attached(self, change: UpdateMembers, before: dict[str, Member]) -> None:
-        """What a batch made of the rows, held against what the world knows of each proxy."""
+        """Checks the membership rows that a batch changed against the true state of each proxy."""
         for name in sorted(
             {row.name for row in change.joins} | {row.name for row in change.leaves}
         ):
@@ -689,7 +689,7 @@
             if was is not None and row is not None:
                 gone = MemberLeave(name, was.owner, was.epoch, was.token)
                 if gone in change.leaves and was.token == change.token:
-                    was = None  # the same batch let it go first
+                    was = None  # the same batch removed the previous row first
             if (change.lease, change.token) in self.over:
                 self.breach(
                     f"{name}: a row of {change.lease} {change.token} after that lease was over"
@@ -703,27 +703,27 @@
                 self.moved += was.lease != row.lease
                 if row.epoch < was.epoch:
                     self.breach(
-                        f"two observers answer for {name}: {row.lease} with turn {row.epoch}, and {was.lease} "
-                        f"with turn {was.epoch}"
+                        f"two observers answer for {name}: {row.lease} with epoch {row.epoch}, and {was.lease} "
+                        f"with epoch {was.epoch}"
                     )
             elif was is not None and (was.lease, was.token) not in self.over:
                 self.breach(
-                    f"two processes are {name}: {was.owner} by {was.lease}, and {row.owner}"
+                    f"two processes count as {name}: {was.owner} at {was.lease}, and {row.owner}"
                 )
             if OBSERVER_LEASE_PREFIX + self.went.get((row.owner, row.epoch), "") != row.lease:
-                self.breach(f"{row.lease} answers for {name}, who never came with turn {row.epoch}")
+                self.breach(f"{row.lease} answers for {name}, not attached with epoch {row.epoch}")
 
     def _departed(self, name: str, was: Member, change: UpdateMembers) -> None:
         if (was.lease, was.token) == (change.lease, change.token):
             proxy = self.proxies[name]
             if self.plan.proxies_sound and proxy.up and proxy.owner == was.owner:
                 self.breach(
-                    f"{was.lease} called {name} gone, who lives, at {proxy.at or 'no observer'}"
+                    f"{was.lease} removed {name}, which is running, at {proxy.at or 'no observer'}"
                 )
             return
         since = self.over.get((was.lease, was.token))
         if since is None:
-            self.breach(f"{change.lease} took out {name}, for whom {was.lease} answers")
+            self.breach(f"{change.lease} removed {name}, for which {was.lease} is current")
         elif self.now - since < GRACE_NS * (1 - DRIFT):
             self.breach(
                 f"{name} was taken out {(self.now - since) / 1e9:.3f} s after {was.lease} was over"
@@ -731,7 +731,7 @@
         self.swept += 1
 
     def feed(self, observer: Observer, whole: bool = False) -> None:
-        """A keeper tells an observer what is new to it; one may lag behind what another one told."""
+        """Sends an observer the changes since its version; the copy may be older than that."""
         if ("keepers", observer.name) in self.cuts:
             return
         if self.faulty() and self.rng.random() < 0.02:
@@ -764,7 +764,7 @@
         if (proxy.name, observer.name) not in self.cuts:
             proxy.take(observer.name, turn, word, args)
         elif word == "fed":
-            observer.taken(proxy.name)  # its connection breaks: nothing waits there any more
+            observer.taken(proxy.name)  # the connection breaks, so its queue is gone
 
     def to_observer(self, proxy: Proxy, word: str, *args: Any) -> None:
         observer = self.observers.get(proxy.at)
@@ -778,7 +778,7 @@
             observer.take(observer.hear, proxy, word, *args)
 
     def unlink(self, proxy: Proxy) -> None:
-        """Its connection ends: the observer learns it now, late or never."""
+        """Closes a proxy's connection; the observer sees the close at once, late or never."""
         observer, row = self.observers[proxy.at], (proxy.name, proxy.owner, proxy.turn)
         for wait in self._waits()[:1]:
             self.after(wait, self._unlinked, observer, row)
@@ -787,13 +787,13 @@
         if (row[0], observer.name) not in self.cuts:
             observer.take(lambda: observer.presence.disconnected(*row, observer.now()))
 
-    # What must hold
+    # Invariants
 
     def told(self, proxy: Proxy) -> None:
-        """A proxy's view is what the state was at that version, as far as it subscribed to it."""
+        """Checks a proxy's view against the subscribed part of the state at that version."""
         image = self.images.get(proxy.view.version)
         if image is None:
-            self.breach(f"{proxy.name} holds version {proxy.view.version}, which never was")
+            self.breach(f"{proxy.name} holds version {proxy.view.version}, never committed")
             return
         view, sub = proxy.view, proxy.sub
         leases, drains, _, members = image
@@ -803,13 +803,13 @@
                 f"{proxy.name} at version {view.version} holds {dict(view.attached)}, not {wanted}"
             )
         if dict(view.drains) != drains:
-            self.breach(f"{proxy.name} at version {view.version} holds other drains than the log")
+            self.breach(f"{proxy.name} at version {view.version} has drains unlike the log")
         if any(name.startswith(OBSERVER_LEASE_PREFIX) for name in view.leases):
-            self.breach(f"{proxy.name} was told of what it did not subscribe to")
+            self.breach(f"{proxy.name} received observer leases, to which it has no subscription")
         plain = [(n, row) for n, row in leases.items() if n.startswith(MEMBER_LEASE_PREFIX)]
         own = {n for n, row in plain if row.info.get("zone") == sub.zone}
         if {name for name in view.leases if name.startswith(MEMBER_LEASE_PREFIX)} != own:
-            self.breach(f"{proxy.name} at version {view.version} holds other members than the log")
+            self.breach(f"{proxy.name} at version {view.version} has members unlike the log")
 
     def _look(self) -> None:
         live = membership.attachment_by_member(self.state.members, self.state.is_lease_current)
@@ -824,45 +824,45 @@
                 is_authoritative = one.presence.is_authoritative_for(name, token)
                 if is_authoritative and (not token or seat.lease_token != token):
                     self.breach(
-                        f"{one.name} answers for {name} under token {seat.lease_token}, it has {token}"
+                        f"{one.name} answers for {name} under token {seat.lease_token}, it holds {token}"
                     )
             held = self.state.leases.get(one.lease)
-            # A take of its own that came late gives it a newer token: then the old one only loses.
+            # A delayed acquisition of its own may renew the token; the old one then only expires.
             if token and (held is None or held.owner != one.owner):
-                self.breach(f"{one.name} counts on token {token}, which is over")
+                self.breach(f"{one.name} holds token {token} as valid, but that lease has ended")
             if one.fanout.state.history.change_count > 24 or one.presence.pending_count > 200:
-                self.breach(f"{one.name} keeps more than its bounds")
+                self.breach(f"{one.name} exceeds its bound of history or pending changes")
             if worst := [name for name, count in one.unsaid.items() if count > MAX_UNSAID]:
                 self.breach(
-                    f"a queue of {one.unsaid[worst[0]]} frames waits for {worst[0]} at {one.name}"
+                    f"a queue of {one.unsaid[worst[0]]} frames for {worst[0]} at {one.name}"
                 )
 
     def _settled(self) -> None:
-        """After the quiet seconds every living proxy is a member once, where it is, and knows what is new."""
+        """Checks that each running proxy ends as a member once, at the observer it uses."""
         state = self.state
         rows = dict(state.members)
         for proxy in self.proxies.values():
             row = rows.pop(proxy.name, None)
             if row is None or row.owner != proxy.owner:
-                self.breach(f"{proxy.name} lives and is no member: {row}")
+                self.breach(f"{proxy.name} is running but is no member: {row}")
                 return
             live = state.is_lease_current(row.lease, row.token)
             if not live or (OBSERVER_LEASE_PREFIX + proxy.at, proxy.turn) != (row.lease, row.epoch):
                 self.breach(
-                    f"{proxy.name} is at {proxy.at} with turn {proxy.turn}, the log has {row}"
+                    f"{proxy.name} is at {proxy.at} with epoch {proxy.turn}, but the log has {row}"
                 )
             observers = self.observers.values()
             answering = [one.name for one in observers if one.is_authoritative_for(proxy.name)]
             if answering != [proxy.at]:
-                self.breach(f"{answering} answer for {proxy.name}, who is at {proxy.at}")
-            # Its zone's observer is to be had: it went home.
+                self.breach(f"{answering} answer for {proxy.name}, which is at {proxy.at}")
+            # The observers of its zone are available again, so it must be back at one of them.
             if self.observers[proxy.at].zone != proxy.zone:
-                self.breach(f"{proxy.name} of {proxy.zone} stayed with {proxy.at}")
+                self.breach(f"{proxy.name} of zone {proxy.zone} stayed at {proxy.at}")
         if rows:
-            self.breach(f"the log has {sorted(rows)}, who do not live")
+            self.breach(f"the log has {sorted(rows)}, which are not running")
         self.snapshots = sum(one.fanout.counts["snapshots"] for one in self.observers.values())
 
 
 def play(plan: Plan) -> World:
-    """One world to its end. Raises Breach."""
+    """Runs one simulation to its end. Raises Breach."""
     return World(plan).play()
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: pairs, intervals and variants; the bench of one proxy; what is shown while a run goes on."""
+"""Tests of paired experiments and their intervals, the benchmarks of one proxy, and the live view."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     assert not better.means_nothing and 0 < better.low <= better.mean <= better.high
     assert better == difference(
         [0.5, 0.6, 0.7, 0.8], [0.55, 0.66, 0.74, 0.86]
-    )  # its draws are seeded
-    assert difference([0.1, 0.1], [0.9, 0.9]).means_nothing  # two pairs tell nothing
+    )  # bootstrap draws use a fixed seed
+    assert difference([0.1, 0.1], [0.9, 0.9]).means_nothing  # too few pairs for an interval
 
 
 def test_variants_are_played_in_pairs_and_held_against_the_first(tmp_path: Path) -> None:
-    # A copy of the policy as it stands: a variant that differs in nothing differs by nothing.
+    # An identical copy of the policy must give identical figures.
     copy = tmp_path / "policy"
     shutil.copytree(policies.ROOT / policies.PACKAGE_PATH, copy)
     variants = ["module", f"file:{copy}", "random", "module,max_attempts=1", "careless"]
@@ -56,11 +56,11 @@
     assert len(lines) == 2
     path.write_text(
         lines[0] + "\n" + lines[1][:40], encoding="utf-8"
-    )  # the machine stopped in the second
+    )  # a crash cut the second line short
     again = compare.Kept(path)
     assert len(again.found) == 1
     key = next(iter(again.found))
-    again.found[key] = (0.125, 0.125, {})  # what is kept is taken, not played
+    again.found[key] = (0.125, 0.125, {})  # recorded results are used, not computed again
     rows = compare.play(["steady"], ["random"], 2, seconds=2.0, workers=1, kept=again)
     assert 0.125 in rows[0].worth and set(rows[0].worth) & set(first[0].worth)
     other = json.loads(lines[0])
@@ -88,7 +88,7 @@
     try:
         assert waits_for(
             lambda: len(children.read_text().split()) >= 3
-        )  # two workers, and their tracker
+        )  # two workers and the resource tracker
         started = [int(pid) for pid in children.read_text().split()]
     finally:
         process.kill()
@@ -179,7 +179,7 @@
     shown = capsys.readouterr().out
     (path,) = tmp_path.glob("*.json")
     tree = json.loads(path.read_text(encoding="utf-8"))
-    assert bench.last(tmp_path) is None  # what a start costs is nothing to hold a load against
+    assert bench.last(tmp_path) is None  # figures of starts are no baseline for figures of loads
     assert set(tree["start"]) == {"this", "beside"}
     for found in tree["start"].values():
         assert list(found["pieces_ms"]) == [
