--- a/mothstall/lab/command.py
+++ b/mothstall/lab/command.py
@@ -116,31 +116,31 @@
     return parser
 
 
-def main(words: Sequence[str]) -> int:
-    if words[:1] == ["fleet"]:
-        from mothstall.lab.fleetcommand import main as fleets
+def main(arguments: Sequence[str]) -> int:
+    if arguments[:1] == ["fleet"]:
+        from mothstall.lab.fleetcommand import main as fleet_main
 
-        return fleets(words[1:])
-    if words[:1] == ["soak"]:
+        return fleet_main(arguments[1:])
+    if arguments[:1] == ["soak"]:
         from mothstall.lab.soak.command import main as soak_main
 
-        return soak_main(list(words[1:]))
-    if words[:1] == ["scale"]:
-        from mothstall.lab.scale.command import main as scales
+        return soak_main(list(arguments[1:]))
+    if arguments[:1] == ["scale"]:
+        from mothstall.lab.scale.command import main as scale_main
 
-        return scales(words[1:])
-    if words[:1] == ["capacity"]:
+        return scale_main(arguments[1:])
+    if arguments[:1] == ["capacity"]:
         from mothstall.lab.scale.command import capacity_main
 
-        return capacity_main(words[1:])
-    args = _parser().parse_args(words)
+        return capacity_main(arguments[1:])
+    args = _parser().parse_args(arguments)
     try:
         return _COMMANDS[args.command](args)
-    except (scenario.ScenarioError, policies.PolicyError) as why:
-        print(f"mothstall: {why}", file=sys.stderr)
+    except (scenario.ScenarioError, policies.PolicyError) as error:
+        print(f"mothstall: {error}", file=sys.stderr)
         return 2
-    except runs.Unfinished as why:
-        print(f"mothstall: {why}", file=sys.stderr)
+    except runs.Unfinished as error:
+        print(f"mothstall: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         # The reader closed the pipe; prevents another error when stdout is flushed at exit.
@@ -153,9 +153,9 @@
     if args.json:
         print(json.dumps({"scenarios": dict(rows), "policies": list(policies.NAMES)}, indent=1))
         return 0
-    wide = max(len(name) for name, _ in rows)
+    width = max(len(name) for name, _ in rows)
     for name, tries in rows:
-        print(f"{name:<{wide}}  {tries}")
+        print(f"{name:<{width}}  {tries}")
     print(
         f"\npolicies: {', '.join(policies.NAMES)}, rev:REVISION, file:PATH; `,setting=value` may follow"
     )
@@ -166,7 +166,7 @@
     s = scenario.load(args.scenario)
     if args.seconds is not None:
         s = scenario.lasting(s, args.seconds)
-    result = _play(s, args.policy, args.seed, args.driver, args.live)
+    result = _run_scenario(s, args.policy, args.seed, args.driver, args.live)
     if args.report:
         _write_report(result, args.report)
     if args.json:
@@ -176,13 +176,15 @@
     return 3 if result.verdict.broken else 0
 
 
-def _play(s: scenario.Scenario, policy: str, seed: int, driver: str, live: bool) -> runs.Result:
+def _run_scenario(
+    s: scenario.Scenario, policy: str, seed: int, driver: str, live: bool
+) -> runs.Result:
     if not live:
         return runs.play(s, policy, seed, driver)
-    from mothstall.lab.live import Board
+    from mothstall.lab.live import LiveView
 
-    with Board(s) as board:
-        return runs.play(s, policy, seed, driver, board.watch)
+    with LiveView(s) as live_view:
+        return runs.play(s, policy, seed, driver, live_view.watch)
 
 
 def _demo(args: argparse.Namespace) -> int:
@@ -190,7 +192,7 @@
     print(
         f"{s.tries}\nstarting {s.proxies.count} proxies and {s.box_count} web backends on 127.0.0.1 ..."
     )
-    result = _play(s, "module", 1, "sockets", True)
+    result = _run_scenario(s, "module", 1, "sockets", True)
     _write_report(result, args.report)
     print(result.text())
     print(f"report     {args.report}")
@@ -223,7 +225,7 @@
         MofNCompleteColumn(),
         TimeRemainingColumn(),
     )
-    kept = compare.Kept(Path(args.kept)) if args.kept else None
+    cache = compare.RunCache(Path(args.kept)) if args.kept else None
     with Progress(*columns, console=Console(stderr=True)) as progress:
         task = progress.add_task("running", total=len(names) * len(args.policy) * args.seeds)
         rows = compare.play(
@@ -232,14 +234,14 @@
             args.seeds,
             seconds=args.seconds,
             workers=args.workers,
-            done=lambda: progress.advance(task),
-            kept=kept,
+            on_run_done=lambda: progress.advance(task),
+            cache=cache,
         )
     if args.json:
         _write_json(args.json, compare.as_json(rows, args.policy, args.seeds))
     if args.json != "-":
         head = ["scenario", args.policy[0], *(f"{name} minus it" for name in args.policy[1:])]
-        body = compare.cells(rows, args.policy, args.measure)
+        body = compare.table_rows(rows, args.policy, args.measure)
         if args.markdown:
             print(
                 "\n".join(
@@ -267,7 +269,7 @@
         raise scenario.ScenarioError("--seconds must be 1 to 120, --rates 1 to 100000")
     if args.profile:
         tree = bench.profile(
-            args.seconds, lambda what: print(f"measuring: {what}", file=sys.stderr)
+            args.seconds, lambda name: print(f"measuring: {name}", file=sys.stderr)
         )
         if args.json:
             _write_json(args.json, tree)
@@ -277,7 +279,7 @@
         return 0
     folder = Path(args.keep or "benchmarks")
     before = bench.last(folder)
-    tree = bench.run(args.seconds, rates, lambda what: print(f"measuring: {what}", file=sys.stderr))
+    tree = bench.run(args.seconds, rates, lambda name: print(f"measuring: {name}", file=sys.stderr))
     if args.json:
         _write_json(args.json, tree)
     if args.json != "-":
@@ -285,8 +287,8 @@
     if args.keep:
         try:
             print(f"written to {bench.keep(tree, folder)}", file=sys.stderr)
-        except OSError as why:
-            raise scenario.ScenarioError(f"--keep {args.keep}: {why.strerror}") from why
+        except OSError as error:
+            raise scenario.ScenarioError(f"--keep {args.keep}: {error.strerror}") from error
     return 0
 
 
@@ -300,7 +302,7 @@
     if beside and not (beside / "mothstall" / "__main__.py").is_file():
         raise scenario.ScenarioError(f"--beside {beside}: not a checkout of mothstall")
     tree = start.run(
-        sizes, args.repeats, beside, lambda what: print(f"measuring: {what}", file=sys.stderr)
+        sizes, args.repeats, beside, lambda name: print(f"measuring: {name}", file=sys.stderr)
     )
     if args.json:
         _write_json(args.json, tree)
@@ -309,8 +311,8 @@
     if args.keep:
         try:
             print(f"written to {bench.keep(tree, Path(args.keep))}", file=sys.stderr)
-        except OSError as why:
-            raise scenario.ScenarioError(f"--keep {args.keep}: {why.strerror}") from why
+        except OSError as error:
+            raise scenario.ScenarioError(f"--keep {args.keep}: {error.strerror}") from error
     return 0
 
 
@@ -336,37 +338,37 @@
     over = 0
     for count in args.proxies:
         with ProcessPoolExecutor(args.workers) as pool:
-            play = partial(coldsum.play_named, args.policy, count)
-            it = coldsum.summary(count, list(pool.map(play, range(1, args.seeds + 1))))
-        over += it.over
+            run_seed = partial(coldsum.play_named, args.policy, count)
+            result = coldsum.summary(count, list(pool.map(run_seed, range(1, args.seeds + 1))))
+        over += result.over
         print(
-            f"| {count} | {it.seeds} | {it.over} | {it.used:.2f} | {-it.worst:.1f} | {it.planned:.2f} "
-            f"| {it.dispersion:.2f} | {it.served:.3f} |",
+            f"| {count} | {result.seeds} | {result.over} | {result.used:.2f} | {-result.worst:.1f} | {result.planned:.2f} "
+            f"| {result.dispersion:.2f} | {result.served:.3f} |",
             flush=True,
         )
     return 3 if over else 0
 
 
-def _write_report(result: runs.Result, where: str) -> None:
+def _write_report(result: runs.Result, destination: str) -> None:
     from mothstall.lab import report
 
-    path = Path(where)
+    path = Path(destination)
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
         report.write(result, path)
-    except OSError as why:
-        raise scenario.ScenarioError(f"--report {where}: {why.strerror}") from why
+    except OSError as error:
+        raise scenario.ScenarioError(f"--report {destination}: {error.strerror}") from error
 
 
-def _write_json(where: str, tree: dict[str, Any]) -> None:
+def _write_json(destination: str, tree: dict[str, Any]) -> None:
     text = json.dumps(tree, indent=1)
-    if where == "-":
+    if destination == "-":
         print(text)
         return
     try:
-        Path(where).write_text(text + "\n", encoding="utf-8")
-    except OSError as why:
-        raise scenario.ScenarioError(f"--json {where}: {why.strerror}") from why
+        Path(destination).write_text(text + "\n", encoding="utf-8")
+    except OSError as error:
+        raise scenario.ScenarioError(f"--json {destination}: {error.strerror}") from error
 
 
 _COMMANDS = {
--- a/mothstall/lab/compare.py
+++ b/mothstall/lab/compare.py
@@ -24,10 +24,10 @@
 
 from mothstall.lab import policies, runs, scenario
 
-DRAWS = 4000
+RESAMPLES = 4000
 CONFIDENCE = 0.95
-LEAST_SEEDS = 4  # with fewer pairs no interval is computed
-PARENT_S = 1.0  # interval at which a worker checks that its parent process is running
+MIN_PAIRS = 4  # with fewer pairs no interval is computed
+PARENT_CHECK_INTERVAL_S = 1.0  # how often a worker checks that its parent runs
 MEASURES = ("worth", "worst_10s")
 
 
@@ -51,23 +51,23 @@
     high: float
 
     @property
-    def means_nothing(self) -> bool:
-        """Whether the interval includes zero; always so with fewer than `LEAST_SEEDS` pairs."""
+    def is_insignificant(self) -> bool:
+        """Whether the interval includes zero; always so with fewer than `MIN_PAIRS` pairs."""
         return not (self.low > 0 or self.high < 0)
 
     def __str__(self) -> str:
         text = f"{self.mean:+.3f} [{self.low:+.3f}, {self.high:+.3f}]"
-        return text + (" ~" if self.means_nothing else "")
+        return text + (" ~" if self.is_insignificant else "")
 
 
-def difference(one: Sequence[float], other: Sequence[float]) -> Difference:
-    """`other` minus `one`, paired by position."""
-    pairs = np.asarray(other) - np.asarray(one)
+def difference(base: Sequence[float], values: Sequence[float]) -> Difference:
+    """`values` minus `base`, paired by position."""
+    pairs = np.asarray(values) - np.asarray(base)
     mean = float(pairs.mean())
-    if len(pairs) < LEAST_SEEDS:
+    if len(pairs) < MIN_PAIRS:
         return Difference(mean, -1.0, 1.0)
-    draws = np.random.default_rng(len(pairs)).integers(0, len(pairs), (DRAWS, len(pairs)))
-    means = pairs[draws].mean(axis=1)
+    resamples = np.random.default_rng(len(pairs)).integers(0, len(pairs), (RESAMPLES, len(pairs)))
+    means = pairs[resamples].mean(axis=1)
     tail = (1 - CONFIDENCE) / 2
     return Difference(mean, float(np.quantile(means, tail)), float(np.quantile(means, 1 - tail)))
 
@@ -77,7 +77,7 @@
     return difference([0.0] * len(values), values)
 
 
-def _one(
+def _run_one(
     name: str, seconds: float | None, policy: str, seed: int
 ) -> tuple[float, float, dict[str, int]]:
     s = scenario.load(name)
@@ -87,7 +87,7 @@
     return verdict.worth, verdict.worst_10s, verdict.rules
 
 
-class Kept:
+class RunCache:
     """File of finished runs, one line each, from which an interrupted experiment resumes.
 
     Each line holds the fingerprint of the program; lines of another program are ignored. Unreadable
@@ -97,7 +97,7 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self.program = fingerprint()
-        self.found: dict[
+        self.results: dict[
             tuple[str, str, int, float | None], tuple[float, float, dict[str, int]]
         ] = {}
         with contextlib.suppress(FileNotFoundError):
@@ -106,7 +106,7 @@
                     row = json.loads(line)
                     if row["program"] == self.program:
                         key = (row["scenario"], row["policy"], row["seed"], row["seconds"])
-                        self.found[key] = (row["worth"], row["worst_10s"], row["rules"])
+                        self.results[key] = (row["worth"], row["worst_10s"], row["rules"])
 
     def add(
         self, key: tuple[str, str, int, float | None], result: tuple[float, float, dict[str, int]]
@@ -119,13 +119,13 @@
 
 def fingerprint() -> str:
     """Hash of the files that a virtual run depends on: the policy, the lab and its scenarios."""
-    made = hashlib.blake2b(digest_size=8)
+    digest = hashlib.blake2b(digest_size=8)
     package = Path(__file__).parents[1]
     for path in sorted(
         [*package.glob("*.py"), *package.glob("lab/*.py"), *package.glob("lab/scenarios/*")]
     ):
-        made.update(path.name.encode() + path.read_bytes())
-    return made.hexdigest()
+        digest.update(path.name.encode() + path.read_bytes())
+    return digest.hexdigest()
 
 
 def play(
@@ -135,12 +135,12 @@
     *,
     seconds: float | None = None,
     workers: int = 0,
-    done: Callable[[], object] | None = None,
-    kept: Kept | None = None,
+    on_run_done: Callable[[], object] | None = None,
+    cache: RunCache | None = None,
 ) -> list[Row]:
     """Runs all variants in all scenarios, seeds 1 to `seeds`. Raises ScenarioError, PolicyError.
 
-    `done` is called after each run. Runs share no state, so their order does not matter.
+    `on_run_done` is called after each run. Runs share no state, so their order does not matter.
     """
     for variant in variants:
         policies.parse(variant)
@@ -149,30 +149,30 @@
     # Longest runs first, so that no single core is busy with one at the end.
     jobs = [
         (n, p, seed)
-        for n in sorted(names, key=_length, reverse=True)
+        for n in sorted(names, key=_estimated_cost, reverse=True)
         for p in variants
         for seed in range(1, seeds + 1)
     ]
     context = multiprocessing.get_context("spawn")
     count = workers or os.cpu_count() or 1
     with ProcessPoolExecutor(
-        count, mp_context=context, initializer=_follow, initargs=(os.getpid(),)
+        count, mp_context=context, initializer=_exit_with_parent, initargs=(os.getpid(),)
     ) as pool:
-        out = {}
+        pending = {}
         for n, p, seed in jobs:
-            if kept and (n, p, seed, seconds) in kept.found:
-                found[n, p, seed] = kept.found[n, p, seed, seconds]
-                if done:
-                    done()
+            if cache and (n, p, seed, seconds) in cache.results:
+                found[n, p, seed] = cache.results[n, p, seed, seconds]
+                if on_run_done:
+                    on_run_done()
             else:
-                out[pool.submit(_one, n, seconds, p, seed)] = (n, p, seed)
-        for future in as_completed(out):
-            n, p, seed = out[future]
+                pending[pool.submit(_run_one, n, seconds, p, seed)] = (n, p, seed)
+        for future in as_completed(pending):
+            n, p, seed = pending[future]
             found[n, p, seed] = future.result()
-            if kept:
-                kept.add((n, p, seed, seconds), found[n, p, seed])
-            if done:
-                done()
+            if cache:
+                cache.add((n, p, seed, seconds), found[n, p, seed])
+            if on_run_done:
+                on_run_done()
     for (name, policy), row in rows.items():
         for seed in range(1, seeds + 1):
             worth, worst, rules = found[name, policy, seed]
@@ -183,18 +183,18 @@
     return list(rows.values())
 
 
-def _follow(parent: int) -> None:
+def _exit_with_parent(parent: int) -> None:
     """Guards against workers that outlive a killed parent: ends this process with its parent."""
 
-    def look() -> None:
+    def check() -> None:
         while os.getppid() == parent:
-            time.sleep(PARENT_S)
+            time.sleep(PARENT_CHECK_INTERVAL_S)
         os._exit(1)
 
-    threading.Thread(target=look, daemon=True).start()
+    threading.Thread(target=check, daemon=True).start()
 
 
-def _length(name: str) -> float:
+def _estimated_cost(name: str) -> float:
     s = scenario.load(name)
     return s.seconds * s.rate * (1.0 + s.proxies.count / 100)
 
@@ -212,24 +212,24 @@
                 "values": [round(value, 5) for value in values],
                 "difference": round(diff.mean, 5),
                 "interval": [round(diff.low, 5), round(diff.high, 5)],
-                "means_nothing": diff.means_nothing,
+                "means_nothing": diff.is_insignificant,
             }
         tree["scenarios"].setdefault(row.scenario, {})[row.policy] = entry
     return tree
 
 
-def cells(rows: Sequence[Row], variants: Sequence[str], measure: str) -> list[list[str]]:
+def table_rows(rows: Sequence[Row], variants: Sequence[str], measure: str) -> list[list[str]]:
     """Table rows, one per scenario: the first variant's mean, then the others' differences from it.
 
     `~` marks a difference that is not significant, `!` a broken rule.
     """
     table = []
-    by = {(row.scenario, row.policy): row for row in rows}
+    by_key = {(row.scenario, row.policy): row for row in rows}
     for name in dict.fromkeys(row.scenario for row in rows):
-        base = by[name, variants[0]]
+        base = by_key[name, variants[0]]
         line = [name, f"{np.mean(getattr(base, measure)):.3f}" + " !" * bool(base.broken)]
         for variant in variants[1:]:
-            row = by[name, variant]
+            row = by_key[name, variant]
             diff = difference(getattr(base, measure), getattr(row, measure))
             line.append(str(diff) + " !" * bool(row.broken))
         table.append(line)
--- a/mothstall/lab/explore.py
+++ b/mothstall/lab/explore.py
@@ -19,7 +19,7 @@
 
 import xxhash
 
-from mothstall.lab.replicas import Breach
+from mothstall.lab.replicas import InvariantViolation
 from mothstall.store.raft import messages as m
 from mothstall.store.raft.messages import (
     Configuration,
@@ -41,12 +41,10 @@
     entries: int = 2  # client entries proposed, over all leaders
     crashes: int = 1
     candidates: tuple[str, ...] = NAMES  # replicas whose election timeout may expire
-    ordered: bool = (
-        True  # links deliver in order and may lose any message; otherwise delivery in any order
-    )
-    states: int = 2_000_000  # the exploration stops at this number
-    batch: int = MAX_BATCH_BYTES  # bytes of entries in a message; 1 sends one entry per message
-    own_term_only: bool = True  # safeguard of Raft 5.4.2 that tests turn off
+    keeps_link_order: bool = True  # without reordering; any message may be lost either way
+    max_states: int = 2_000_000  # the exploration stops at this number
+    max_batch_bytes: int = MAX_BATCH_BYTES  # 1 sends one entry per message
+    commit_only_own_term: bool = True  # safeguard of Raft 5.4.2 that tests turn off
 
 
 @dataclass(slots=True)
@@ -68,7 +66,7 @@
     """The local state of one replica; each step runs on a fresh copy unpickled from `packed`."""
 
     packed: bytes
-    at: int  # index of the replica in NAMES
+    position: int  # index of the replica in NAMES
     term: int
     role: Role
     log: tuple[tuple[int, bytes], ...]
@@ -86,36 +84,36 @@
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.locals: list[_Local] = []
-        self.words: list[Message] = []
-        self.to: list[int] = []  # by message number, the index of the recipient
-        self.link: list[int] = []  # by message number, the link of sender and recipient
+        self.messages: list[Message] = []
+        self.recipients: list[int] = []  # by message number, the index of the recipient
+        self.links: list[int] = []  # by message number, the link of sender and recipient
         self._local_ids: dict[object, int] = {}
-        self._word_ids: dict[Message, int] = {}
+        self._message_ids: dict[Message, int] = {}
         self._steps: dict[tuple[int, int], tuple[int, tuple[int, ...]]] = {}
-        self._owns: dict[tuple[int, int], list[tuple[int, tuple[int, ...], int, int]]] = {}
-        self._dead: dict[tuple[int, int], bool] = {}
+        self._own_steps: dict[tuple[int, int], list[tuple[int, tuple[int, ...], int, int]]] = {}
+        self._inert: dict[tuple[int, int], bool] = {}
 
-    def fresh(self, name: str, hard: HardState, entries: list[Entry]) -> RaftNode:
-        made = RaftNode(
+    def new_replica(self, name: str, hard: HardState, entries: list[Entry]) -> RaftNode:
+        raft = RaftNode(
             name, Timing(10, 2), 1, hard, Snapshot(0, 0, Configuration(NAMES), b""), entries
         )
-        made.state.recovery_status = RecoveryStatus.NORMAL
-        made.options.is_pre_vote_enabled = False
-        made.options.is_commit_limited_to_own_term = self.bounds.own_term_only
-        made.options.max_batch_bytes = self.bounds.batch
-        return made
+        raft.state.recovery_status = RecoveryStatus.NORMAL
+        raft.options.is_pre_vote_enabled = False
+        raft.options.is_commit_limited_to_own_term = self.bounds.commit_only_own_term
+        raft.options.max_batch_bytes = self.bounds.max_batch_bytes
+        return raft
 
-    def settled(self, raft: RaftNode) -> tuple[int, tuple[int, ...]]:
+    def complete_writes(self, raft: RaftNode) -> tuple[int, tuple[int, ...]]:
         """Completes all writes. Returns the numbers of the local state and of the messages sent."""
-        said: list[int] = []
+        sent: list[int] = []
         while True:
             ready = raft.ready()
             raft.complete_write(ready)
-            said += map(self._word, ready.messages)
+            sent += map(self._intern_message, ready.messages)
             if not ready.needs_write and not ready.messages:
-                return self._known(raft), tuple(said)
+                return self._intern_state(raft), tuple(sent)
 
-    def _known(self, raft: RaftNode) -> int:
+    def _intern_state(self, raft: RaftNode) -> int:
         raft.recovery.observed.clear()  # used only to answer recovery queries, which are off here
         log = tuple((e.term, e.data) for e in raft.log.entries)
         followers = tuple(
@@ -136,49 +134,58 @@
             votes,
             followers,
         )
-        if (known := self._local_ids.get(key)) is None:
-            known = self._local_ids[key] = len(self.locals)
-            at = NAMES.index(raft.name)
+        if (number := self._local_ids.get(key)) is None:
+            number = self._local_ids[key] = len(self.locals)
+            position = NAMES.index(raft.name)
             self.locals.append(
-                _Local(pickle.dumps(raft), at, raft.current_term, raft.role, log, raft.commit_index)
+                _Local(
+                    pickle.dumps(raft),
+                    position,
+                    raft.current_term,
+                    raft.role,
+                    log,
+                    raft.commit_index,
+                )
             )
-        return known
-
-    def _word(self, word: Message) -> int:
-        if (known := self._word_ids.get(word)) is None:
-            known = self._word_ids[word] = len(self.words)
-            self.words.append(word)
-            self.to.append(NAMES.index(word.recipient))
-            self.link.append(NAMES.index(word.sender) * len(NAMES) + NAMES.index(word.recipient))
-        return known
-
-    def _raft(self, local: int) -> RaftNode:
-        raft: RaftNode = pickle.loads(self.locals[local].packed)
+        return number
+
+    def _intern_message(self, message: Message) -> int:
+        if (number := self._message_ids.get(message)) is None:
+            number = self._message_ids[message] = len(self.messages)
+            self.messages.append(message)
+            self.recipients.append(NAMES.index(message.recipient))
+            self.links.append(
+                NAMES.index(message.sender) * len(NAMES) + NAMES.index(message.recipient)
+            )
+        return number
+
+    def _raft(self, state_id: int) -> RaftNode:
+        raft: RaftNode = pickle.loads(self.locals[state_id].packed)
         return raft
 
-    def heard(self, local: int, word: int) -> tuple[int, tuple[int, ...]]:
+    def deliver(self, state_id: int, message: int) -> tuple[int, tuple[int, ...]]:
         """Delivers a message to a replica. Returns its new local state and the messages sent."""
-        key = (local, word)
+        key = (state_id, message)
         if (found := self._steps.get(key)) is None:
-            raft = self._raft(local)
-            if isinstance(self.words[word], m.RequestVote):
+            raft = self._raft(state_id)
+            if isinstance(self.messages[message], m.RequestVote):
                 raft.election.elapsed_ticks = (
                     raft.timing.election_ticks
                 )  # otherwise a replica that recently heard from a leader ignores the vote request
-            raft.step(self.words[word])
-            found = self._steps[key] = self.settled(raft)
+            raft.step(self.messages[message])
+            found = self._steps[key] = self.complete_writes(raft)
         return found
 
-    def own(
-        self, local: int, entries: int, crashes: int
+    def steps_without_message(
+        self, state_id: int, entries: int, crashes: int
     ) -> list[tuple[int, tuple[int, ...], int, int]]:
         """Steps without a message: timeout, proposal, crash; with the entries and crashes left."""
-        key = (local, entries * 8 + crashes)
-        if (found := self._owns.get(key)) is not None:
+        key = (state_id, entries * 8 + crashes)
+        if (found := self._own_steps.get(key)) is not None:
             return found
-        it, bounds = self.locals[local], self.bounds
-        found = self._owns[key] = []
-        raft = self._raft(local)
+        replica, bounds = self.locals[state_id], self.bounds
+        found = self._own_steps[key] = []
+        raft = self._raft(state_id)
         if (
             raft.name in bounds.candidates
             and not raft.is_leader
@@ -186,39 +193,41 @@
         ):
             raft.election.elapsed_ticks = raft.election.timeout_ticks
             raft.tick()
-            found.append((*self.settled(raft), entries, crashes))
-        if it.role is Role.LEADER and entries:
-            raft = self._raft(local)
+            found.append((*self.complete_writes(raft), entries, crashes))
+        if replica.role is Role.LEADER and entries:
+            raft = self._raft(state_id)
             raft.propose(b"%d" % entries)
-            found.append((*self.settled(raft), entries - 1, crashes))
+            found.append((*self.complete_writes(raft), entries - 1, crashes))
         if crashes:
-            raft = self._raft(local)
-            raft = self.fresh(
+            raft = self._raft(state_id)
+            raft = self.new_replica(
                 raft.name, HardState(raft.current_term, raft.voted_for), raft.log.entries
             )
-            found.append((*self.settled(raft), entries, crashes - 1))
+            found.append((*self.complete_writes(raft), entries, crashes - 1))
         return found
 
-    def dead(self, local: int, word: int) -> bool:
+    def is_inert(self, state_id: int, message: int) -> bool:
         """Whether a message to this replica has no effect, now or later.
 
         True for responses of an older term, and for those of the current term if the replica is not
         (and will not again be) candidate or leader in it. A success response that changes nothing
         at a leader never will, because the leader's progress only grows.
         """
-        key = (local, word)
-        if (found := self._dead.get(key)) is None:
-            it, said = self.locals[local], self.words[word]
+        key = (state_id, message)
+        if (found := self._inert.get(key)) is None:
+            replica, response = self.locals[state_id], self.messages[message]
             found = False
-            if isinstance(said, m.RequestVoteResponse):
-                found = said.term < it.term or (
-                    said.term == it.term and it.role is not Role.CANDIDATE
+            if isinstance(response, m.RequestVoteResponse):
+                found = response.term < replica.term or (
+                    response.term == replica.term and replica.role is not Role.CANDIDATE
                 )
-            elif isinstance(said, m.AppendEntriesResponse):
-                found = said.term < it.term or (said.term == it.term and it.role is not Role.LEADER)
-                if not found and said.term == it.term and said.success:
-                    found = self.heard(local, word) == (local, ())
-            self._dead[key] = found
+            elif isinstance(response, m.AppendEntriesResponse):
+                found = response.term < replica.term or (
+                    response.term == replica.term and replica.role is not Role.LEADER
+                )
+                if not found and response.term == replica.term and response.success:
+                    found = self.deliver(state_id, message) == (state_id, ())
+            self._inert[key] = found
         return found
 
 
@@ -226,76 +235,89 @@
     for i, a in enumerate(locals_):
         for b in locals_[i + 1 :]:
             if a.role is b.role is Role.LEADER and a.term == b.term:
-                raise Breach(f"election safety: two leaders of term {a.term}")
+                raise InvariantViolation(f"election safety: two leaders of term {a.term}")
             agree = 0
-            for at, (x, y) in enumerate(zip(a.log, b.log, strict=False), start=1):
+            for index, (x, y) in enumerate(zip(a.log, b.log, strict=False), start=1):
                 if x[0] == y[0]:
-                    agree = at
+                    agree = index
             if a.log[:agree] != b.log[:agree]:
-                raise Breach(f"log matching: {NAMES[a.at]} and {NAMES[b.at]} differ before {agree}")
+                raise InvariantViolation(
+                    f"log matching: {NAMES[a.position]} and {NAMES[b.position]} differ before {agree}"
+                )
             both = min(a.commit, b.commit)
             if a.log[:both] != b.log[:both]:
-                raise Breach(
-                    f"state-machine safety: {NAMES[a.at]} and {NAMES[b.at]} committed other entries"
+                raise InvariantViolation(
+                    f"state-machine safety: {NAMES[a.position]} and {NAMES[b.position]} committed other entries"
                 )
         for b in locals_:
             if b.role is Role.LEADER and b.term >= a.term and len(b.log) < a.commit:
-                raise Breach(
-                    f"leader completeness: {NAMES[b.at]} lacks entries {NAMES[a.at]} committed"
+                raise InvariantViolation(
+                    f"leader completeness: {NAMES[b.position]} lacks entries {NAMES[a.position]} committed"
                 )
 
 
 def explore(bounds: Bounds) -> Explored:
-    """Visits every state within the bounds. Raises Breach at the first violation."""
+    """Visits every state within the bounds. Raises InvariantViolation at the first violation."""
     found, space = Explored(), _Space(bounds)
-    replicas = tuple(space.settled(space.fresh(name, HardState(), []))[0] for name in NAMES)
-    first: _State = (replicas, (), bounds.entries, bounds.crashes)  # type: ignore[assignment]
-    stack: list[_State] = [first]
-    met: set[int] = set()
+    replicas = tuple(
+        space.complete_writes(space.new_replica(name, HardState(), []))[0] for name in NAMES
+    )
+    initial_state: _State = (replicas, (), bounds.entries, bounds.crashes)  # type: ignore[assignment]
+    stack: list[_State] = [initial_state]
+    visited: set[int] = set()
     checked: set[tuple[int, int, int]] = set()
     while stack:
-        for state in _following(space, stack.pop()):
+        for state in _successors(space, stack.pop()):
             found.steps += 1
             key = xxhash.xxh3_64_intdigest(pickle.dumps(state))
-            if key in met:
+            if key in visited:
                 continue
-            met.add(key)
-            three = [space.locals[i] for i in state[0]]
+            visited.add(key)
+            local_states = [space.locals[i] for i in state[0]]
             if state[0] not in checked:
                 checked.add(state[0])
-                _check(three)
+                _check(local_states)
             found.states += 1
-            found.leaders += any(r.role is Role.LEADER for r in three)
-            found.committed += any(data for r in three for _, data in r.log[: r.commit])
-            if found.states >= bounds.states:
+            found.leaders += any(r.role is Role.LEADER for r in local_states)
+            found.committed += any(data for r in local_states for _, data in r.log[: r.commit])
+            if found.states >= bounds.max_states:
                 found.whole = False
                 return found
             stack.append(state)
     return found
 
 
-def _following(space: _Space, state: _State) -> Iterator[_State]:
-    replicas, words, entries, crashes = state
+def _successors(space: _Space, state: _State) -> Iterator[_State]:
+    replicas, messages, entries, crashes = state
 
-    def put(
-        at: int, local: int, rest: tuple[int, ...], said: tuple[int, ...], e: int, c: int
+    def successor(
+        position: int,
+        state_id: int,
+        remaining: tuple[int, ...],
+        sent: tuple[int, ...],
+        e: int,
+        c: int,
     ) -> _State:
-        fresh = (*replicas[:at], local, *replicas[at + 1 :])
-        live = [w for w in (*rest, *said) if not space.dead(fresh[space.to[w]], w)]
-        if space.bounds.ordered:
-            live.sort(key=space.link.__getitem__)  # stable: keeps the order within each link
+        states = (*replicas[:position], state_id, *replicas[position + 1 :])
+        live = [
+            n for n in (*remaining, *sent) if not space.is_inert(states[space.recipients[n]], n)
+        ]
+        if space.bounds.keeps_link_order:
+            live.sort(key=space.links.__getitem__)  # stable: keeps the order within each link
         else:
             live = sorted(set(live))
-        return fresh, tuple(live), e, c  # type: ignore[return-value]
+        return states, tuple(live), e, c  # type: ignore[return-value]
 
-    for i, word in enumerate(words):
-        at = space.to[word]
-        local, said = space.heard(replicas[at], word)
+    for i, message in enumerate(messages):
+        position = space.recipients[message]
+        state_id, sent = space.deliver(replicas[position], message)
         lost = (
-            space.link[word] if space.bounds.ordered else -1
+            space.links[message] if space.bounds.keeps_link_order else -1
         )  # earlier messages of that link are lost
-        rest = tuple(w for w in words[:i] if space.link[w] != lost) + words[i + 1 :]
-        yield put(at, local, rest, said, entries, crashes)
-    for at in range(len(NAMES)):
-        for local, said, e, c in space.own(replicas[at], entries, crashes):
-            yield put(at, local, words, said, e, c)
+        remaining = tuple(n for n in messages[:i] if space.links[n] != lost) + messages[i + 1 :]
+        yield successor(position, state_id, remaining, sent, entries, crashes)
+    for position in range(len(NAMES)):
+        for state_id, sent, e, c in space.steps_without_message(
+            replicas[position], entries, crashes
+        ):
+            yield successor(position, state_id, messages, sent, e, c)
--- a/mothstall/lab/fleetcommand.py
+++ b/mothstall/lab/fleetcommand.py
@@ -148,8 +148,8 @@
 def _simulated(seed: int) -> tuple[int, str, dict[str, int]]:
     plan = replicas.Plan(seed, replicas=3 if seed % 2 else 5)
     try:
-        world = replicas.play(plan)
-    except replicas.Breach as why:
+        world = replicas.run(plan)
+    except replicas.InvariantViolation as why:
         return seed, str(why), {}
     return (
         seed,
@@ -167,8 +167,8 @@
 
 def _simulated_tier(seed: int) -> tuple[int, str, dict[str, int]]:
     try:
-        world = tier.play(tier.Plan(seed))
-    except replicas.Breach as why:
+        world = tier.run(tier.Plan(seed))
+    except replicas.InvariantViolation as why:
         return seed, str(why), {}
     names = ("steps", "joined", "moved", "swept", "refused", "crashes", "fed", "snapshots")
     return seed, "", {name: getattr(world, name) for name in names}
@@ -223,14 +223,14 @@
         entries=args.entries,
         crashes=args.crashes,
         candidates=explore.NAMES[: args.candidates],
-        ordered=not args.any_order,
-        states=args.most,
-        batch=1 if args.one_by_one else MAX_BATCH_BYTES,
+        keeps_link_order=not args.any_order,
+        max_states=args.most,
+        max_batch_bytes=1 if args.one_by_one else MAX_BATCH_BYTES,
     )
     began, why, found = time.monotonic(), "", explore.Explored()
     try:
         found = explore.explore(bounds)
-    except replicas.Breach as breach:
+    except replicas.InvariantViolation as breach:
         why = str(breach)
     tree = {**asdict(found), "missed_odds": found.missed_odds, "breach": why}
     tree["seconds"] = round(time.monotonic() - began, 1)
--- a/mothstall/lab/live.py
+++ b/mothstall/lab/live.py
@@ -18,14 +18,14 @@
 WINDOW_NS = 2 * NS
 
 
-class Playing(Protocol):
+class ActiveRun(Protocol):
     """A driver whose run is in progress."""
 
     world: World
     ledger: Ledger
 
 
-class Board:
+class LiveView:
     """Shows a run: a table that is redrawn on a terminal, one line per second elsewhere."""
 
     def __init__(self, s: Scenario, console: Console | None = None) -> None:
@@ -35,7 +35,7 @@
             Live(console=self.console, refresh_per_second=4) if self.console.is_terminal else None
         )
 
-    def __enter__(self) -> Board:
+    def __enter__(self) -> LiveView:
         if self._live:
             self._live.start()
         return self
@@ -44,7 +44,7 @@
         if self._live:
             self._live.stop()
 
-    def watch(self, run: Playing) -> Any:
+    def watch(self, run: ActiveRun) -> Any:
         def show(now: int) -> None:
             if self._live:
                 self._live.update(self._table(run, now))
@@ -53,72 +53,76 @@
 
         return show
 
-    def _line(self, run: Playing, now: int) -> str:
-        worth, asked, refused = self._service(run.ledger, now)
-        busy = sum(box.in_flight for box in run.world.boxes.values() if box.up)
+    def _line(self, run: ActiveRun, now: int) -> str:
+        worth, requested, refused = self._recent_service(run.ledger, now)
+        in_flight = sum(backend.in_flight for backend in run.world.boxes.values() if backend.up)
         troubles = ", ".join(self._troubles(run, now)) or "none"
         return (
-            f"{now / NS:5.0f} s  worth {worth:.2f}  {asked:4.0f}/s asked  {refused:3.0f}/s refused  "
-            f"{busy:3d} in flight  trouble: {troubles}"
+            f"{now / NS:5.0f} s  worth {worth:.2f}  {requested:4.0f}/s asked  {refused:3.0f}/s refused  "
+            f"{in_flight:3d} in flight  trouble: {troubles}"
         )
 
-    def _service(self, ledger: Ledger, now: int) -> tuple[float, float, float]:
+    def _recent_service(self, ledger: Ledger, now: int) -> tuple[float, float, float]:
         """Fraction of worth served, requests/s and refusals/s in the last judgeable window."""
-        late = max(k.aim for k in self.s.classes)
-        until, since = now - late, now - late - WINDOW_NS
-        asked = got = count = 0.0
+        judged_after = max(k.aim for k in self.s.classes)
+        until, since = now - judged_after, now - judged_after - WINDOW_NS
+        requested = served = count = 0.0
         for intent in reversed(ledger.intents):
             if intent.start < since:
                 break
             if intent.start <= until:
                 kind = self.s.classes[intent.cls]
-                asked, got, count = asked + kind.worth, got + gain(kind, intent), count + 1
+                requested, served, count = (
+                    requested + kind.worth,
+                    served + gain(kind, intent),
+                    count + 1,
+                )
         refused = 0
         for row in reversed(ledger.tries):
             if row.sent < since:
                 break
             refused += row.answer == Answer.REFUSED and row.sent <= until
         seconds = WINDOW_NS / NS
-        return (got / asked if asked else 1.0), count / seconds, refused / seconds
+        return (served / requested if requested else 1.0), count / seconds, refused / seconds
 
-    def _troubles(self, run: Playing, now: int) -> list[str]:
+    def _troubles(self, run: ActiveRun, now: int) -> list[str]:
         return [what for since, until, what in run.ledger.marks if since <= now < until]
 
-    def _table(self, run: Playing, now: int) -> Group:
-        worth, asked, refused = self._service(run.ledger, now)
+    def _table(self, run: ActiveRun, now: int) -> Group:
+        worth, requested, refused = self._recent_service(run.ledger, now)
         table = Table(
             expand=False,
             title=f"{self.s.name}: {min(now / NS, self.s.seconds):.0f} of {self.s.seconds:.0f} s",
         )
         for name in ("backend", "zone", "state", "warmth", "in flight", ""):
             table.add_column(name, justify="right" if name in ("warmth", "in flight") else "left")
-        for box in run.world.boxes.values():
-            if not box.up and not box.silent and now - max(0, box.life.ended) > 3 * NS:
+        for backend in run.world.boxes.values():
+            if not backend.up and not backend.silent and now - max(0, backend.life.ended) > 3 * NS:
                 continue
-            state, style = self._state(box)
-            bar = "#" * min(40, box.in_flight)
-            warmth = f"{box.warmth():.0%}" if box.up else "-"
-            held = str(box.in_flight if box.up else 0)
-            zone = self.s.zones[box.zone]
+            state, style = self._state(backend)
+            bar = "#" * min(40, backend.in_flight)
+            warmth = f"{backend.warmth():.0%}" if backend.up else "-"
+            held = str(backend.in_flight if backend.up else 0)
+            zone = self.s.zones[backend.zone]
             table.add_row(
-                str(box.id), zone, Text(state, style=style), warmth, held, Text(bar, style)
+                str(backend.id), zone, Text(state, style=style), warmth, held, Text(bar, style)
             )
         down = [str(i) for i, up in enumerate(run.world.front.alive) if not up]
-        foot = Text(
-            f"worth {worth:.2f}   {asked:.0f}/s asked   {refused:.0f}/s refused   "
+        footer = Text(
+            f"worth {worth:.2f}   {requested:.0f}/s asked   {refused:.0f}/s refused   "
             f"proxies {self.s.proxies.count}" + (f" (down: {', '.join(down)})" if down else "")
         )
         troubles = Text("trouble: " + (", ".join(self._troubles(run, now)) or "none"), style="bold")
-        return Group(table, foot, troubles)
+        return Group(table, footer, troubles)
 
-    def _state(self, box: Any) -> tuple[str, str]:
-        if not box.up:
-            return ("lost" if box.silent else "gone"), "dim"
+    def _state(self, backend: Any) -> tuple[str, str]:
+        if not backend.up:
+            return ("lost" if backend.silent else "gone"), "dim"
         for name, style in (("hung", "red"), ("paused", "red"), ("draining", "yellow")):
-            if getattr(box, name):
+            if getattr(backend, name):
                 return name, style
-        if box.cut_in or box.cut_out:
+        if backend.cut_in or backend.cut_out:
             return "cut", "red"
-        if box.slow > 1 or box.fail_odds or box.reset_odds or box.spoil_odds:
+        if backend.slow > 1 or backend.fail_odds or backend.reset_odds or backend.spoil_odds:
             return "ailing", "red"
-        return ("cold", "cyan") if box.warmth() < 1 else ("well", "green")
+        return ("cold", "cyan") if backend.warmth() < 1 else ("well", "green")
--- a/mothstall/lab/report.py
+++ b/mothstall/lab/report.py
@@ -21,11 +21,11 @@
 from mothstall.lab.ledger import Answer
 from mothstall.lab.runs import Result
 
-WIDE, LOW = 9.6, 2.7
+WIDTH, HEIGHT = 9.6, 2.7
 STEP_NS = NS // 2
 PERCENTILES = (0, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99)
 COLOURS = ("#2a6f97", "#e07a1f", "#3a8f4d", "#8b5fa8", "#b33951", "#6b7280", "#c9a227", "#16a3a3")
-ENDS = {
+RESULT_COLOURS = {
     Answer.REFUSED: "#e0a33a",
     Answer.FAILED: "#c0392b",
     Answer.LEFT: "#8e8e93",
@@ -48,9 +48,9 @@
 """
 
 
-def write(result: Result, where: Path) -> None:
+def write(result: Result, path: Path) -> None:
     """Writes the page. Raises OSError."""
-    where.write_text(page(result), encoding="utf-8")
+    path.write_text(page(result), encoding="utf-8")
 
 
 def page(result: Result) -> str:
@@ -74,12 +74,12 @@
         _svg(_latency(result), "latency"),
         _latency_table(result),
         "<h2>Requests in flight at each backend</h2>",
-        _svg(_boxes(result, 0), "boxes"),
+        _svg(_backends(result, 0), "boxes"),
         "<h2>Warmth of each backend</h2>",
-        _svg(_boxes(result, 1), "warmth"),
+        _svg(_backends(result, 1), "warmth"),
         "<h2>Tries without a good response</h2>",
-        _svg(_turned_away(result), "ends"),
-        _who(result),
+        _svg(_unsuccessful_tries(result), "ends"),
+        _result_tables(result),
     ]
     if v.breaches:
         rows.append(_breaches(result))
@@ -116,8 +116,8 @@
     )
 
 
-def _figure(high: float = LOW) -> tuple[Figure, Axes]:
-    figure = Figure(figsize=(WIDE, high), layout="constrained")
+def _figure(height: float = HEIGHT) -> tuple[Figure, Axes]:
+    figure = Figure(figsize=(WIDTH, height), layout="constrained")
     return figure, figure.subplots()
 
 
@@ -130,7 +130,7 @@
     return text[text.index("<svg") :]
 
 
-def _mark(axes: Axes, result: Result) -> None:
+def _mark_troubles(axes: Axes, result: Result) -> None:
     """Shades the troubles; their names stand above the plot, overlapping ones on separate lines."""
     ends: list[int] = []
     for since, until, what in sorted(result.ledger.marks):
@@ -161,12 +161,14 @@
     s = result.scenario
     for i, kind in enumerate(s.classes):
         steps = int(s.total_ns // NS) + 1
-        asked, got = [0.0] * steps, [0.0] * steps
+        requested, served = [0.0] * steps, [0.0] * steps
         for intent in result.ledger.intents:
             if intent.cls == i:
-                asked[intent.start // NS] += kind.worth
-                got[intent.start // NS] += gain(kind, intent)
-        points = [(t + 0.5, g / a) for t, (a, g) in enumerate(zip(asked, got, strict=True)) if a]
+                requested[intent.start // NS] += kind.worth
+                served[intent.start // NS] += gain(kind, intent)
+        points = [
+            (t + 0.5, g / a) for t, (a, g) in enumerate(zip(requested, served, strict=True)) if a
+        ]
         axes.plot(
             *zip(*points, strict=True),
             color=COLOURS[i % len(COLOURS)],
@@ -179,7 +181,7 @@
     axes.plot(*zip(*whole, strict=True), color="#1c2733", lw=1.6, label="all")
     axes.set_ylim(0, 1.04)
     _legend(axes, len(s.classes) + 1, "lower right")
-    _mark(axes, result)
+    _mark_troubles(axes, result)
     return figure
 
 
@@ -213,12 +215,15 @@
     return f"<table><tr>{head}</tr>{''.join(rows)}</table>"
 
 
-def _boxes(result: Result, which: int) -> Figure:
+def _backends(result: Result, which: int) -> Figure:
     """Requests in flight or warmth by backend and time; white while a backend is absent."""
     samples = result.ledger.samples
-    boxes = sorted({box for _, rows in samples for box in rows})
-    figure, axes = _figure(max(1.6, min(7.0, 0.7 + 0.17 * len(boxes))))
-    grid = [[rows[box][which] if box in rows else math.nan for _, rows in samples] for box in boxes]
+    backends = sorted({backend for _, rows in samples for backend in rows})
+    figure, axes = _figure(max(1.6, min(7.0, 0.7 + 0.17 * len(backends))))
+    grid = [
+        [rows[backend][which] if backend in rows else math.nan for _, rows in samples]
+        for backend in backends
+    ]
     end = samples[-1][0] / NS if samples else 1.0
     low, high = (0, None) if which == 0 else (0, 1)
     image = axes.imshow(
@@ -228,11 +233,11 @@
         cmap="YlOrBr" if which == 0 else "viridis",
         vmin=low,
         vmax=high,
-        extent=(0, end, len(boxes) - 0.5, -0.5),
+        extent=(0, end, len(backends) - 0.5, -0.5),
     )
-    if len(boxes) <= 30:
-        axes.set_yticks(range(len(boxes)))
-        axes.set_yticklabels([str(box) for box in boxes], fontsize=7)
+    if len(backends) <= 30:
+        axes.set_yticks(range(len(backends)))
+        axes.set_yticklabels([str(backend) for backend in backends], fontsize=7)
     else:
         axes.set_ylabel("backends")
     figure.colorbar(image, ax=axes, pad=0.01, label="in flight" if which == 0 else "warmth")
@@ -241,15 +246,15 @@
     return figure
 
 
-def _turned_away(result: Result) -> Figure:
+def _unsuccessful_tries(result: Result) -> Figure:
     figure, axes = _figure()
     steps = int(result.scenario.total_ns // NS) + 2
-    counts = {end: [0] * steps for end in ENDS}
+    counts = {end: [0] * steps for end in RESULT_COLOURS}
     for row in result.ledger.tries:
         if row.answer in counts and row.at >= 0:
             counts[row.answer][min(steps - 1, row.at // NS)] += 1
     base = [0] * steps
-    for end, colour in ENDS.items():
+    for end, colour in RESULT_COLOURS.items():
         if any(counts[end]):
             axes.bar(
                 [t + 0.5 for t in range(steps)],
@@ -261,12 +266,12 @@
             )
             base = [a + b for a, b in zip(base, counts[end], strict=True)]
     axes.set_ylabel("tries per second")
-    _legend(axes, len(ENDS), "upper right")
-    _mark(axes, result)
+    _legend(axes, len(RESULT_COLOURS), "upper right")
+    _mark_troubles(axes, result)
     return figure
 
 
-def _who(result: Result) -> str:
+def _result_tables(result: Result) -> str:
     """Tables of tries, served tries and other results, by class and by tenant."""
     s = result.scenario
     tables = []
@@ -276,15 +281,15 @@
     ):
         if not names:
             continue
-        asked = Counter(getattr(row.intent, at) for row in result.ledger.tries)
+        requested = Counter(getattr(row.intent, at) for row in result.ledger.tries)
         ends = Counter((getattr(row.intent, at), row.answer) for row in result.ledger.tries)
-        shown = [end for end in ENDS if any(ends[i, end] for i in range(len(names)))]
+        shown = [end for end in RESULT_COLOURS if any(ends[i, end] for i in range(len(names)))]
         head = "".join(
             f"<th>{h}</th>" for h in (label, "tries", "served", *(e.name.lower() for e in shown))
         )
         body = ""
         for i, name in enumerate(names):
-            cells = [asked[i], ends[i, Answer.SERVED], *(ends[i, end] for end in shown)]
+            cells = [requested[i], ends[i, Answer.SERVED], *(ends[i, end] for end in shown)]
             row = "".join(f"<td class='n'>{n}</td>" for n in cells)
             body += f"<tr><td>{html.escape(name)}</td>{row}</tr>"
         tables.append(f"<table><tr>{head}</tr>{body}</table>")
--- a/mothstall/lab/tier.py
+++ b/mothstall/lab/tier.py
@@ -2,8 +2,8 @@
 
 The keepers are modelled as one ordered log and two lagging copies of the state; `replicas` has the
 consensus itself. Messages are lost, duplicated, delayed and reordered; observers and proxies crash,
-pause and are partitioned; proxies stop reading; the leader of the log changes. A `Breach` names the
-seed and the violated invariant; equal seeds give equal runs.
+pause and are partitioned; proxies stop reading; the leader of the log changes. An `InvariantViolation`
+names the seed and the violated invariant; equal seeds give equal runs.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from mothstall.fleet.observers.orphan_sweeper import OrphanSweeper
 from mothstall.fleet.observers.subscription import Subscription
 from mothstall.fleet.observers.subscription_fanout import SubscriptionFanout
-from mothstall.lab.replicas import Breach as Breach
+from mothstall.lab.replicas import InvariantViolation as InvariantViolation
 from mothstall.store.state import membership
 from mothstall.store.state.changes import (
     AcquireLease,
@@ -45,14 +45,14 @@
 from mothstall.store.state.rows import Drain, DrainKind, Member, StateDelta
 
 MS = 1_000_000
-TERM_MS, MARGIN_MS, DRIFT = 600, 40, 0.02
-SPANS = AttachmentTimings.from_lease_term(TERM_MS * MS)
-GRACE_NS = 3_000 * MS
-TICK = 50 * MS
-BACK_NS = 8_000 * MS  # from the last fault until each running proxy is a member again
-MAX_UNSAID = 2  # frames in flight to one subscriber
-KEEPERS_SIDE = ("observer cut", "lag", "leader", "region")  # no fault at proxies or on their links
-FAULTS = (
+LEASE_MS, MARGIN_MS, MAX_DRIFT = 600, 40, 0.02
+TIMINGS = AttachmentTimings.from_lease_term(LEASE_MS * MS)
+ORPHAN_GRACE_NS = 3_000 * MS
+TICK_NS = 50 * MS
+RECOVERY_NS = 8_000 * MS  # from the last fault until each running proxy is a member again
+MAX_IN_FLIGHT = 2  # frames in flight to one subscriber
+KEEPER_FAULTS = ("observer cut", "lag", "leader", "region")  # no fault at proxies or on their links
+FAULT_KINDS = (
     "observer",
     "observer stalls",
     "observer cut",
@@ -70,12 +70,12 @@
 class Guards:
     """Safeguards that a test turns off to show that the invariants detect their absence."""
 
-    turns: bool = True  # an attachment with an older epoch cannot replace a newer row
-    token_on_apply: bool = True
+    check_epoch_on_apply: bool = True  # an older epoch cannot replace a newer row
+    check_token_on_apply: bool = True
     fenced: bool = True  # attachments count only under the observer's current lease token
     newer_only: bool = True
     bounded: bool = True
-    grace: bool = True  # orphaned proxies get time to attach elsewhere before they are removed
+    orphan_grace: bool = True  # orphans get time to attach elsewhere before removal
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,20 +84,20 @@
     observers: int = 4
     proxies: int = 8
     seconds: float = 24.0
-    quiet: float = 9.0  # seconds without faults at the end of the run
+    quiet_seconds: float = 9.0  # seconds without faults at the end of the run
     loss: float = 0.04
-    doubled: float = 0.04
-    late: float = 0.04  # fraction of messages with a 300 times longer delay
-    faults_every: float = 0.4
-    crash_odds: float = 0.003  # probability that an observer crashes at one of its ticks
-    kinds: tuple[str, ...] = FAULTS
+    duplication: float = 0.04
+    delayed: float = 0.04  # fraction of messages with a 300 times longer delay
+    fault_interval: float = 0.4
+    crash_probability: float = 0.003  # probability that an observer crashes at one of its ticks
+    fault_kinds: tuple[str, ...] = FAULT_KINDS
     guards: Guards = field(default_factory=Guards)
 
     @property
-    def proxies_sound(self) -> bool:
+    def proxies_are_faultless(self) -> bool:
         """Whether the plan has no fault of proxies or of their links to observers."""
-        said = self.loss or self.doubled or self.late or self.crash_odds
-        return not said and set(self.kinds) <= set(KEEPERS_SIDE)
+        link_faults = self.loss or self.duplication or self.delayed or self.crash_probability
+        return not link_faults and set(self.fault_kinds) <= set(KEEPER_FAULTS)
 
 
 @dataclass(slots=True)
@@ -105,10 +105,10 @@
     """A proposal of one observer, resubmitted until it is answered or times out."""
 
     observer: Observer
-    life: int
+    incarnation: int
     proposal: Proposal
     sent: int
-    again: int
+    resubmitted_at: int
 
 
 class Observer:
@@ -117,128 +117,128 @@
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
         self.lease = OBSERVER_LEASE_PREFIX + name
-        self.rate = 1.0 + (world.rng.random() - 0.5) * DRIFT
-        self.life = 0
+        self.clock_rate = 1.0 + (world.rng.random() - 0.5) * MAX_DRIFT
+        self.incarnation = 0
         self.up = self.paused = False
-        self.mail: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self.inbox: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.start()
 
     def now(self) -> int:
-        return int(self.world.now * self.rate)
+        return int(self.world.now * self.clock_rate)
 
     def start(self) -> None:
         guards = self.world.guards
-        self.life += 1
-        self.up, self.paused, self.mail = True, False, []
-        self.owner = f"{self.name}#{self.life}"
-        self.holder = LeaseHolder(TERM_MS, MARGIN_MS, DRIFT)
-        self.presence = AttachmentTable(self.lease, SPANS, batch_size=3, fenced=guards.fenced)
-        self.sweep = OrphanSweeper(self.name, GRACE_NS if guards.grace else 0)
+        self.incarnation += 1
+        self.up, self.paused, self.inbox = True, False, []
+        self.owner = f"{self.name}#{self.incarnation}"
+        self.holder = LeaseHolder(LEASE_MS, MARGIN_MS, MAX_DRIFT)
+        self.table = AttachmentTable(self.lease, TIMINGS, batch_size=3, fenced=guards.fenced)
+        self.sweeper = OrphanSweeper(self.name, ORPHAN_GRACE_NS if guards.orphan_grace else 0)
         self.fanout = SubscriptionFanout(
             newer_only=guards.newer_only,
             bounded=guards.bounded,
             max_changes=24,
-            heartbeat_ns=SPANS.observer_heartbeat_ns,
+            heartbeat_ns=TIMINGS.observer_heartbeat_ns,
         )
         self.call: Call | None = None
         self.batch: UpdateMembers | None = None
         self.session = self.serial = 0
-        self.renewed = 0
-        self.heard = 0  # time of the last update from a keeper
+        self.renewed_at = 0
+        self.last_update = 0  # time of the last update from a keeper
         self.keeper = self.world.rng.randrange(len(self.world.copies))
-        self.unsaid: dict[str, int] = {}
-        self.world.after(self.world.rng.randrange(TICK), self._tick, self.life)
+        self.in_flight: dict[str, int] = {}
+        self.world.after(self.world.rng.randrange(TICK_NS), self._tick, self.incarnation)
 
     def is_authoritative_for(self, name: str) -> bool:
         """Whether this observer has a valid lease under which the proxy is a member."""
         token = self.holder.valid_token(self.lease, self.now())
-        return self.presence.is_authoritative_for(name, token)
+        return self.table.is_authoritative_for(name, token)
 
     def crash(self) -> None:
-        self.up, self.life, self.mail = False, self.life + 1, []
+        self.up, self.incarnation, self.inbox = False, self.incarnation + 1, []
 
-    def take(self, what: Callable[..., None], *args: Any) -> None:
+    def deliver(self, action: Callable[..., None], *args: Any) -> None:
         """Delivers an input to this process, after the pause if it is paused."""
         if not self.up:
             return
         if self.paused:
-            if len(self.mail) < 10_000:
-                self.mail.append((what, args))
+            if len(self.inbox) < 10_000:
+                self.inbox.append((action, args))
             return
-        what(*args)
+        action(*args)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         if not self.paused:
             return
         self.paused = False
-        mail, self.mail = self.mail, []
-        for what, args in mail:
-            self.take(what, *args)
+        inbox, self.inbox = self.inbox, []
+        for action, args in inbox:
+            self.deliver(action, *args)
 
-    def _tick(self, life: int) -> None:
-        if life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         world = self.world
-        world.after(int(TICK / self.rate), self._tick, life)
+        world.after(int(TICK_NS / self.clock_rate), self._tick, incarnation)
         if self.paused:
             return
-        if world.faulty() and world.rng.random() < world.plan.crash_odds:
+        if world.faults_are_on() and world.rng.random() < world.plan.crash_probability:
             world.restart_later(self)
             return
         now = self.now()
         self.holder.drop_expired(now)
-        self.presence.set_lease_token(self.holder.valid_token(self.lease, now))
-        self.presence.tick(now)
-        if self.presence.lease_token:
-            for leave in self.sweep.due_leaves(self.fanout.members, now):
-                self.presence.request_leave(leave)
+        self.table.set_lease_token(self.holder.valid_token(self.lease, now))
+        self.table.tick(now)
+        if self.table.lease_token:
+            for leave in self.sweeper.due_leaves(self.fanout.members, now):
+                self.table.request_leave(leave)
         if self.call is not None:
-            self._again(now)
+            self._check_call(now)
         else:
-            self._next(now)
-        world.feed(self)
-        self._tell(now)
+            self._propose_next(now)
+        world.send_delta(self)
+        self._send_updates(now)
 
-    def _again(self, now: int) -> None:
+    def _check_call(self, now: int) -> None:
         assert self.call is not None
         if now - self.call.sent > 1500 * MS:
             # The outcome is unknown, so its serial must not be reused: a new session is opened.
             if self.batch is not None:
-                self.presence.complete_batch(self.batch, None, now)
+                self.table.complete_batch(self.batch, None, now)
             self.call, self.batch, self.session = None, None, 0
-        elif now - self.call.again > 300 * MS:
-            self.call.again = now
+        elif now - self.call.resubmitted_at > 300 * MS:
+            self.call.resubmitted_at = now
             self.keeper = self.world.rng.randrange(len(self.world.copies))
             self.world.submit(self.call)
 
-    def _next(self, now: int) -> None:
+    def _propose_next(self, now: int) -> None:
         token = self.holder.valid_token(self.lease, now)
         if not self.session:
-            self._ask(OpenSession(self.owner), now)
+            self._propose(OpenSession(self.owner), now)
         elif not token:
             held = self.fanout.leases.get(self.lease)
             if held is None or held.owner == self.owner:
-                self._ask(AcquireLease(self.lease, self.owner, TERM_MS), now)
-        elif now - self.renewed > TERM_MS * MS // 3:
-            self.renewed = now
-            self._ask(RenewLeases(self.owner, ((self.lease, token),)), now)
-        elif batch := self.presence.next_batch():
+                self._propose(AcquireLease(self.lease, self.owner, LEASE_MS), now)
+        elif now - self.renewed_at > LEASE_MS * MS // 3:
+            self.renewed_at = now
+            self._propose(RenewLeases(self.owner, ((self.lease, token),)), now)
+        elif batch := self.table.next_batch():
             self.batch = batch
             for join in batch.joins:
-                if not self.presence.attachments[join.name].is_connected:
-                    self.world.breach(f"{self.name} joins {join.name}, whose connection is closed")
-            self._ask(batch, now)
+                if not self.table.attachments[join.name].is_connected:
+                    self.world.fail(f"{self.name} joins {join.name}, whose connection is closed")
+            self._propose(batch, now)
 
-    def _ask(self, change: Change, now: int) -> None:
+    def _propose(self, change: Change, now: int) -> None:
         if isinstance(change, OpenSession):
-            proposal = Proposal(0, self.world.number(), change)
+            proposal = Proposal(0, self.world.next_number(), change)
         else:
             self.serial += 1
             proposal = Proposal(self.session, self.serial, change)
-        self.call = Call(self, self.life, proposal, now, now)
+        self.call = Call(self, self.incarnation, proposal, now, now)
         self.world.submit(self.call)
 
-    def answered(self, call: Call, result: ChangeResult) -> None:
+    def handle_result(self, call: Call, result: ChangeResult) -> None:
         if self.call is not call:
             return
         now, change = self.now(), call.proposal.change
@@ -251,10 +251,10 @@
             self.session = 0
         if isinstance(change, AcquireLease) and not result.rejected_reason:
             self.holder.record_grant(self.lease, result.token, call.sent, now)
-            self.renewed = call.sent
-            self.presence.set_lease_token(self.holder.valid_token(self.lease, now))
-            for seat in self.presence.apply_snapshot(self.fanout.members):
-                self.unsaid.pop(seat.name, None)
+            self.renewed_at = call.sent
+            self.table.set_lease_token(self.holder.valid_token(self.lease, now))
+            for attachment in self.table.apply_snapshot(self.fanout.members):
+                self.in_flight.pop(attachment.name, None)
         elif isinstance(change, RenewLeases) and not result.rejected_reason:
             if result.lost_leases:
                 self.holder.forget(self.lease)
@@ -264,62 +264,64 @@
         elif isinstance(change, UpdateMembers):
             if result.is_token_stale:
                 self.holder.forget(self.lease)
-                self.presence.set_lease_token(0)
+                self.table.set_lease_token(0)
             done = None if result.rejected_reason else result.lost_leases
-            for seat in self.presence.complete_batch(batch or change, done, now):
-                self.world.say(self, seat.name, "seated", seat.owner, seat.epoch)
+            for attachment in self.table.complete_batch(batch or change, done, now):
+                self.world.send_to_proxy(
+                    self, attachment.name, "seated", attachment.owner, attachment.epoch
+                )
 
     # State updates and their fan-out
 
-    def told(self, delta: StateDelta) -> None:
+    def apply_delta(self, delta: StateDelta) -> None:
         now = self.now()
-        found = self.fanout.apply(delta)
-        if found is None:
-            self.world.feed(self, whole=True)
+        changes = self.fanout.apply(delta)
+        if changes is None:
+            self.world.send_delta(self, full=True)
             return
-        self.heard = now
-        self.sweep.apply_changes(found.leases, found.members, now)
-        for seat in self.presence.apply_changes(found.members):
-            self.fanout.unsubscribe(seat.name)
-            self.unsaid.pop(seat.name, None)
-
-    def _tell(self, now: int) -> None:
-        age = now - self.heard if self.heard else 1 << 50
-        made = self.fanout.due_updates(
-            now, 64, msgspec.msgpack.encode, lambda name: self.unsaid.get(name, 0)
+        self.last_update = now
+        self.sweeper.apply_changes(changes.leases, changes.members, now)
+        for attachment in self.table.apply_changes(changes.members):
+            self.fanout.unsubscribe(attachment.name)
+            self.in_flight.pop(attachment.name, None)
+
+    def _send_updates(self, now: int) -> None:
+        age = now - self.last_update if self.last_update else 1 << 50
+        updates = self.fanout.due_updates(
+            now, 64, msgspec.msgpack.encode, lambda name: self.in_flight.get(name, 0)
         )
-        for name, data in made:
-            self.unsaid[name] = self.unsaid.get(name, 0) + 1
-            self.world.say(self, name, "fed", data, age)
+        for name, data in updates:
+            self.in_flight[name] = self.in_flight.get(name, 0) + 1
+            self.world.send_to_proxy(self, name, "fed", data, age)
 
     # Messages of proxies
 
-    def hear(self, proxy: Proxy, word: str, *args: Any) -> None:
+    def receive(self, proxy: Proxy, kind: str, *args: Any) -> None:
         now, name = self.now(), proxy.name
-        if word == "attach":
-            owner, turn, sub, version = args
-            if self.presence.attach(name, owner, turn, sub.zone, now):
+        if kind == "attach":
+            owner, epoch, subscription, version = args
+            if self.table.attach(name, owner, epoch, subscription.zone, now):
                 return
-            self.unsaid[name] = 0
-            self.fanout.subscribe(name, sub, version)
-        elif word == "beat":
-            owner, turn, version = args
-            if not self.presence.record_heartbeat(name, owner, turn, now):
-                self.world.say(self, name, "unknown", owner, turn)
-        elif word == "again":
-            owner, turn, version = args
+            self.in_flight[name] = 0
+            self.fanout.subscribe(name, subscription, version)
+        elif kind == "beat":
+            owner, epoch, version = args
+            if not self.table.record_heartbeat(name, owner, epoch, now):
+                self.world.send_to_proxy(self, name, "unknown", owner, epoch)
+        elif kind == "again":
+            owner, epoch, version = args
             reader = self.fanout.subscribers.get(name)
-            if reader is not None and self.presence.record_heartbeat(name, owner, turn, now):
+            if reader is not None and self.table.record_heartbeat(name, owner, epoch, now):
                 self.fanout.subscribe(name, reader.subscription, version)
-        elif word == "end":
-            owner, turn = args
-            self.presence.detach(name, owner, turn)
+        elif kind == "end":
+            owner, epoch = args
+            self.table.detach(name, owner, epoch)
             self.fanout.unsubscribe(name)
 
-    def taken(self, name: str) -> None:
+    def frame_read(self, name: str) -> None:
         """Records that a proxy has read a frame, or that its connection dropped it."""
-        if name in self.unsaid:
-            self.unsaid[name] = max(0, self.unsaid[name] - 1)
+        if name in self.in_flight:
+            self.in_flight[name] = max(0, self.in_flight[name] - 1)
 
 
 class Proxy:
@@ -327,122 +329,120 @@
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
-        self.rate = 1.0 + (world.rng.random() - 0.5) * DRIFT
-        self.life = 0
-        self.up = self.paused = self.slow = False
-        self.mail: list[tuple[Any, ...]] = []
+        self.clock_rate = 1.0 + (world.rng.random() - 0.5) * MAX_DRIFT
+        self.incarnation = 0
+        self.up = self.paused = self.reads_nothing = False
+        self.inbox: list[tuple[Any, ...]] = []
         self.start()
 
     def now(self) -> int:
-        return int(self.world.now * self.rate)
+        return int(self.world.now * self.clock_rate)
 
     def start(self) -> None:
-        self.life += 1
-        self.up, self.paused, self.slow, self.mail = True, False, False, []
-        self.owner = f"{self.name}#{self.life}"
+        self.incarnation += 1
+        self.up, self.paused, self.reads_nothing, self.inbox = True, False, False, []
+        self.owner = f"{self.name}#{self.incarnation}"
         self.view = ClusterSnapshot()
-        self.sub = Subscription(self.zone)
-        self.ways = ObserverSelector(
+        self.subscription = Subscription(self.zone)
+        self.selector = ObserverSelector(
             random.Random(self.world.rng.random()),
-            observer_timeout_ns=SPANS.observer_timeout_ns,
+            observer_timeout_ns=TIMINGS.observer_timeout_ns,
             max_staleness_ns=500 * MS,
             home_return_delay_ns=4_000 * MS,
             max_backoff_ns=1_000 * MS,
-            reconnect_jitter_ns=SPANS.reconnect_jitter_ns,
+            reconnect_jitter_ns=TIMINGS.reconnect_jitter_ns,
         )
         observers = list(self.world.observers.values())
         home = [o.name for o in observers if o.zone == self.zone]
-        self.ways.add_endpoints(home, [o.name for o in observers if o.zone != self.zone])
-        self.at = ""
-        self.turn = self.due = self.seated = 0
+        self.selector.add_endpoints(home, [o.name for o in observers if o.zone != self.zone])
+        self.observer = ""
+        self.epoch = self.retry_at = self.attached_epoch = 0
         self.age = 0
-        self.world.after(self.world.rng.randrange(100 * MS), self._tick, self.life)
+        self.world.after(self.world.rng.randrange(100 * MS), self._tick, self.incarnation)
 
     def crash(self) -> None:
-        self.up, self.life, self.mail = False, self.life + 1, []
+        self.up, self.incarnation, self.inbox = False, self.incarnation + 1, []
 
-    def _tick(self, life: int) -> None:
-        if life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        self.world.after(self.world.rng.randrange(60 * MS, 140 * MS), self._tick, life)
+        self.world.after(self.world.rng.randrange(60 * MS, 140 * MS), self._tick, incarnation)
         if self.paused:
             return
         now = self.now()
-        if not self.at:
-            if now >= self.due:
-                name, wait = self.ways.choose_next(now)
-                if wait:
-                    self.due = now + wait
+        if not self.observer:
+            if now >= self.retry_at:
+                name, delay = self.selector.choose_next(now)
+                if delay:
+                    self.retry_at = now + delay
                     return
-                self.at, self.turn = name, self.ways.connected(now)
-                self.world.went[(self.owner, self.turn)] = name
-                self._say("attach", self.owner, self.turn, self.sub, self.view.version)
+                self.observer, self.epoch = name, self.selector.connected(now)
+                self.world.targets[(self.owner, self.epoch)] = name
+                self._send("attach", self.owner, self.epoch, self.subscription, self.view.version)
             return
-        if why := self.ways.reason_to_leave(self.age, now):
-            self._leave(why, now)
+        if reason := self.selector.reason_to_leave(self.age, now):
+            self._leave(reason, now)
             return
-        self._say("beat", self.owner, self.turn, self.view.version)
+        self._send("beat", self.owner, self.epoch, self.view.version)
 
-    def _leave(self, why: str, now: int) -> None:
-        self.world.unlink(self)
-        self.ways.disconnected(why, now)
-        self.at, self.seated, self.age = "", 0, 0
+    def _leave(self, reason: str, now: int) -> None:
+        self.world.close_connection(self)
+        self.selector.disconnected(reason, now)
+        self.observer, self.attached_epoch, self.age = "", 0, 0
 
-    def _say(self, word: str, *args: Any) -> None:
-        self.world.to_observer(self, word, *args)
+    def _send(self, kind: str, *args: Any) -> None:
+        self.world.send_to_observer(self, kind, *args)
 
-    def take(self, sender: str, turn: int, word: str, args: tuple[Any, ...]) -> None:
+    def deliver(self, sender: str, epoch: int, kind: str, args: tuple[Any, ...]) -> None:
         if not self.up:
             return
-        if self.paused or self.slow:
-            self.mail.append((sender, turn, word, args))
-            if len(self.mail) > 40:
-                self.world.breach(
-                    f"{self.name} reads nothing, and {len(self.mail)} frames are queued for it"
-                )
+        if self.paused or self.reads_nothing:
+            self.inbox.append((sender, epoch, kind, args))
+            if len(self.inbox) > 40:
+                self.world.fail(f"{self.name} reads nothing, {len(self.inbox)} frames are queued")
             return
-        self._take(sender, turn, word, args)
+        self._process(sender, epoch, kind, args)
 
-    def _take(self, sender: str, turn: int, word: str, args: tuple[Any, ...]) -> None:
-        if sender != self.at or turn != self.turn:
+    def _process(self, sender: str, epoch: int, kind: str, args: tuple[Any, ...]) -> None:
+        if sender != self.observer or epoch != self.epoch:
             return  # sent on an earlier connection
         now = self.now()
-        if word == "fed":
+        if kind == "fed":
             data, age = args
             self.age = age
-            self.ways.record_update(age, now)
-            self._follow(msgspec.msgpack.decode(data, type=StateDelta))
-            self.world.observers[sender].taken(self.name)
-        elif word == "unknown" and args == (self.owner, self.turn):
+            self.selector.record_update(age, now)
+            self._apply_delta(msgspec.msgpack.decode(data, type=StateDelta))
+            self.world.observers[sender].frame_read(self.name)
+        elif kind == "unknown" and args == (self.owner, self.epoch):
             self._leave("the observer has no attachment of this proxy", now)
-        elif word == "seated":
-            self.seated = self.turn
+        elif kind == "seated":
+            self.attached_epoch = self.epoch
 
-    def _follow(self, delta: StateDelta) -> None:
+    def _apply_delta(self, delta: StateDelta) -> None:
         before = self.view.version
         if self.world.guards.newer_only:
-            fresh = self.view.apply(delta)
+            updated = self.view.apply(delta)
         else:
-            fresh = (
+            updated = (
                 ClusterSnapshot().apply(delta)
                 if not delta.since_version
                 else self.view.apply(delta)
             )
-        if fresh is None:
-            self._say("again", self.owner, self.turn, self.view.version)
+        if updated is None:
+            self._send("again", self.owner, self.epoch, self.view.version)
             return
-        self.view = fresh
-        if fresh.version < before:
-            self.world.breach(f"{self.name} was told version {fresh.version} after {before}")
-        if fresh.version != before:
-            self.world.told(self)
-
-    def wake(self) -> None:
-        self.paused = self.slow = False
-        mail, self.mail = self.mail, []
-        for row in mail:
+        self.view = updated
+        if updated.version < before:
+            self.world.fail(f"{self.name} was told version {updated.version} after {before}")
+        if updated.version != before:
+            self.world.check_view(self)
+
+    def resume(self) -> None:
+        self.paused = self.reads_nothing = False
+        inbox, self.inbox = self.inbox, []
+        for row in inbox:
             if self.up:
-                self._take(*row)
+                self._process(*row)
 
 
 class World:
@@ -450,22 +450,20 @@
         self.plan, self.guards = plan, plan.guards
         self.rng = random.Random(plan.seed)
         self.now = 0
-        self._heap: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._count = self._number = 0
+        self._events: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self._event_count = self._number = 0
         self.steps = 0
         self.end = int(plan.seconds * 1e9)
         self.state = self._empty()
-        self.grantor = LeaseExpiryTracker()
+        self.lease_tracker = LeaseExpiryTracker()
         self.expiring: set[tuple[str, int]] = set()
         self.copies = [self._empty(), self._empty()]
-        self.lagging = [0, 0]
+        self.lagging_until = [0, 0]
         self.log: list[bytes] = []
         self.cuts: set[tuple[str, str]] = set()  # pairs of (a proxy's name or "keepers", observer)
-        self.went: dict[
-            tuple[str, int], str
-        ] = {}  # observer chosen by a proxy process for an epoch
-        self.over: dict[tuple[str, int], int] = {}  # end of each ended observer lease
-        self.images: dict[int, tuple[Any, ...]] = {0: ({}, {}, {}, {})}
+        self.targets: dict[tuple[str, int], str] = {}  # observer chosen for an epoch
+        self.ended_leases: dict[tuple[str, int], int] = {}  # end of each ended observer lease
+        self.state_by_version: dict[int, tuple[Any, ...]] = {0: ({}, {}, {}, {})}
         self.joined = self.moved = self.swept = self.refused = self.fed = self.snapshots = (
             self.crashes
         ) = 0
@@ -477,121 +475,119 @@
         }
         self._drain = 0
         self.after(500 * MS, self._operator)
-        self.after(TICK, self._keep)
-        self.after(int(self.rng.expovariate(1.0 / plan.faults_every) * 1e9), self._fault)
+        self.after(TICK_NS, self._tick_keepers)
+        self.after(int(self.rng.expovariate(1.0 / plan.fault_interval) * 1e9), self._inject_fault)
 
     def _empty(self) -> StateMachine:
-        made = StateMachine()
-        made.check_token_on_apply, made.check_epoch_on_apply = (
-            self.guards.token_on_apply,
-            self.guards.turns,
+        machine = StateMachine()
+        machine.check_token_on_apply, machine.check_epoch_on_apply = (
+            self.guards.check_token_on_apply,
+            self.guards.check_epoch_on_apply,
         )
-        return made
-
-    # Time
+        return machine
 
-    def after(self, wait: int, what: Callable[..., Any], *args: Any) -> None:
-        self._count += 1
-        heapq.heappush(self._heap, (self.now + max(0, wait), self._count, what, args))
+    def after(self, delay: int, action: Callable[..., Any], *args: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (self.now + max(0, delay), self._event_count, action, args))
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         self._number += 1
         return self._number
 
-    def faulty(self) -> bool:
-        return self.now < self.end - int(self.plan.quiet * 1e9)
+    def faults_are_on(self) -> bool:
+        return self.now < self.end - int(self.plan.quiet_seconds * 1e9)
 
-    def play(self) -> World:
-        """Runs to the end. Raises Breach on a violation during the run or in the final state."""
-        while self._heap and self._heap[0][0] <= self.end:
-            self.now, _, what, args = heapq.heappop(self._heap)
-            what(*args)
+    def run(self) -> World:
+        """Runs to the end. Raises InvariantViolation, also for the final state."""
+        while self._events and self._events[0][0] <= self.end:
+            self.now, _, action, args = heapq.heappop(self._events)
+            action(*args)
             self.steps += 1
-            self._look()
-        self._settled()
+            self._check_invariants()
+        self._check_final_state()
         return self
 
-    def breach(self, what: str) -> None:
-        raise Breach(f"seed {self.plan.seed} at {self.now / 1e9:.3f} s: {what}")
+    def fail(self, message: str) -> None:
+        raise InvariantViolation(f"seed {self.plan.seed} at {self.now / 1e9:.3f} s: {message}")
 
     # Faults
 
-    def _fault(self) -> None:
-        if not self.faulty():
+    def _inject_fault(self) -> None:
+        if not self.faults_are_on():
             self.cuts.clear()
-            self.lagging = [0, 0]
+            self.lagging_until = [0, 0]
             every: list[Observer | Proxy] = [*self.observers.values(), *self.proxies.values()]
-            for one in every:
-                one.wake()
-                if not one.up:
-                    one.start()
+            for node in every:
+                node.resume()
+                if not node.up:
+                    node.start()
             return
         rng = self.rng
-        self.after(int(rng.expovariate(1.0 / self.plan.faults_every) * 1e9), self._fault)
-        kind, lasts = rng.choice(self.plan.kinds), int(rng.uniform(0.05, 2.0) * 1e9)
+        self.after(int(rng.expovariate(1.0 / self.plan.fault_interval) * 1e9), self._inject_fault)
+        kind, duration = rng.choice(self.plan.fault_kinds), int(rng.uniform(0.05, 2.0) * 1e9)
         observer = rng.choice(list(self.observers.values()))
         proxy = rng.choice(list(self.proxies.values()))
         if kind == "observer":
             self.restart_later(observer)
         elif kind == "observer stalls":
             observer.paused = observer.up
-            self.after(lasts, self._wake, observer, observer.life)
+            self.after(duration, self._resume, observer, observer.incarnation)
         elif kind == "observer cut":
-            self._cut({("keepers", observer.name)}, lasts)
+            self._cut_links({("keepers", observer.name)}, duration)
         elif kind == "proxy":
             if proxy.up and rng.random() < 0.3:
-                proxy._say("end", proxy.owner, proxy.turn)
+                proxy._send("end", proxy.owner, proxy.epoch)
             self.restart_later(proxy)
         elif kind == "proxy stalls":
             proxy.paused = proxy.up
-            self.after(lasts, self._wake, proxy, proxy.life)
+            self.after(duration, self._resume, proxy, proxy.incarnation)
         elif kind == "proxy cut":
             some = [o for o in self.observers if rng.random() < 0.5]
-            self._cut({(proxy.name, name) for name in some}, lasts)
+            self._cut_links({(proxy.name, name) for name in some}, duration)
         elif kind == "slow reader":
-            proxy.slow = proxy.up
-            self.after(lasts, self._wake, proxy, proxy.life)
+            proxy.reads_nothing = proxy.up
+            self.after(duration, self._resume, proxy, proxy.incarnation)
         elif kind == "lag":
-            self.lagging[rng.randrange(len(self.copies))] = self.now + lasts
+            self.lagging_until[rng.randrange(len(self.copies))] = self.now + duration
         elif kind == "leader":
             rows = [(row.name, row.token, row.duration_ms) for row in self.state.leases.values()]
-            self.grantor.start_leading(rows, self.now)
+            self.lease_tracker.start_leading(rows, self.now)
             self.expiring.clear()
         else:  # "region": no observer of one zone reaches keepers, for up to twice the grace
             zone = rng.choice(("z1", "z2"))
             names = {("keepers", o.name) for o in self.observers.values() if o.zone == zone}
-            self._cut(names, lasts * 3)
+            self._cut_links(names, duration * 3)
 
-    def _cut(self, ways: set[tuple[str, str]], lasts: int) -> None:
-        self.cuts |= ways
-        self.after(lasts, self.cuts.difference_update, ways)
+    def _cut_links(self, links: set[tuple[str, str]], duration: int) -> None:
+        self.cuts |= links
+        self.after(duration, self.cuts.difference_update, links)
 
-    def _wake(self, one: Observer | Proxy, life: int) -> None:
-        if one.life == life and one.up:
-            one.wake()
+    def _resume(self, node: Observer | Proxy, incarnation: int) -> None:
+        if node.incarnation == incarnation and node.up:
+            node.resume()
 
-    def restart_later(self, one: Observer | Proxy) -> None:
-        if one.up:
+    def restart_later(self, node: Observer | Proxy) -> None:
+        if node.up:
             self.crashes += 1
-            one.crash()
-            self.after(int(self.rng.uniform(0.02, 1.5) * 1e9), self._start, one)
+            node.crash()
+            self.after(int(self.rng.uniform(0.02, 1.5) * 1e9), self._start, node)
 
-    def _start(self, one: Observer | Proxy) -> None:
-        if not one.up:
-            one.start()
+    def _start(self, node: Observer | Proxy) -> None:
+        if not node.up:
+            node.start()
 
-    def _waits(self) -> list[int]:
+    def _delays(self) -> list[int]:
         """Delays of the copies of one message: none if it is lost, two if it is duplicated."""
         rng, plan = self.rng, self.plan
-        if not self.faulty():
+        if not self.faults_are_on():
             return [int(rng.uniform(0.2, 4.0) * MS)]
         if rng.random() < plan.loss:
             return []
-        found = []
-        for _ in range(2 if rng.random() < plan.doubled else 1):
-            slow = 300 if rng.random() < plan.late else 1
-            found.append(int(rng.uniform(0.2, 4.0) * MS * slow))
-        return found
+        delays = []
+        for _ in range(2 if rng.random() < plan.duplication else 1):
+            factor = 300 if rng.random() < plan.delayed else 1
+            delays.append(int(rng.uniform(0.2, 4.0) * MS * factor))
+        return delays
 
     # The log and the lagging copies of the state
 
@@ -610,10 +606,10 @@
             self._commit(Proposal(0, 1, OpenSession("lab")))
         return 1
 
-    def _keep(self) -> None:
+    def _tick_keepers(self) -> None:
         """Proposes the expiry of overdue leases and lets the copies apply the new log entries."""
-        self.after(TICK, self._keep)
-        due = [row for row in self.grantor.expired(self.now) if row not in self.expiring]
+        self.after(TICK_NS, self._tick_keepers)
+        due = [row for row in self.lease_tracker.expired(self.now) if row not in self.expiring]
         if due:
             self.expiring.update(due)
             self.after(
@@ -622,27 +618,27 @@
                 Proposal(0, 0, ExpireLeases(tuple(due))),
             )
         for i, copy in enumerate(self.copies):
-            while copy.applied_index < len(self.log) and self.now >= self.lagging[i]:
+            while copy.applied_index < len(self.log) and self.now >= self.lagging_until[i]:
                 copy.apply(copy.applied_index + 1, self.log[copy.applied_index])
 
     def submit(self, call: Call) -> None:
-        for wait in self._waits():
-            self.after(wait, self._submitted, call)
+        for delay in self._delays():
+            self.after(delay, self._reach_keeper, call)
 
-    def _submitted(self, call: Call) -> None:
+    def _reach_keeper(self, call: Call) -> None:
         if ("keepers", call.observer.name) in self.cuts:
             return
-        self.after(int(self.rng.uniform(1, 12) * MS), self._committed, call)
+        self.after(int(self.rng.uniform(1, 12) * MS), self._commit_call, call)
 
-    def _committed(self, call: Call) -> None:
+    def _commit_call(self, call: Call) -> None:
         result = self._commit(call.proposal)
-        for wait in self._waits():
-            self.after(wait, self._answer, call, result)
+        for delay in self._delays():
+            self.after(delay, self._deliver_result, call, result)
 
-    def _answer(self, call: Call, result: ChangeResult) -> None:
+    def _deliver_result(self, call: Call, result: ChangeResult) -> None:
         observer = call.observer
-        if ("keepers", observer.name) not in self.cuts and observer.life == call.life:
-            observer.take(observer.answered, call, result)
+        if ("keepers", observer.name) not in self.cuts and observer.incarnation == call.incarnation:
+            observer.deliver(observer.handle_result, call, result)
 
     def _commit(self, proposal: Proposal) -> ChangeResult:
         state, data = self.state, msgspec.msgpack.encode(proposal)
@@ -652,25 +648,25 @@
         change = proposal.change
         for name, row in leases.items():
             if name.startswith(OBSERVER_LEASE_PREFIX) and state.leases.get(name) != row:
-                self.over.setdefault((name, row.token), self.now)
-                self.grantor.forget(name)
+                self.ended_leases.setdefault((name, row.token), self.now)
+                self.lease_tracker.forget(name)
         if (
             isinstance(change, AcquireLease)
             and not result.rejected_reason
             and state.is_lease_current(change.name, result.token)
         ):
-            self.grantor.record_grant(change.name, result.token, change.duration_ms, self.now)
+            self.lease_tracker.record_grant(change.name, result.token, change.duration_ms, self.now)
         elif isinstance(change, RenewLeases):
             for name, token in change.leases:
                 if state.is_lease_current(name, token):
-                    self.grantor.record_grant(name, token, TERM_MS, self.now)
+                    self.lease_tracker.record_grant(name, token, LEASE_MS, self.now)
         elif isinstance(change, ExpireLeases):
             self.expiring.difference_update(change.leases)
         elif isinstance(change, UpdateMembers):
             self.refused += len(result.lost_leases) + bool(result.rejected_reason)
-            self._attached(change, members)
+            self._check_rows(change, members)
         if state.version != version:
-            self.images[state.version] = (
+            self.state_by_version[state.version] = (
                 dict(state.leases),
                 dict(state.drains),
                 dict(state.values),
@@ -678,191 +674,194 @@
             )
         return result
 
-    def _attached(self, change: UpdateMembers, before: dict[str, Member]) -> None:
+    def _check_rows(self, change: UpdateMembers, before: dict[str, Member]) -> None:
         """Checks the membership rows that a batch changed against the true state of each proxy."""
         for name in sorted(
             {row.name for row in change.joins} | {row.name for row in change.leaves}
         ):
-            was, row = before.get(name), self.state.members.get(name)
-            if row == was:
+            prior, row = before.get(name), self.state.members.get(name)
+            if row == prior:
                 continue
-            if was is not None and row is not None:
-                gone = MemberLeave(name, was.owner, was.epoch, was.token)
-                if gone in change.leaves and was.token == change.token:
-                    was = None  # the same batch removed the previous row first
-            if (change.lease, change.token) in self.over:
-                self.breach(
-                    f"{name}: a row of {change.lease} {change.token} after that lease was over"
-                )
+            if prior is not None and row is not None:
+                gone = MemberLeave(name, prior.owner, prior.epoch, prior.token)
+                if gone in change.leaves and prior.token == change.token:
+                    prior = None  # the same batch removed the previous row first
+            if (change.lease, change.token) in self.ended_leases:
+                self.fail(f"{name}: row of {change.lease} {change.token} after that lease was over")
             if row is None:
-                assert was is not None
-                self._departed(name, was, change)
+                assert prior is not None
+                self._check_removal(name, prior, change)
                 continue
             self.joined += 1
-            if was is not None and was.owner == row.owner:
-                self.moved += was.lease != row.lease
-                if row.epoch < was.epoch:
-                    self.breach(
-                        f"two observers answer for {name}: {row.lease} with epoch {row.epoch}, and {was.lease} "
-                        f"with epoch {was.epoch}"
+            if prior is not None and prior.owner == row.owner:
+                self.moved += prior.lease != row.lease
+                if row.epoch < prior.epoch:
+                    self.fail(
+                        f"two observers answer for {name}: {row.lease} with epoch {row.epoch}, and {prior.lease} "
+                        f"with epoch {prior.epoch}"
                     )
-            elif was is not None and (was.lease, was.token) not in self.over:
-                self.breach(
-                    f"two processes count as {name}: {was.owner} at {was.lease}, and {row.owner}"
-                )
-            if OBSERVER_LEASE_PREFIX + self.went.get((row.owner, row.epoch), "") != row.lease:
-                self.breach(f"{row.lease} answers for {name}, not attached with epoch {row.epoch}")
+            elif prior is not None and (prior.lease, prior.token) not in self.ended_leases:
+                self.fail(f"two owners of {name}: {prior.owner} at {prior.lease}, {row.owner}")
+            if OBSERVER_LEASE_PREFIX + self.targets.get((row.owner, row.epoch), "") != row.lease:
+                self.fail(f"{row.lease} answers for {name}, not attached with epoch {row.epoch}")
 
-    def _departed(self, name: str, was: Member, change: UpdateMembers) -> None:
-        if (was.lease, was.token) == (change.lease, change.token):
+    def _check_removal(self, name: str, prior: Member, change: UpdateMembers) -> None:
+        if (prior.lease, prior.token) == (change.lease, change.token):
             proxy = self.proxies[name]
-            if self.plan.proxies_sound and proxy.up and proxy.owner == was.owner:
-                self.breach(
-                    f"{was.lease} removed {name}, which is running, at {proxy.at or 'no observer'}"
+            if self.plan.proxies_are_faultless and proxy.up and proxy.owner == prior.owner:
+                self.fail(
+                    f"{prior.lease} removed {name}, which is running, at {proxy.observer or 'no observer'}"
                 )
             return
-        since = self.over.get((was.lease, was.token))
+        since = self.ended_leases.get((prior.lease, prior.token))
         if since is None:
-            self.breach(f"{change.lease} removed {name}, for which {was.lease} is current")
-        elif self.now - since < GRACE_NS * (1 - DRIFT):
-            self.breach(
-                f"{name} was taken out {(self.now - since) / 1e9:.3f} s after {was.lease} was over"
+            self.fail(f"{change.lease} removed {name}, for which {prior.lease} is current")
+        elif self.now - since < ORPHAN_GRACE_NS * (1 - MAX_DRIFT):
+            self.fail(
+                f"{name} was taken out {(self.now - since) / 1e9:.3f} s after {prior.lease} was over"
             )
         self.swept += 1
 
-    def feed(self, observer: Observer, whole: bool = False) -> None:
+    def send_delta(self, observer: Observer, full: bool = False) -> None:
         """Sends an observer the changes since its version; the copy may be older than that."""
         if ("keepers", observer.name) in self.cuts:
             return
-        if self.faulty() and self.rng.random() < 0.02:
+        if self.faults_are_on() and self.rng.random() < 0.02:
             observer.keeper = self.rng.randrange(len(self.copies))
         copy = self.copies[observer.keeper]
-        since = 0 if whole else observer.fanout.version
+        since = 0 if full else observer.fanout.version
         delta = copy.delta_since(since)
-        for wait in self._waits():
-            self.after(wait, self._fed, observer, observer.life, delta)
+        for delay in self._delays():
+            self.after(delay, self._reach_fanout, observer, observer.incarnation, delta)
 
-    def _fed(self, observer: Observer, life: int, delta: StateDelta) -> None:
-        if observer.life == life and ("keepers", observer.name) not in self.cuts:
-            observer.take(observer.told, delta)
+    def _reach_fanout(self, observer: Observer, incarnation: int, delta: StateDelta) -> None:
+        if observer.incarnation == incarnation and ("keepers", observer.name) not in self.cuts:
+            observer.deliver(observer.apply_delta, delta)
 
     # Between observers and proxies
 
-    def say(self, observer: Observer, name: str, word: str, *args: Any) -> None:
-        proxy, turn = self.proxies[name], 0
-        if seat := observer.presence.attachments.get(name):
-            turn = seat.epoch
-        if word == "unknown":
-            turn = args[1]
-        self.fed += word == "fed"
-        for wait in self._waits():
-            self.after(wait, self._said, observer, proxy, turn, word, args)
-
-    def _said(
-        self, observer: Observer, proxy: Proxy, turn: int, word: str, args: tuple[Any, ...]
+    def send_to_proxy(self, observer: Observer, name: str, kind: str, *args: Any) -> None:
+        proxy, epoch = self.proxies[name], 0
+        if attachment := observer.table.attachments.get(name):
+            epoch = attachment.epoch
+        if kind == "unknown":
+            epoch = args[1]
+        self.fed += kind == "fed"
+        for delay in self._delays():
+            self.after(delay, self._reach_proxy, observer, proxy, epoch, kind, args)
+
+    def _reach_proxy(
+        self, observer: Observer, proxy: Proxy, epoch: int, kind: str, args: tuple[Any, ...]
     ) -> None:
         if (proxy.name, observer.name) not in self.cuts:
-            proxy.take(observer.name, turn, word, args)
-        elif word == "fed":
-            observer.taken(proxy.name)  # the connection breaks, so its queue is gone
+            proxy.deliver(observer.name, epoch, kind, args)
+        elif kind == "fed":
+            observer.frame_read(proxy.name)  # the connection breaks, so its queue is gone
 
-    def to_observer(self, proxy: Proxy, word: str, *args: Any) -> None:
-        observer = self.observers.get(proxy.at)
+    def send_to_observer(self, proxy: Proxy, kind: str, *args: Any) -> None:
+        observer = self.observers.get(proxy.observer)
         if observer is None:
             return
-        for wait in self._waits():
-            self.after(wait, self._heard, proxy, observer, word, args)
+        for delay in self._delays():
+            self.after(delay, self._reach_observer, proxy, observer, kind, args)
 
-    def _heard(self, proxy: Proxy, observer: Observer, word: str, args: tuple[Any, ...]) -> None:
+    def _reach_observer(
+        self, proxy: Proxy, observer: Observer, kind: str, args: tuple[Any, ...]
+    ) -> None:
         if (proxy.name, observer.name) not in self.cuts:
-            observer.take(observer.hear, proxy, word, *args)
+            observer.deliver(observer.receive, proxy, kind, *args)
 
-    def unlink(self, proxy: Proxy) -> None:
+    def close_connection(self, proxy: Proxy) -> None:
         """Closes a proxy's connection; the observer sees the close at once, late or never."""
-        observer, row = self.observers[proxy.at], (proxy.name, proxy.owner, proxy.turn)
-        for wait in self._waits()[:1]:
-            self.after(wait, self._unlinked, observer, row)
+        observer, row = self.observers[proxy.observer], (proxy.name, proxy.owner, proxy.epoch)
+        for delay in self._delays()[:1]:
+            self.after(delay, self._connection_closed, observer, row)
 
-    def _unlinked(self, observer: Observer, row: tuple[str, str, int]) -> None:
+    def _connection_closed(self, observer: Observer, row: tuple[str, str, int]) -> None:
         if (row[0], observer.name) not in self.cuts:
-            observer.take(lambda: observer.presence.disconnected(*row, observer.now()))
+            observer.deliver(lambda: observer.table.disconnected(*row, observer.now()))
 
     # Invariants
 
-    def told(self, proxy: Proxy) -> None:
+    def check_view(self, proxy: Proxy) -> None:
         """Checks a proxy's view against the subscribed part of the state at that version."""
-        image = self.images.get(proxy.view.version)
-        if image is None:
-            self.breach(f"{proxy.name} holds version {proxy.view.version}, never committed")
+        state = self.state_by_version.get(proxy.view.version)
+        if state is None:
+            self.fail(f"{proxy.name} holds version {proxy.view.version}, never committed")
             return
-        view, sub = proxy.view, proxy.sub
-        leases, drains, _, members = image
-        wanted = {name: row for name, row in members.items() if row.zone == sub.zone}
+        view, subscription = proxy.view, proxy.subscription
+        leases, drains, _, members = state
+        wanted = {name: row for name, row in members.items() if row.zone == subscription.zone}
         if dict(view.attached) != wanted:
-            self.breach(
+            self.fail(
                 f"{proxy.name} at version {view.version} holds {dict(view.attached)}, not {wanted}"
             )
         if dict(view.drains) != drains:
-            self.breach(f"{proxy.name} at version {view.version} has drains unlike the log")
+            self.fail(f"{proxy.name} at version {view.version} has drains unlike the log")
         if any(name.startswith(OBSERVER_LEASE_PREFIX) for name in view.leases):
-            self.breach(f"{proxy.name} received observer leases, to which it has no subscription")
-        plain = [(n, row) for n, row in leases.items() if n.startswith(MEMBER_LEASE_PREFIX)]
-        own = {n for n, row in plain if row.info.get("zone") == sub.zone}
-        if {name for name in view.leases if name.startswith(MEMBER_LEASE_PREFIX)} != own:
-            self.breach(f"{proxy.name} at version {view.version} has members unlike the log")
+            self.fail(f"{proxy.name} received observer leases, to which it has no subscription")
+        member_leases = [(n, row) for n, row in leases.items() if n.startswith(MEMBER_LEASE_PREFIX)]
+        expected = {n for n, row in member_leases if row.info.get("zone") == subscription.zone}
+        if {name for name in view.leases if name.startswith(MEMBER_LEASE_PREFIX)} != expected:
+            self.fail(f"{proxy.name} at version {view.version} has members unlike the log")
 
-    def _look(self) -> None:
+    def _check_invariants(self) -> None:
         live = membership.attachment_by_member(self.state.members, self.state.is_lease_current)
         for name, row in self.state.members.items():
-            if live[name] and (row.lease, row.token) in self.over:
-                self.breach(f"{name} counts as live after {row.lease} {row.token} was over")
-        for one in self.observers.values():
-            if not one.up or one.paused:
+            if live[name] and (row.lease, row.token) in self.ended_leases:
+                self.fail(f"{name} counts as live after {row.lease} {row.token} was over")
+        for node in self.observers.values():
+            if not node.up or node.paused:
                 continue
-            token = one.holder.valid_token(one.lease, one.now())
-            for name, seat in one.presence.attachments.items():
-                is_authoritative = one.presence.is_authoritative_for(name, token)
-                if is_authoritative and (not token or seat.lease_token != token):
-                    self.breach(
-                        f"{one.name} answers for {name} under token {seat.lease_token}, it holds {token}"
+            token = node.holder.valid_token(node.lease, node.now())
+            for name, attachment in node.table.attachments.items():
+                is_authoritative = node.table.is_authoritative_for(name, token)
+                if is_authoritative and (not token or attachment.lease_token != token):
+                    self.fail(
+                        f"{node.name} answers for {name} under token {attachment.lease_token}, it holds {token}"
                     )
-            held = self.state.leases.get(one.lease)
+            held = self.state.leases.get(node.lease)
             # A delayed acquisition of its own may renew the token; the old one then only expires.
-            if token and (held is None or held.owner != one.owner):
-                self.breach(f"{one.name} holds token {token} as valid, but that lease has ended")
-            if one.fanout.state.history.change_count > 24 or one.presence.pending_count > 200:
-                self.breach(f"{one.name} exceeds its bound of history or pending changes")
-            if worst := [name for name, count in one.unsaid.items() if count > MAX_UNSAID]:
-                self.breach(
-                    f"a queue of {one.unsaid[worst[0]]} frames for {worst[0]} at {one.name}"
+            if token and (held is None or held.owner != node.owner):
+                self.fail(f"{node.name} holds token {token} as valid, but that lease has ended")
+            if node.fanout.state.history.change_count > 24 or node.table.pending_count > 200:
+                self.fail(f"{node.name} exceeds its bound of history or pending changes")
+            if overfull := [
+                name for name, count in node.in_flight.items() if count > MAX_IN_FLIGHT
+            ]:
+                self.fail(
+                    f"a queue of {node.in_flight[overfull[0]]} frames for {overfull[0]} at {node.name}"
                 )
 
-    def _settled(self) -> None:
+    def _check_final_state(self) -> None:
         """Checks that each running proxy ends as a member once, at the observer it uses."""
         state = self.state
         rows = dict(state.members)
         for proxy in self.proxies.values():
             row = rows.pop(proxy.name, None)
             if row is None or row.owner != proxy.owner:
-                self.breach(f"{proxy.name} is running but is no member: {row}")
+                self.fail(f"{proxy.name} is running but is no member: {row}")
                 return
             live = state.is_lease_current(row.lease, row.token)
-            if not live or (OBSERVER_LEASE_PREFIX + proxy.at, proxy.turn) != (row.lease, row.epoch):
-                self.breach(
-                    f"{proxy.name} is at {proxy.at} with epoch {proxy.turn}, but the log has {row}"
+            if not live or (OBSERVER_LEASE_PREFIX + proxy.observer, proxy.epoch) != (
+                row.lease,
+                row.epoch,
+            ):
+                self.fail(
+                    f"{proxy.name} is at {proxy.observer} with epoch {proxy.epoch}, but the log has {row}"
                 )
             observers = self.observers.values()
-            answering = [one.name for one in observers if one.is_authoritative_for(proxy.name)]
-            if answering != [proxy.at]:
-                self.breach(f"{answering} answer for {proxy.name}, which is at {proxy.at}")
+            answering = [node.name for node in observers if node.is_authoritative_for(proxy.name)]
+            if answering != [proxy.observer]:
+                self.fail(f"{answering} answer for {proxy.name}, which is at {proxy.observer}")
             # The observers of its zone are available again, so it must be back at one of them.
-            if self.observers[proxy.at].zone != proxy.zone:
-                self.breach(f"{proxy.name} of zone {proxy.zone} stayed at {proxy.at}")
+            if self.observers[proxy.observer].zone != proxy.zone:
+                self.fail(f"{proxy.name} of zone {proxy.zone} stayed at {proxy.observer}")
         if rows:
-            self.breach(f"the log has {sorted(rows)}, which are not running")
-        self.snapshots = sum(one.fanout.counts["snapshots"] for one in self.observers.values())
+            self.fail(f"the log has {sorted(rows)}, which are not running")
+        self.snapshots = sum(node.fanout.counts["snapshots"] for node in self.observers.values())
 
 
-def play(plan: Plan) -> World:
-    """Runs one simulation to its end. Raises Breach."""
-    return World(plan).play()
+def run(plan: Plan) -> World:
+    """Runs one simulation to its end. Raises InvariantViolation."""
+    return World(plan).run()
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -16,22 +16,22 @@
 
 from mothstall.lab import bench, command, compare, policies, scenario, start
 from mothstall.lab.compare import difference
-from mothstall.lab.live import Board
+from mothstall.lab.live import LiveView
 from mothstall.lab.virtual import Virtual
 
 
-def test_a_difference_means_something_only_where_its_interval_is_off_nought() -> None:
+def test_difference_is_significant_only_if_its_interval_excludes_zero() -> None:
     same = difference([0.5, 0.6, 0.7, 0.8], [0.52, 0.57, 0.73, 0.77])
-    assert same.means_nothing and str(same).endswith("~")
+    assert same.is_insignificant and str(same).endswith("~")
     better = difference([0.5, 0.6, 0.7, 0.8], [0.55, 0.66, 0.74, 0.86])
-    assert not better.means_nothing and 0 < better.low <= better.mean <= better.high
+    assert not better.is_insignificant and 0 < better.low <= better.mean <= better.high
     assert better == difference(
         [0.5, 0.6, 0.7, 0.8], [0.55, 0.66, 0.74, 0.86]
     )  # bootstrap draws use a fixed seed
-    assert difference([0.1, 0.1], [0.9, 0.9]).means_nothing  # too few pairs for an interval
+    assert difference([0.1, 0.1], [0.9, 0.9]).is_insignificant  # too few pairs for an interval
 
 
-def test_variants_are_played_in_pairs_and_held_against_the_first(tmp_path: Path) -> None:
+def test_variants_run_in_pairs_and_are_compared_with_the_first(tmp_path: Path) -> None:
     # An identical copy of the policy must give identical figures.
     copy = tmp_path / "policy"
     shutil.copytree(policies.ROOT / policies.PACKAGE_PATH, copy)
@@ -39,9 +39,9 @@
     rows = compare.play(["hung-box"], variants, 4, seconds=16.0, workers=2)
     by = {row.policy: row for row in rows}
     assert by["module"].worth == by[f"file:{copy}"].worth and len(set(by["module"].worth)) == 4
-    assert not difference(by["module"].worth, by["random"].worth).means_nothing
+    assert not difference(by["module"].worth, by["random"].worth).is_insignificant
     assert by["careless"].broken and not by["module"].broken
-    line = compare.cells(rows, variants, "worth")[0]
+    line = compare.table_rows(rows, variants, "worth")[0]
     assert line[2].endswith("~") and not line[3].endswith("~") and line[5].endswith("!")
     tree = compare.as_json(rows, variants, 4)["scenarios"]["hung-box"]
     assert tree["careless"]["worth"]["difference"] == pytest.approx(
@@ -49,54 +49,66 @@
     )
 
 
-def test_a_broken_off_experiment_goes_on_where_it_was(tmp_path: Path) -> None:
+def test_interrupted_experiment_resumes(tmp_path: Path) -> None:
     path = tmp_path / "kept"
-    first = compare.play(["steady"], ["random"], 2, seconds=2.0, workers=1, kept=compare.Kept(path))
+    first = compare.play(
+        ["steady"], ["random"], 2, seconds=2.0, workers=1, cache=compare.RunCache(path)
+    )
     lines = path.read_text(encoding="utf-8").splitlines()
     assert len(lines) == 2
     path.write_text(
         lines[0] + "\n" + lines[1][:40], encoding="utf-8"
     )  # a crash cut the second line short
-    again = compare.Kept(path)
-    assert len(again.found) == 1
-    key = next(iter(again.found))
-    again.found[key] = (0.125, 0.125, {})  # recorded results are used, not computed again
-    rows = compare.play(["steady"], ["random"], 2, seconds=2.0, workers=1, kept=again)
+    cache = compare.RunCache(path)
+    assert len(cache.results) == 1
+    key = next(iter(cache.results))
+    cache.results[key] = (0.125, 0.125, {})  # recorded results are used, not computed again
+    rows = compare.play(["steady"], ["random"], 2, seconds=2.0, workers=1, cache=cache)
     assert 0.125 in rows[0].worth and set(rows[0].worth) & set(first[0].worth)
     other = json.loads(lines[0])
     path.write_text(json.dumps({**other, "program": "another"}) + "\n", encoding="utf-8")
-    assert not compare.Kept(path).found
-
-
-def test_workers_end_when_their_experiment_is_killed(tmp_path: Path) -> None:
-    words = ("lab", "compare", "random", "--scenario", "overload", "--seeds", "4", "--workers", "2")
+    assert not compare.RunCache(path).results
+
+
+def test_workers_end_when_their_parent_is_killed(tmp_path: Path) -> None:
+    arguments = (
+        "lab",
+        "compare",
+        "random",
+        "--scenario",
+        "overload",
+        "--seeds",
+        "4",
+        "--workers",
+        "2",
+    )
     path = tmp_path / "kept"
     process = subprocess.Popen(
-        [sys.executable, "-m", "mothstall", *words, "--kept", str(path)],
+        [sys.executable, "-m", "mothstall", *arguments, "--kept", str(path)],
         cwd=policies.ROOT,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
     )
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children")
 
-    def waits_for(condition: Callable[[], bool]) -> bool:
+    def wait_for(condition: Callable[[], bool]) -> bool:
         end = time.monotonic() + 20
         while not condition() and time.monotonic() < end:
             time.sleep(0.05)
         return condition()
 
     try:
-        assert waits_for(
+        assert wait_for(
             lambda: len(children.read_text().split()) >= 3
         )  # two workers and the resource tracker
         started = [int(pid) for pid in children.read_text().split()]
     finally:
         process.kill()
         process.wait()
-    assert waits_for(lambda: not any(Path(f"/proc/{pid}/exe").exists() for pid in started))
+    assert wait_for(lambda: not any(Path(f"/proc/{pid}/exe").exists() for pid in started))
 
 
-def test_serving_imports_nothing_of_the_lab() -> None:
+def test_serving_does_not_import_the_lab() -> None:
     check = (
         "import sys, mothstall.cli, mothstall.net.proxy\n"
         "heavy = {'msgspec', 'numpy', 'rich', 'matplotlib', 'hdrh', 'mothstall.lab', 'mothstall.store',\n"
@@ -109,7 +121,7 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_a_fleet_without_observers_loads_nothing_of_them() -> None:
+def test_fleet_without_observers_does_not_import_their_modules() -> None:
     check = (
         "import importlib.util, sys, mothstall.net.fleet_integration, mothstall.fleet.operator_file\n"
         "loaded = set(sys.modules)\n"
@@ -125,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    "word",
+    "variant",
     [
         "modul",
         "rev:--output=x",
@@ -137,14 +149,14 @@
         "module,may_cancel=yes",
     ],
 )
-def test_what_is_no_variant_is_refused_in_one_line(word: str) -> None:
+def test_invalid_variant_is_rejected_with_a_one_line_message(variant: str) -> None:
     with pytest.raises(policies.PolicyError) as caught:
-        policies.parse(word)
+        policies.parse(variant)
     assert "\n" not in str(caught.value)
 
 
-def test_bad_words_of_the_commands_end_with_2(capsys: pytest.CaptureFixture[str]) -> None:
-    for words in (
+def test_commands_exit_with_2_on_invalid_arguments(capsys: pytest.CaptureFixture[str]) -> None:
+    for arguments in (
         ["compare", "module", "module"],
         ["compare", "module", "--seeds", "0"],
         ["compare", "module", "--scenario", "nothing"],
@@ -155,16 +167,16 @@
         ["run", "steady", "--driver", "sockets", "--policy", "random"],
         ["run", "steady", "--seconds", "1", "--json", "/no/such/folder/x.json"],
     ):
-        assert command.main(words) == 2, words
+        assert command.main(arguments) == 2, arguments
         assert capsys.readouterr().err.count("\n") == 1
     assert command.main(["list", "--json"]) == 0
     assert set(json.loads(capsys.readouterr().out)["scenarios"]) == set(scenario.names())
 
 
-def test_the_bench_of_starts_tells_where_the_time_goes_and_keeps_its_figures(
+def test_start_benchmark_splits_the_time_and_writes_its_figures(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    words = [
+    arguments = [
         "--sizes",
         "40",
         "5",
@@ -175,7 +187,7 @@
         "--keep",
         str(tmp_path),
     ]
-    assert command.main(["bench", "--start", *words]) == 0
+    assert command.main(["bench", "--start", *arguments]) == 0
     shown = capsys.readouterr().out
     (path,) = tmp_path.glob("*.json")
     tree = json.loads(path.read_text(encoding="utf-8"))
@@ -198,15 +210,15 @@
     assert "exec to ready, known, 40" in shown and "aiohttp" in shown
 
 
-def test_the_bench_measures_a_real_proxy_and_keeps_its_figures(tmp_path: Path) -> None:
-    said: list[str] = []
-    tree = bench.run(1.0, (100,), said.append)
+def test_benchmark_measures_a_real_proxy_and_writes_its_figures(tmp_path: Path) -> None:
+    progress: list[str] = []
+    tree = bench.run(1.0, (100,), progress.append)
     rate, most = tree["loads"]
     assert rate["asked_per_s"] == 100 and rate["bad"] < 20 and 50 < rate["answered_per_s"] < 200
     assert most["answered_per_s"] > rate["answered_per_s"] and most["cpu_us_per_request"] > 0
     assert (
         set(tree["parts_us"]) == {"decisions", "read request", "parse head (aiohttp)"}
-        and len(said) == 3
+        and len(progress) == 3
     )
     path = bench.keep(tree, tmp_path)
     (tmp_path / "20990101-broken.json").write_text("{", encoding="utf-8")
@@ -214,13 +226,13 @@
     assert "against" in bench.text(tree, bench.last(tmp_path))
 
 
-def test_a_run_is_shown_while_it_goes_on() -> None:
+def test_live_view_shows_a_run_in_progress() -> None:
     s = scenario.lasting(scenario.load("hung-box"), 13.0)
     for terminal in (False, True):
         out = io.StringIO()
         run = Virtual(s, policies.parse("module"), 1)
-        with Board(s, Console(file=out, force_terminal=terminal, width=120)) as board:
-            run.play(board.watch(run))
+        with LiveView(s, Console(file=out, force_terminal=terminal, width=120)) as live_view:
+            run.play(live_view.watch(run))
         shown = out.getvalue()
         assert "2 hung" in shown and "worth" in shown
         assert ("hung-box: 13 of 13 s" in shown) is terminal
--- a/tests/store/raft/test_exploration.py
+++ b/tests/store/raft/test_exploration.py
@@ -5,12 +5,12 @@
 import pytest
 
 from mothstall.lab import explore
-from mothstall.lab.replicas import Breach
+from mothstall.lab.replicas import InvariantViolation
 
 SMALL_BOUNDS = [
     explore.Bounds(terms=2, entries=1, crashes=1, candidates=("k1", "k2")),
-    explore.Bounds(terms=1, entries=1, crashes=1, candidates=("k1", "k2"), ordered=False),
-    explore.Bounds(terms=3, entries=0, crashes=0, candidates=("k1", "k2"), batch=1),
+    explore.Bounds(terms=1, entries=1, crashes=1, candidates=("k1", "k2"), keeps_link_order=False),
+    explore.Bounds(terms=3, entries=0, crashes=0, candidates=("k1", "k2"), max_batch_bytes=1),
 ]
 
 
@@ -28,7 +28,12 @@
 def test_commit_of_an_older_term_is_caught() -> None:
     """Figure 8 of the paper, found by the search: four terms, one entry in each message."""
     bounds = explore.Bounds(
-        terms=4, entries=0, crashes=0, candidates=("k1", "k2"), batch=1, own_term_only=False
+        terms=4,
+        entries=0,
+        crashes=0,
+        candidates=("k1", "k2"),
+        max_batch_bytes=1,
+        commit_only_own_term=False,
     )
-    with pytest.raises(Breach, match=r"state-machine safety|leader completeness"):
+    with pytest.raises(InvariantViolation, match=r"state-machine safety|leader completeness"):
         explore.explore(bounds)
--- a/tests/store/raft/test_simulated_runs.py
+++ b/tests/store/raft/test_simulated_runs.py
@@ -9,14 +9,13 @@
 import pytest
 
 from mothstall.lab import linear, replicas
-from mothstall.lab.replicas import Breach, Guards, Plan
+from mothstall.lab.replicas import Guards, InvariantViolation, Plan
 
 
 @pytest.mark.parametrize("first", range(1, 201, 10))
 def test_safety_holds_in_simulated_runs_with_faults(first: int) -> None:
     runs = [
-        replicas.play(Plan(seed, replicas=3 if seed % 2 else 5))
-        for seed in range(first, first + 10)
+        replicas.run(Plan(seed, replicas=3 if seed % 2 else 5)) for seed in range(first, first + 10)
     ]
     # The runs had elections, writes, and effects that came too late, so that the checks could fail.
     assert sum(run.elections for run in runs) > 15
@@ -26,8 +25,8 @@
 
 
 def test_seed_reproduces_its_run() -> None:
-    first = replicas.play(Plan(7))
-    second = replicas.play(Plan(7))
+    first = replicas.run(Plan(7))
+    second = replicas.run(Plan(7))
     assert (first.steps, first.effects) == (second.steps, second.effects)
     assert first.committed == second.committed
 
@@ -35,29 +34,29 @@
 # The safeguard turned off, the run's settings, the seeds to try, and the text of the violation.
 WITHOUT_SAFEGUARD = [
     (
-        Guards(prevote=False),
-        {"kinds": ("alone",), "loss": 0.0, "faults_every": 2.0, "crash_odds": 0.0},
+        Guards(pre_vote=False),
+        {"fault_kinds": ("alone",), "loss": 0.0, "fault_interval": 2.0, "crash_probability": 0.0},
         4,
         "unseated",
     ),
     (
-        Guards(synced=False),
-        {"kinds": ("crash",), "crash_odds": 0.05},
+        Guards(write_before_send=False),
+        {"fault_kinds": ("crash",), "crash_probability": 0.05},
         60,
         "seed",
     ),  # whichever check fails first
-    (Guards(fresh_terms=False), {}, 20, "both act"),
+    (Guards(grant_fresh_terms=False), {}, 20, "both act"),
     (
-        Guards(token_on_apply=False),
-        {"kinds": ("owner", "crash", "pause")},
+        Guards(check_token_on_apply=False),
+        {"fault_kinds": ("owner", "crash", "pause")},
         60,
         "a write with token",
     ),
-    (Guards(fence=False), {}, 4, "effect of"),
-    (Guards(from_sending=False), {}, 60, "both act"),
+    (Guards(fencing=False), {}, 4, "effect of"),
+    (Guards(count_from_request=False), {}, 60, "both act"),
     (
-        Guards(asks_first=False),
-        {"kinds": ("old disk", "both ways")},
+        Guards(recovery_query=False),
+        {"fault_kinds": ("old disk", "both ways")},
         (1, 37, 43),
         "leader completeness",
     ),
@@ -72,8 +71,8 @@
         try:
             count = 3 if seed % 2 else 5
             plan = Plan(seed, replicas=count, guards=guards, **settings)
-            replicas.play(plan)
-        except Breach as error:
+            replicas.run(plan)
+        except InvariantViolation as error:
             if violation in str(error):
                 return
     pytest.fail(f"no seed of {seeds} shows the violation")
@@ -83,11 +82,13 @@
     """Found with processes beside a busy disk: seven elections in as many seconds, and no leader."""
 
     def elections(seed: int, sends_early: bool) -> int:
-        guards = Guards(hurried=sends_early)
-        plan = Plan(seed, seconds=10.0, loss=0.0, doubled=0.0, crash_odds=0.0, guards=guards)
-        run = replicas.World(replace(plan, faults_every=1e9, write_ms=50.0))
-        with contextlib.suppress(Breach):  # without a leader at the end
-            run.play()
+        guards = Guards(send_early=sends_early)
+        plan = Plan(
+            seed, seconds=10.0, loss=0.0, duplication=0.0, crash_probability=0.0, guards=guards
+        )
+        run = replicas.World(replace(plan, fault_interval=1e9, write_ms=50.0))
+        with contextlib.suppress(InvariantViolation):  # without a leader at the end
+            run.run()
         return run.elections
 
     assert [elections(seed, True) for seed in (1, 2, 3)] == [1, 1, 1]
