--- a/mothstall/lab/fleetcommand.py
+++ b/mothstall/lab/fleetcommand.py
@@ -168,8 +168,8 @@
 def _simulate_store_seed(seed: int) -> tuple[int, str, dict[str, int]]:
     plan = replicas.Plan(seed, replicas=3 if seed % 2 else 5)
     try:
-        world = replicas.play(plan)
-    except replicas.Breach as error:
+        world = replicas.run(plan)
+    except replicas.InvariantViolation as error:
         return seed, str(error), {}
     return (
         seed,
@@ -187,8 +187,8 @@
 
 def _simulate_tier_seed(seed: int) -> tuple[int, str, dict[str, int]]:
     try:
-        world = tier.play(tier.Plan(seed))
-    except replicas.Breach as error:
+        world = tier.run(tier.Plan(seed))
+    except replicas.InvariantViolation as error:
         return seed, str(error), {}
     names = ("steps", "joined", "moved", "swept", "refused", "crashes", "fed", "snapshots")
     return seed, "", {name: getattr(world, name) for name in names}
@@ -245,14 +245,14 @@
         entries=args.entries,
         crashes=args.crashes,
         candidates=explore.NAMES[: args.candidates],
-        ordered=not args.any_order,
-        states=args.most,
-        batch=1 if args.one_by_one else MAX_BATCH_BYTES,
+        keeps_link_order=not args.any_order,
+        max_states=args.most,
+        max_batch_bytes=1 if args.one_by_one else MAX_BATCH_BYTES,
     )
     began, error, found = time.monotonic(), "", explore.Explored()
     try:
         found = explore.explore(bounds)
-    except replicas.Breach as violation:
+    except replicas.InvariantViolation as violation:
         error = str(violation)
     report = {**asdict(found), "missed_odds": found.missed_odds, "breach": error}
     report["seconds"] = round(time.monotonic() - began, 1)
