--- a/mothstall/net/backend_side/backend.py
+++ b/mothstall/net/backend_side/backend.py
@@ -290,7 +290,10 @@
         return attempt
 
     def _on_connect_task_done(self, attempt: OpenAttempt, task: asyncio.Task[None]) -> None:
-        """Guards against a slot lost from the pool by a task cancelled before its first step."""
+        """Release the pool's slot of a connection that was not opened.
+
+        Guards against losing the slot when the task is cancelled before its first step.
+        """
         if attempt.is_connecting:
             attempt.is_connecting = False
             self._pool.open_count -= 1
@@ -351,11 +354,11 @@
         return now_ns >= command.due_ns  # its timeout timer may run only after this callback
 
     def _is_client_waiting(self, attempt: OpenAttempt, now_ns: int) -> bool:
-        """Guards against starting an attempt for a client that has left, noticed or not.
+        """Return whether an attempt's client still waits for the response.
 
-        The client may have left while the command was in a mailbox, while the connection was being
-        opened or while this process was suspended: if its request is older than
-        CHECK_CLIENT_AFTER_NS, its socket is checked.
+        Guards against starting an attempt for a client that left while the command was in a
+        mailbox, while the connection was being opened or while this process was suspended: if its
+        request is older than CHECK_CLIENT_AFTER_NS, its socket is checked.
         """
         command = attempt.command
         if command is None or command.client_request.client is None:
@@ -366,7 +369,10 @@
         )
 
     def _on_retry_window_closed(self, attempt: OpenAttempt) -> None:
-        """Guards against a retry after backends forgot the first attempt: it would run twice."""
+        """Cancel an attempt that is not written completely.
+
+        Guards against a retry after backends forgot the first attempt: it would run twice.
+        """
         if not attempt.is_written():
             self.cancel(attempt, AttemptResult.CANCELLED)
 
@@ -392,7 +398,7 @@
         if attempt.is_over:
             return
         if not attempt.is_written():
-            # Its last byte was not handed to the socket, so it can never run.
+            # The backend never receives the request's last byte, so it cannot execute the request.
             is_timeout = result == AttemptResult.TIMEOUT
             result = AttemptResult.CONNECT_FAILED if is_timeout else AttemptResult.NOT_SENT
         self._end_attempt(attempt, result)
--- a/mothstall/net/backend_side/connection.py
+++ b/mothstall/net/backend_side/connection.py
@@ -50,10 +50,10 @@
         self._upload: Stream | None = None
         self._is_upload_chunked = False
         self._is_upload_cut = False  # the backend waits for the rest of a cut body
-        # The attempt whose long body is complete, but not yet handed to the socket completely.
+        # The attempt whose long request body has ended, but is still partly in the write buffer.
         self._flushing_attempt: OpenAttempt | None = None
         self._stream: Stream | None = None  # a long response that is being relayed
-        self._last_progress_s = 0.0  # of a long body, on the loop's clock
+        self._last_progress_s = 0.0  # loop time of the last progress of a long body
         self._progress_mark = 0  # bytes of the upload handed to the socket
         self._stall_timer: asyncio.TimerHandle | None = None
 
@@ -225,7 +225,10 @@
         self.owner.on_response_started(attempt, message, stream, length)
 
     def _watch_progress(self) -> None:
-        """Guards against a peer that stops reading or sending a long body."""
+        """Start to check a long body for progress.
+
+        Guards against a peer that stops reading or sending it.
+        """
         self._last_progress_s = self.owner.loop.time()
         self._progress_mark = 0
         if self._stall_timer is None:
@@ -282,7 +285,10 @@
         self._advance_response(has_more)
 
     def _drop_unsolicited(self) -> None:
-        """Guards against a response without a request: the next request would receive it."""
+        """Close the connection after bytes that were received without an open request.
+
+        Guards against a response without a request: the next request would receive it.
+        """
         if self.transport is not None:
             self.owner.counters.add("unreadable")
             self.owner.on_unsolicited_bytes()
@@ -332,7 +338,7 @@
             self._body_parts.append(data)
 
     def handover_position(self) -> tuple[int, int | None, tuple[int, int, bytes] | None] | None:
-        """Return where another process continues the response.
+        """Return the position at which another process continues the response.
 
         Returns:
             The socket's descriptor, the bytes still missing, and the position in the chunked coding
--- a/mothstall/net/backend_side/response_reader.py
+++ b/mothstall/net/backend_side/response_reader.py
@@ -33,7 +33,7 @@
     Attributes:
         message: The final response's head; None until it is complete.
         payload: aiohttp's reader of the body, set together with `message`.
-        content_length: Bytes of the body where the head says so, else 0.
+        content_length: Length of the body by its Content-Length; 0 without that header.
         received_bytes: Bytes of the body received so far.
         is_until_close: Whether the body ends with the connection.
     """
@@ -101,7 +101,7 @@
         return self._read_sized_body(parser, rest)
 
     def handover_position(self) -> tuple[int | None, tuple[int, int, bytes] | None]:
-        """Return where another process continues the response.
+        """Return the position at which another process continues the response.
 
         Returns:
             The bytes still missing, and the position in the chunked coding.
@@ -151,12 +151,12 @@
         return message, payload
 
     def _read_framing(self, message: RawResponseMessage) -> int:
-        """Return the length of the body, where the head says so."""
+        """Return the length of the body by its Content-Length; 0 without that header."""
         text = message.headers.get("Content-Length")
         if text is None:
             if "Transfer-Encoding" in message.headers and not message.chunked:
                 raise protocol.UnreadableMessageError("unknown transfer coding")
-            # With neither, the body ends with the connection, unless the status has no body.
+            # Without Content-Length or chunks, a body extends to the end of the connection.
             self.is_until_close = not message.chunked and message.code not in NO_BODY_STATUSES
             return 0
         if message.chunked or not (text.isascii() and text.isdigit()):
--- a/mothstall/net/client_side/connection_handover.py
+++ b/mothstall/net/client_side/connection_handover.py
@@ -108,7 +108,7 @@
             return
         stream = connection.relay.stream
         if stream.is_truncated:
-            return  # this process ends it, as cut off
+            return  # this process closes the truncated response
         stream.freeze()
         encoded = unsent_bytes(transport)
         if encoded is None:
@@ -140,7 +140,10 @@
         connection.release()
 
     def _hand_over_unsent_bytes(self, connection: Connection, transport: asyncio.Transport) -> None:
-        """Guards against the loss of a response's last bytes when this process ends."""
+        """Hand over a connection whose response is complete, but not sent completely.
+
+        Guards against the loss of the response's last bytes when this process ends.
+        """
         encoded = unsent_bytes(transport)
         if not encoded:
             return
--- a/mothstall/net/client_side/load_shedding.py
+++ b/mothstall/net/client_side/load_shedding.py
@@ -101,8 +101,9 @@
     def _select(self, now: float, is_urgent: bool, count: int) -> list[Connection]:
         """Select at most `count` connections to shed.
 
-        Those that never sent a request come first; one that was served is shed only after it has
-        been idle for 2 s, unless shedding is urgent.
+        The order is: connections on which nothing was received, those whose request was rejected,
+        those idle for 2 s, and those with an incomplete request. Connections that entered their
+        state more recently are shed only if shedding is urgent.
         """
         min_ages = [(ConnectionState.NEW, SHED_NEW_S), (ConnectionState.PENALIZED, 0.0)]
         min_ages += [
--- a/mothstall/net/protocol/endpoint_list.py
+++ b/mothstall/net/protocol/endpoint_list.py
@@ -11,8 +11,8 @@
 from mothstall.net.errors import UnreadableMessageError
 
 _HEALTH = {"SERVING": Health.READY, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
-_NUMBER_BYTES = 6  # of a backend's number: enough to rule out collisions in any fleet
-_NO_ADDRESS = "-:0"  # of a removed backend
+_NUMBER_BYTES = 6  # size of a backend's number; a collision is improbable in any fleet
+_NO_ADDRESS = "-:0"  # stands for the address of a removed backend
 
 
 @dataclass(slots=True)
--- a/mothstall/policy/attempt_outcomes.py
+++ b/mothstall/policy/attempt_outcomes.py
@@ -28,7 +28,7 @@
 from mothstall.policy.retries import RetryBudget
 from mothstall.policy.traffic_profile import TrafficProfiles
 
-NO_RESPONSE_RATIO = 1.5  # of the usual latency: a longer wait counts against the backend
+NO_RESPONSE_RATIO = 1.5  # times the usual latency; longer waits count against the backend
 
 
 class AttemptOutcomes:
--- a/mothstall/policy/latency.py
+++ b/mothstall/policy/latency.py
@@ -78,7 +78,7 @@
         self._samples = [0] * count
         self._lowest_recent_ns = [0.0] * count
         self._error_rates = [0.0] * count  # by class, the recent fraction of errors
-        self._mean_costs = [0.0] * count  # by class, as declared
+        self._mean_costs = [0.0] * count  # by class, mean of the declared costs
         self._cost_variance = 0.0
         self._cost_covariance = 0.0  # of cost and latency
 
@@ -163,8 +163,8 @@
     def baseline_ns(self, request: Request, latency_ns: float, in_flight: int) -> float:
         """Record a response's latency; return the baseline of its class.
 
-        Guards against objectives close to the service time, by which an idle fleet looks late, and
-        against objectives far above it, by which long queues look harmless.
+        Guards against judging congestion by the objective alone: an idle fleet would look congested
+        if the objective is close to the service time, and long queues harmless if it is far above.
         """
         settings = self._context.settings
         baseline = self.baselines[request.class_index]
--- a/mothstall/policy/load_probes.py
+++ b/mothstall/policy/load_probes.py
@@ -13,7 +13,9 @@
 MAX_PROBE_POINTS = 0.015  # cost budget of probes per attempt, in points of service
 MIN_INTERVAL_NS = NS // 20  # minimum time between two probes of a backend
 REPORT_MAX_AGE_NS = 2 * NS  # age at which a report has no weight left
-LONG_QUEUE_RATIO = 0.7  # of the mean reported queue, plus the offset: longer queues miss turns
+# A backend misses its turns if its reported queue exceeds this multiple of the mean plus the
+# offset.
+LONG_QUEUE_RATIO = 0.7
 LONG_QUEUE_OFFSET = 0.5
 MAX_QUEUE = 1e6  # reports of longer queues are ignored
 MAX_CREDIT = 2.0  # bound of the saved credit, in probes
--- a/mothstall/policy/slots.py
+++ b/mothstall/policy/slots.py
@@ -1,4 +1,7 @@
-"""Slots: divisions of the paper's observation time T, whose number follows burstiness (3), (4)."""
+"""Slots: the divisions of the paper's observation time T.
+
+Burstiness determines their number by the paper's equation (4), and thereby their length by (3).
+"""
 
 from __future__ import annotations
 
@@ -40,14 +43,14 @@
             self.ended.popleft()
 
     def begin_slot(self, now_ns: int, highest: float, lowest: float) -> int:
-        """Begin the next slot, given the range of burstiness; return its end, by (3)."""
+        """Begin the next slot, given the range of burstiness; return its end by equation (3)."""
         self.slots_per_period = self.next_slots_per_period(highest, lowest)
         self.lowest_burstiness = lowest
         self.started_ns = now_ns
         return now_ns + int(OBSERVATION_NS / self.slots_per_period)
 
     def next_slots_per_period(self, highest: float, lowest: float) -> float:
-        """Return the next number of slots in T by (4), within the bounds of a slot's length."""
+        """Return the next number of slots in T by equation (4), within the limits of length."""
         if not highest:
             factor = 1.0 / max(1, len(self.ended))
         elif highest > self.lowest_burstiness:
--- a/mothstall/policy/slow_start.py
+++ b/mothstall/policy/slow_start.py
@@ -117,7 +117,10 @@
             self.warm_rate = max(self.warm_rate, sent_rate / len(members))
 
     def _update_recent_rate(self, measured: list[float], span_ns: int) -> None:
-        """Guards against a 10 s mean that lags when many backends start and warm ones get less."""
+        """Update `recent_warm_rate`.
+
+        Guards against a 10 s mean that lags when many backends start and warm ones get less.
+        """
         answers = sum(measured) * span_ns / NS
         gain = answers / (answers + MIN_SAMPLES) if self.recent_warm_rate else 1.0
         rate = answers * NS / span_ns / len(measured)
--- a/mothstall/policy/zone_weights.py
+++ b/mothstall/policy/zone_weights.py
@@ -85,7 +85,7 @@
         return order
 
     def count_attempt(self, zone: int) -> None:
-        """Update the deficits after an attempt to a zone."""
+        """Update each zone's deficit of turns after an attempt to `zone`."""
         if zone >= len(self._turns_due) or not self.is_active():
             return
         parts = self.weights.weights
--- a/mothstall/settings.py
+++ b/mothstall/settings.py
@@ -119,7 +119,7 @@
 
 
 def from_json(tree: Mapping[str, object]) -> Settings:
-    """Convert settings from nested JSON, which has the same names and units.
+    """Convert settings from nested JSON, which has the names and units of the text format.
 
     Raises:
         SettingsError: A key is missing or unreadable.
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -588,8 +588,8 @@
 
 
 def test_the_traffic_fraction_is_estimated_by_completions() -> None:
-    # Guards against client retries that inflate the traffic fraction, most of all the heaviest
-    # tenant's.
+    # Guards against a traffic fraction that is inflated by client retries, most of all by those of
+    # the heaviest tenant.
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.5, 40.0))
     driver = Driver(60, classes=PURE, proxies=300, tenants=tenants)
     driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 0.0
