--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -192,8 +192,7 @@
             deadline = min(deadline, message.latest_ns)
         entry = _Pending(message, deadline)
         self._pending[message.request] = entry
-        # The deadline of a request with a long body is set when an attempt has written the body; if
-        # the process is stopping, `_stop_by_ns` applies until then.
+        # For a long body, `_on_written` sets the deadline; a stopping process also sets one here.
         if inbound.stream is not None and self._stop_by_ns is not None:
             entry.deadline_ns = self._stop_by_ns
         if inbound.stream is None or self._stop_by_ns is not None:
