--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -246,9 +246,11 @@
             entry.in_flight -= 1
             entry.has_timed_out = message.result == AttemptResult.TIMEOUT
             if not entry.is_answered and message.response and message.result == AttemptResult.OK:
-                answer = message.response
-                reply = ClientResponse(200, answer.body, answer.head, answer.stream, answer.length)
-                if answer.stream is None:
+                response = message.response
+                reply = ClientResponse(
+                    200, response.body, response.head, response.stream, response.length
+                )
+                if response.stream is None:
                     self._answer(entry, reply, Outcome.FULFILLED)
                 else:
                     self._begin_relay(entry, reply)
--- a/mothstall/net/protocol/requests.py
+++ b/mothstall/net/protocol/requests.py
@@ -132,18 +132,20 @@
     """Return the lines that are forwarded, and all headers by lower-case name."""
     lines: list[bytes] = []
     found: dict[bytes, bytes] = {}
-    named: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for name, value in headers:
         lower = name.lower()
         if lower in UNIQUE_HEADERS and lower in found:
             raise UnreadableMessageError(f"{lower.decode()} came twice")
         found[lower] = value
         if lower == CONNECTION:
-            named |= connection_headers(value)
+            connection_options |= connection_headers(value)
         if lower not in HOP_BY_HOP_HEADERS:
             lines.append(b"%b: %b\r\n" % (name, value))
-    if named:
-        lines = [line for line in lines if line.partition(b":")[0].lower() not in named]
+    if connection_options:
+        lines = [
+            line for line in lines if line.partition(b":")[0].lower() not in connection_options
+        ]
     return lines, found
 
 
--- a/mothstall/net/protocol/responses.py
+++ b/mothstall/net/protocol/responses.py
@@ -56,14 +56,14 @@
 def forwarded_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     """Return the headers of a backend's response that are forwarded to the client."""
     rows = [(name.lower(), name, value) for name, value in headers]
-    named: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for lower, _, value in rows:
         if lower == CONNECTION:
-            named |= connection_headers(value)
+            connection_options |= connection_headers(value)
     return b"".join(
         b"%b: %b\r\n" % (name, value)
         for lower, name, value in rows
-        if lower not in BACKEND_ONLY_HEADERS and lower not in named
+        if lower not in BACKEND_ONLY_HEADERS and lower not in connection_options
     )
 
 
--- a/mothstall/policy/slow_start.py
+++ b/mothstall/policy/slow_start.py
@@ -16,7 +16,7 @@
 
 OVERLOAD_FRACTION = 0.45  # used fraction of the rate that overloads a warming backend
 MAX_RECENT_RATIO = 1.25  # upper bound of `warm_rate`, as a multiple of `recent_warm_rate`
-MIN_SAMPLES = 10  # responses in a slot that weigh as much as the previous estimate
+EQUAL_WEIGHT_RESPONSES = 10  # responses at which a slot's rate weighs as much as the old estimate
 MAX_TOKENS = 1.0  # bucket size; a single token spreads attempts evenly
 FIRST_ATTEMPT_TOKENS = 1.5  # cost of the first attempt, which includes a handshake
 _HASH_RANGE = 2**64
@@ -121,7 +121,7 @@
 
         Guards against a 10 s mean that lags when many backends start and warm ones get less.
         """
-        answers = sum(measured) * span_ns / NS
-        gain = answers / (answers + MIN_SAMPLES) if self.recent_warm_rate else 1.0
-        rate = answers * NS / span_ns / len(measured)
+        responses = sum(measured) * span_ns / NS
+        gain = responses / (responses + EQUAL_WEIGHT_RESPONSES) if self.recent_warm_rate else 1.0
+        rate = responses * NS / span_ns / len(measured)
         self.recent_warm_rate += gain * (rate - self.recent_warm_rate)
--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -158,10 +158,10 @@
 def test_idle_callers_are_closed_and_calls_are_answered() -> None:
     async def run() -> None:
         async with rig(serves, operators=ADMIN_ADDRESS) as r:
-            held = [
+            idle_connections = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
-            for _, writer in held[::2]:
+            for _, writer in idle_connections[::2]:
                 writer.write(b"GET /api/rea")
             reply = await asyncio.wait_for(r.call("/api/ready"), 1)
             assert (reply.status, reply.headers["connection"]) == (200, "close")
@@ -172,7 +172,7 @@
                 r.proxy._admin_server is not None
                 and len(r.proxy._admin_server._callers) <= MAX_CALLERS
             )
-            for _, writer in held:
+            for _, writer in idle_connections:
                 writer.close()
 
     asyncio.run(run())
@@ -250,8 +250,8 @@
                 while not stopped.is_set():
                     await client.ask()
 
-            asking = [asyncio.create_task(send_requests()) for _ in range(60)]
-            held = [
+            request_tasks = [asyncio.create_task(send_requests()) for _ in range(60)]
+            idle_connections = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
             worst, loop = 0.0, asyncio.get_running_loop()
@@ -260,8 +260,8 @@
                 assert (await r.call(path)).status == 200
                 worst = max(worst, loop.time() - began)
             stopped.set()
-            await asyncio.gather(*asking)
-            for _, writer in held:
+            await asyncio.gather(*request_tasks)
+            for _, writer in idle_connections:
                 writer.close()
             assert worst < 1.0 and r.count("requests") > 100
 
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -399,7 +399,7 @@
     assert (cfg.position, cfg.cross_zone_fee) == (0, 0.0)
 
 
-def test_members_do_not_require_an_idempotent_class() -> None:
+def test_members_serve_a_class_that_is_not_idempotent() -> None:
     driver = Driver(
         40, classes=(request_class(Effect.NON_IDEMPOTENT, priority_weight=5.0),), proxies=200
     )
