--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -192,8 +192,7 @@
             deadline = min(deadline, message.latest_ns)
         entry = _Pending(message, deadline)
         self._pending[message.request] = entry
-        # The deadline of a request with a long body counts from the end of writing the body, unless
-        # the process stops before.
+        # For a long body, `_on_written` sets the deadline; a stopping process also sets one here.
         if inbound.stream is not None and self._stop_by_ns is not None:
             entry.deadline_ns = self._stop_by_ns
         if inbound.stream is None or self._stop_by_ns is not None:
@@ -247,9 +246,11 @@
             entry.in_flight -= 1
             entry.has_timed_out = message.result == AttemptResult.TIMEOUT
             if not entry.is_answered and message.response and message.result == AttemptResult.OK:
-                answer = message.response
-                reply = ClientResponse(200, answer.body, answer.head, answer.stream, answer.length)
-                if answer.stream is None:
+                response = message.response
+                reply = ClientResponse(
+                    200, response.body, response.head, response.stream, response.length
+                )
+                if response.stream is None:
                     self._answer(entry, reply, Outcome.FULFILLED)
                 else:
                     self._begin_relay(entry, reply)
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -399,7 +399,7 @@
     assert (cfg.position, cfg.cross_zone_fee) == (0, 0.0)
 
 
-def test_members_do_not_require_an_idempotent_class() -> None:
+def test_members_serve_a_class_that_is_not_idempotent() -> None:
     driver = Driver(
         40, classes=(request_class(Effect.NON_IDEMPOTENT, priority_weight=5.0),), proxies=200
     )
@@ -588,8 +588,8 @@
 
 
 def test_the_traffic_fraction_is_estimated_by_completions() -> None:
-    # Guards against client retries that inflate the traffic fraction, most of all the heaviest
-    # tenant's.
+    # Guards against a traffic fraction that is inflated by client retries, most of all by those of
+    # the heaviest tenant.
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.5, 40.0))
     driver = Driver(60, classes=PURE, proxies=300, tenants=tenants)
     driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 0.0
