--- a/mothstall/net/proxy.py
+++ b/mothstall/net/proxy.py
@@ -119,8 +119,7 @@
         on_update(EndpointsUpdated(UpdateScope.CACHED, cached))
         self._frontend = self._make_frontend(free - self._max_backend_connections, max_streams)
         self._handover: Handover | None = None
-        # Relays of responses that the predecessor began.
-        self._stream_takeovers: set[StreamTakeover] = set()
+        self._stream_takeovers: set[StreamTakeover] = set()  # relays of the predecessor's responses
         self._takeover_tasks: set[asyncio.Task[None]] = set()
         self._admin_server: AdminServer | None = None
 
@@ -298,13 +297,11 @@
 
         self._lifecycle.hand_over()
         self._frontend.acceptor.pause()
-        inherited_state = self._decider.inherited_state()
+        inherited = self._decider.inherited_state()
         self._decider.tell(PeerProcessEvent(SuccessorChanged(True)))
         self._pool.close_idle()
         self.loop.call_soon(self._frontend.handover.hand_over_idle)
-        return HandoverState(
-            self._frontend.connection_count, self._pool.open_count, inherited_state
-        )
+        return HandoverState(self._frontend.connection_count, self._pool.open_count, inherited)
 
     def _resume_accepting(self) -> None:
         """Accept clients again, unless stopping: the successor process is gone."""
