--- a/mothstall/commands/drains.py
+++ b/mothstall/commands/drains.py
@@ -1,4 +1,4 @@
-"""`mothstall drain`, `undrain` and `drains`: stop sending new requests to a backend or a zone."""
+"""The commands `drain`, `undrain` and `drains`: start, end and list drains."""
 
 from __future__ import annotations
 
--- a/mothstall/fleet/agent/client_config.py
+++ b/mothstall/fleet/agent/client_config.py
@@ -59,5 +59,5 @@
 
 
 def jittered_s(nominal_s: float, rng: random.Random) -> float:
-    """Return a pause drawn between 0.5 and 1.5 of `nominal_s`, in seconds."""
+    """Return a random pause of 0.5 to 1.5 times `nominal_s`, in seconds."""
     return nominal_s * (0.5 + rng.random())
--- a/mothstall/fleet/agent/observer_client.py
+++ b/mothstall/fleet/agent/observer_client.py
@@ -49,7 +49,7 @@
     """Return the observers of this proxy's zone, and the other observers of its region.
 
     Raises:
-        OperatorError: There are none.
+        OperatorError: No observer is in this proxy's zone or region.
     """
     in_zone = [row for row in operator.observers if row.zone == operator.zone]
     regions = {row.region for row in in_zone}
@@ -57,7 +57,7 @@
     in_region = [row for row in operator.observers if row.region in regions and row not in in_zone]
     if not in_zone and not in_region:
         raise OperatorError(
-            f"operator file: $.observers: none stands in {operator.zone!r} or its region"
+            f"operator file: $.observers: none in zone {operator.zone!r} or its region"
         )
     return in_zone, in_region
 
--- a/mothstall/fleet/failover/planner.py
+++ b/mothstall/fleet/failover/planner.py
@@ -1,7 +1,8 @@
-"""The next failover plan, from evidence and the last plan. Pure.
+"""Computes the next failover plan from the evidence and the last plan. Pure.
 
-A plan gives locality weights for zones that traffic arrives in; a zone without weights routes
-freely, as in normal operation. See docs/failover.md.
+For an origin zone, where traffic arrives, a plan gives weights: the fraction of the traffic that
+each zone serves. An origin zone without weights routes freely, as in normal operation. See
+docs/failover.md.
 """
 
 from __future__ import annotations
@@ -35,9 +36,9 @@
 
     Attributes:
         plan: The plan that the next tick starts from.
-        has_changed: Whether it differs enough from the last one to be published.
-        rejected_reason: Why the new plan was rejected; `plan` is then the last one, with the new
-            measurements. Empty if it was accepted.
+        has_changed: Whether `plan` differs enough from the last plan to be published.
+        rejected_reason: The defect of a rejected new plan, or `HELD`; empty if there is neither.
+            After a rejection `plan` is the last plan with the new measurements.
     """
 
     plan: FailoverPlan
@@ -78,7 +79,7 @@
 
 
 def _remaining_hold_ms(last: FailoverPlan, overrides: OperatorOverrides, elapsed_ms: int) -> int:
-    """Return the milliseconds that are left of an operator's hold; 0 if there is none."""
+    """Return the remaining milliseconds of an operator's hold; 0 if there is none."""
     if overrides.number > last.overrides_number:
         return overrides.hold_ms
     return max(0, last.hold_remaining_ms - elapsed_ms)
--- a/mothstall/fleet/failover/transition.py
+++ b/mothstall/fleet/failover/transition.py
@@ -25,7 +25,7 @@
     """The locality weights of one proxy.
 
     Attributes:
-        plan_number: The plan that they come from; 0 between two plans.
+        plan_number: The plan that the weights come from; 0 before the first and in a transition.
         weights: Fraction of the proxy's traffic by the zone that serves it.
         overflow_fraction: Fraction for which no zone has capacity.
         strength: Influence of the weights. 0: routing is free, as in normal operation; 1: they
@@ -81,7 +81,7 @@
             zone: The zone that it runs in.
             spread_ms: Milliseconds within which all proxies complete a transition.
             hold_ms: Milliseconds without contact for which a plan stays fully in force.
-            fade_ms: Milliseconds after that in which the plan fades out.
+            fade_ms: Milliseconds after the hold in which the plan fades out.
             is_immediate: Disables the spread, for tests and for the lab's ideal planner.
             never_expires: Disables the end of the hold and the fade-out, for the same uses.
         """
@@ -99,7 +99,7 @@
         """Start the transition to a plan.
 
         Returns:
-            Whether it is newer than the one that was adopted last; otherwise nothing changes.
+            Whether the plan is newer than the last adopted one; otherwise nothing changes.
         """
         if plan.number <= self.plan_number:
             return False
@@ -148,7 +148,7 @@
         return int(digest / _HASH_RANGE * self.spread_ms / 2)
 
     def _interpolate(self, now_ms: int) -> RoutingWeights:
-        """Return the interpolated weights at a time; a transition takes half of the spread."""
+        """Return the weights interpolated at `now_ms`; a transition takes half of the spread."""
         before = self._change.before
         after = self._change.after
         duration_ms = max(1, self.spread_ms // 2)
--- a/mothstall/fleet/probing/assignment.py
+++ b/mothstall/fleet/probing/assignment.py
@@ -56,7 +56,7 @@
     _backends: Collection[str] | None = None  # of the last call
     _live_proxies: Collection[str] | None = None  # of the last call
     _other_proxies: list[str] = field(default_factory=list)  # in any order
-    _position: dict[str, int] = field(default_factory=dict)  # index in `_other_proxies`
+    _position: dict[str, int] = field(default_factory=dict)  # index in the list above, by name
     _witness: dict[str, str] = field(default_factory=dict)  # by backend
     _witnessed: dict[str, set[str]] = field(default_factory=dict)  # backends by their witness
 
--- a/mothstall/observer/renewal_batcher.py
+++ b/mothstall/observer/renewal_batcher.py
@@ -77,8 +77,8 @@
         leases = tuple(lease for renewal in batch for lease in renewal.change.leases)
         self._counts["renewals"] += 1
         self._counts["renewed"] += len(leases)
-        # Proxies count a renewed term from before they sent the renewal: a slow renewal extends it
-        # less.
+        # A proxy counts the new term from the time just before it sent the renewal, so a renewal
+        # that takes longer extends the lease by less.
         wait_s = self._limits.max_renewal_wait_s
         try:
             result = await self._clients.renewals.propose(
--- a/mothstall/store/protocol/connection.py
+++ b/mothstall/store/protocol/connection.py
@@ -14,8 +14,8 @@
 
 log = logging.getLogger("mothstall.link")
 
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes; a peer that does not read is disconnected beyond this
-GREETING_TIMEOUT_S = 3.0  # seconds until the peer's first frame has to be complete
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # a peer with more unsent bytes is disconnected
+GREETING_TIMEOUT_S = 3.0  # for the peer's complete first frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/mothstall/store/protocol/frames.py
+++ b/mothstall/store/protocol/frames.py
@@ -20,8 +20,8 @@
 from mothstall.store.errors import FrameError
 
 FORMAT_VERSION = 1
-MAX_FRAME_BYTES = 2 * 1024 * 1024  # bytes after the header; bounds what is buffered for a peer
-NONCE_BYTES = 16  # bytes
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # without the header; bounds the receive buffer of a peer
+NONCE_BYTES = 16
 MAX_PEER_NAME_LENGTH = 100  # characters
 _MAC_BYTES = 16
 _CLUSTER_DIGEST_BYTES = 8
--- a/mothstall/store/raft/node.py
+++ b/mothstall/store/raft/node.py
@@ -196,24 +196,24 @@
         return bool(self.leader)
 
     def request_read(self, context: int) -> None:
-        """Request a read index; a later `ready` contains it, or never: the caller retries."""
+        """Request a read index for a later `ready`; the request may be lost: the caller retries."""
         if self.is_leader:
             self._leader.read(self.name, context)
         elif self.leader:
             self.outbox.send(ReadIndex(sender=self.name, recipient=self.leader, context=context))
 
     def propose_configuration(self, voters: Sequence[str], learners: Sequence[str]) -> str:
-        """Propose a configuration that differs by at most one voter.
+        """Propose a configuration that differs from the newest one by at most one voter.
 
         Returns:
-            Why it is rejected, else an empty string.
+            Why the configuration is rejected; empty if it is accepted.
         """
         if not self.is_leader or self._leader.transfer.is_in_progress:
             return "this keeper does not lead"
         return self._leader.propose_configuration(voters, learners)
 
     def transfer_leadership(self, target: str) -> str:
-        """Begin to transfer the leadership; return why it is rejected, else an empty string."""
+        """Begin to transfer the leadership; return why it is rejected, empty if it is not."""
         if not self.is_leader:
             return "this keeper does not lead"
         return self._leader.transfer.begin(target)
--- a/mothstall/store/raft/progress.py
+++ b/mothstall/store/raft/progress.py
@@ -1,4 +1,4 @@
-"""A leader's view of each replica's progress, and what a quorum has confirmed. Pure."""
+"""The leader's record of each replica's progress, and the progress of a quorum. Pure."""
 
 from __future__ import annotations
 
--- a/mothstall/store/raft/replication.py
+++ b/mothstall/store/raft/replication.py
@@ -20,7 +20,7 @@
 
 
 class Replication:
-    """Sends entries, heartbeats and snapshots to the replicas, and commits what a quorum holds.
+    """Sends entries, heartbeats and snapshots to the replicas, and commits entries.
 
     Attributes:
         is_broadcast_due: Whether entries or a commit index wait to be sent with the next `Ready`.
@@ -104,7 +104,7 @@
             self._send(response.sender, is_heartbeat=True)
 
     def advance_commit_index(self) -> None:
-        """Commit what a quorum holds, if its last entry is of the own term (Raft, 5.4.2)."""
+        """Commit the entries that a quorum holds, if the last is of the own term (Raft, 5.4.2)."""
         state = self._state
         index = self._progress.quorum_match_index()
         if index <= state.commit_index:
@@ -113,7 +113,7 @@
         if self._options.is_commit_limited_to_own_term and not is_own_term:
             return
         state.commit_index = index
-        # Lets followers apply it too, and answer their callers, without waiting for a heartbeat.
+        # Lets followers apply the entries and answer their callers without waiting for a heartbeat.
         self.is_broadcast_due = True
         self._reads.release_confirmed()
 
--- a/mothstall/store/state/changes.py
+++ b/mothstall/store/state/changes.py
@@ -91,7 +91,7 @@
     """Ends leases that nobody renewed in time, by the leading keeper's clock.
 
     Attributes:
-        leases: Name and fencing token of each; a lease with another token by now is kept.
+        leases: Name and fencing token of each; a lease that has another token by now is kept.
     """
 
     leases: tuple[tuple[str, int], ...]
--- a/mothstall/store/storage.py
+++ b/mothstall/store/storage.py
@@ -1,6 +1,6 @@
 """The durable log of a replica: entries, hard state and snapshot in one SQLite file.
 
-Each record has a checksum, which is verified when the file is opened: no record behind a torn or
+Each record has a checksum, which is verified when the file is opened: no entry after a torn or
 damaged one is used, and such a replica is marked as one that has lost promises. A write is one
 transaction (WAL, full sync); a failed write changes nothing.
 """
@@ -40,8 +40,8 @@
     Attributes:
         hard_state: Term and vote; marked as recovering if the file was damaged.
         snapshot: The newest snapshot; its index is 0 if there is none.
-        entries: The intact entries behind the snapshot, without a gap.
-        damage: Names the first record that cannot be used; empty: none.
+        entries: The intact entries after the snapshot, without a gap.
+        damage: Description of the first record that cannot be used; empty if there is none.
     """
 
     hard_state: HardState
@@ -94,7 +94,7 @@
             self._connection = self._open()
             return self._read(name, cluster, initial_configuration)
         except StorageError:
-            raise  # it is an OSError too, but names the file already
+            raise  # a StorageError is an OSError too, but its text already names the file
         except sqlite3.OperationalError as error:
             raise StorageError(f"{self.path}: {error}") from error
         except sqlite3.DatabaseError as error:
@@ -189,7 +189,7 @@
         return self.path.with_suffix(f".damaged-{number}")
 
     def _read(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
-        """Reads all records; if one is damaged, marks the replica and drops the entries behind."""
+        """Reads all records; if one is damaged, marks the replica and drops unusable entries."""
         self._check_owner(name, cluster)
         loaded = LoadedLog(HardState(), Snapshot(0, 0, initial_configuration, b""))
         self._read_hard_state(loaded)
@@ -233,7 +233,7 @@
         database.execute("DELETE FROM entries")
 
     def _read_entries(self, loaded: LoadedLog) -> None:
-        """Reads the entries behind the snapshot, up to the first that is missing or damaged."""
+        """Reads the entries after the snapshot, up to the first that is missing or damaged."""
         last_index = loaded.snapshot.last_included_index
         rows = self._database.execute(
             "SELECT idx, term, kind, data, sum FROM entries WHERE idx > ? ORDER BY idx",
--- a/mothstall/store/storage_inspection.py
+++ b/mothstall/store/storage_inspection.py
@@ -43,7 +43,7 @@
 
 
 def find_damage(path: Path) -> str:
-    """Returns the first damage in a replica's file; empty: none."""
+    """Returns a description of the first damage in a replica's file; empty if it is intact."""
     if not path.exists():
         return f"{path}: no such file"
     try:
@@ -59,7 +59,7 @@
 
 
 def _damaged_record(database: sqlite3.Connection) -> str:
-    """Returns the damage in the hard state or the snapshot; empty: none."""
+    """Returns which record, hard state or snapshot, is damaged; empty if both are intact."""
     for table in ("hard", "snapshot"):
         for data, stored_checksum in database.execute(f"SELECT data, sum FROM {table}"):
             if checksum(data) != stored_checksum:
@@ -68,7 +68,7 @@
 
 
 def _damaged_entry(database: sqlite3.Connection) -> str:
-    """Returns the first entry that is damaged or missing; empty: none."""
+    """Returns which entry is the first damaged or missing one; empty if there is none."""
     last_index: int | None = None
     rows = database.execute("SELECT * FROM entries ORDER BY idx")
     for index, term, kind, data, stored_checksum in rows:
--- a/tests/commands/test_observer_commands.py
+++ b/tests/commands/test_observer_commands.py
@@ -122,7 +122,7 @@
     file = write_file_with_observer(tmp_path, keeper_port=1, observer_port=2)
     elsewhere = tmp_path / "elsewhere.toml"
     elsewhere.write_text(file.read_text().replace('zone = "z1"', 'zone = "z7"', 1))
-    with pytest.raises(ConfigError, match=r"\$\.observers: none stands in 'z7' or its region"):
+    with pytest.raises(ConfigError, match=r"\$\.observers: none in zone 'z7' or its region"):
         cli._check_observers(cli._read_operator(str(elsewhere)))
     cli._check_observers(cli._read_operator(str(file)))
 
--- a/tests/fleet/observers/test_simulated_worlds.py
+++ b/tests/fleet/observers/test_simulated_worlds.py
@@ -11,8 +11,8 @@
 @pytest.mark.parametrize("first", range(1, 201, 10))
 def test_simulated_worlds_violate_no_invariant(first: int) -> None:
     worlds = [tier.play(Plan(seed)) for seed in range(first, first + 10)]
-    # Guards against simulations in which nothing happens: proxies joined, moved and were rejected,
-    # and snapshots were sent.
+    # Guards against simulations in which nothing happens: they must contain joins, moves,
+    # rejections, snapshots, orphan sweeps and crashes.
     assert sum(world.joined for world in worlds) > 300 and sum(world.moved for world in worlds) > 30
     assert (
         sum(world.refused for world in worlds) > 5 and sum(world.snapshots for world in worlds) > 50
--- a/tests/fleet/test_observer_config.py
+++ b/tests/fleet/test_observer_config.py
@@ -29,7 +29,7 @@
         parse_operator_file({**tree, "zone": "z4", "failover": regions})
     )
     assert not home and [row.name for row in others] == ["o1", "o2"]
-    with pytest.raises(OperatorError, match=r"\$\.observers: none stands in 'z5' or its region"):
+    with pytest.raises(OperatorError, match=r"\$\.observers: none in zone 'z5' or its region"):
         reachable_observers(parse_operator_file({**tree, "zone": "z5"}))
 
 
--- a/tests/store/raft/test_exploration.py
+++ b/tests/store/raft/test_exploration.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("bounds", SMALL_BOUNDS)
 def test_safety_holds_in_every_state_within_small_bounds(bounds: explore.Bounds) -> None:
-    """All orders of messages, timeouts and crashes; larger bounds are in docs/results.md."""
+    """Covers all orders of messages, timeouts and crashes; docs/results.md has larger bounds."""
     found = explore.explore(bounds)
     assert found.whole
     assert found.states > 30_000
