--- a/mothstall/lab/fleetcommand.py
+++ b/mothstall/lab/fleetcommand.py
@@ -160,7 +160,7 @@
         if args.json != "-":
             print(result.text(), flush=True)
     if len(results) > 1 and args.json != "-":
-        print(f"{len(results)} runs, {failed_runs} with violations")
+        print(f"{len(results)} runs, {failed_runs} with a breach")
     _write_json(args.json, results)
     return 3 if failed_runs else 0
 
--- a/mothstall/lab/fleetjudge.py
+++ b/mothstall/lab/fleetjudge.py
@@ -111,7 +111,7 @@
         *(
             [] if spec.failover else _check_idle_backends(spec, observed, record)
         ),  # a failover plan may take a whole zone out of use
-        *(Violation("operator call", 0.0, description) for description in record.command_failures),
+        *(Violation("operators", 0.0, description) for description in record.command_failures),
         *_check_expectations(spec, observed, record),
     ]
     zone_violations, zone_figures = zonejudge.check_failover(
@@ -202,7 +202,7 @@
             found.append(Violation("acknowledged write lost", read.began, description))
         if read.value > max((w.value for w in record.writes if w.sent < read.ended), default=0):
             description = f"a read returned {read.value}, which was never written"
-            found.append(Violation("unwritten value read", read.began, description))
+            found.append(Violation("a write from nowhere", read.began, description))
     return found
 
 
@@ -228,14 +228,14 @@
                 f"{sum(answered)} of {len(answered)} requests answered "
                 f"in second {second} ({failure_counts})"
             )
-            found.append(Violation("served fraction", float(second), description))
+            found.append(Violation("traffic flows", float(second), description))
     return found
 
 
 def _check_members(spec: FleetScenario, record: RunRecord) -> list[Violation]:
     """Behind observers no proxy dials a keeper, and every live proxy stays a member."""
     found = [
-        Violation("keeper dialled", 0.0, f"{proxy} dialled {keeper}")
+        Violation("keepers never", 0.0, f"{proxy} dialled {keeper}")
         for proxy, keeper in record.keeper_connections
     ]
     proxies = {f"p{i + 1}" for i in range(spec.proxies)}
@@ -252,7 +252,7 @@
     ]:
         found.append(
             Violation(
-                "member missing at the end",
+                "member at the end",
                 spec.seconds,
                 f"{', '.join(lost)} not a member at the end",
             )
@@ -287,7 +287,7 @@
             if i - first + 1 > max_probes:
                 found.append(
                     Violation(
-                        "probe rate",
+                        "probes",
                         at,
                         f"{backend} was probed {i - first + 1} times in one second",
                     )
@@ -321,7 +321,7 @@
                 f"no proxy sent to {', '.join(sorted(missing))} "
                 f"from {since:g} to {since + WINDOW_S:g} s"
             )
-            found.append(Violation("idle backend", since, description))
+            found.append(Violation("box put out", since, description))
     return found
 
 
@@ -384,4 +384,4 @@
     if within and (not gaps or max(gaps) > within):
         longest = f"{max(gaps):.3f} s" if gaps else "never"
         found.append(f"time to replace an owner: {longest}, at most {within:g} s expected")
-    return [Violation("expectation", spec.seconds, description) for description in found]
+    return [Violation("shown", spec.seconds, description) for description in found]
--- a/mothstall/lab/fleetplay.py
+++ b/mothstall/lab/fleetplay.py
@@ -66,7 +66,7 @@
 
     def text(self) -> str:
         rows = [
-            f"{self.scenario}, seed {self.seed}: {'passed' if not self.checks.violations else 'FAILED'}"
+            f"{self.scenario}, seed {self.seed}: {'held' if not self.checks.violations else 'BROKEN'}"
         ]
         rows += [f"  {b.rule}: {b.description}" for b in self.checks.violations]
         rows += [f"  {key} {value}" for key, value in self.checks.figures.items()]
--- a/mothstall/lab/zonejudge.py
+++ b/mothstall/lab/zonejudge.py
@@ -107,11 +107,11 @@
         description = (
             f"{zone} got more than {OVERLOAD_RATIO:g} times its capacity for {longest:.2f} s"
         )
-        findings.append(("zone overload", began, description))
+        findings.append(("zone pushed", began, description))
     if plan_number < spec.expects.plans:
         findings.append(
             (
-                "expectation",
+                "shown",
                 spec.seconds,
                 f"{plan_number} plans were published, {spec.expects.plans} expected",
             )
@@ -119,7 +119,7 @@
     if plan_number > spec.expects.max_plans:
         findings.append(
             (
-                "expectation",
+                "shown",
                 spec.seconds,
                 f"{plan_number} plans were published, {spec.expects.max_plans} at most",
             )
@@ -160,7 +160,7 @@
             f"{figures['crossing_in']:.2f} of the requests crossed zones during the faults, "
             f"{spec.expects.crossing_fraction:g} expected"
         )
-        findings.append(("expectation", since, description))
+        findings.append(("shown", since, description))
     good = [row for row in observed.client_requests if since <= row.at < until]
     figures["served_in"] = round(
         sum(r.status == 200 and r.took_s <= OBJECTIVE_S for r in good) / max(1, len(good)), 4
@@ -173,5 +173,5 @@
             message = (
                 f"{description} after {figures[key]:.2f} s, within {limit_ns / 1e9:g} s expected"
             )
-            findings.append(("expectation", since if key == "shift_s" else until, message))
+            findings.append(("shown", since if key == "shift_s" else until, message))
     return findings, figures
--- a/tests/lab/test_fleetjudge.py
+++ b/tests/lab/test_fleetjudge.py
@@ -65,7 +65,7 @@
         ),
         (
             lambda observed, record: record.reads.append(ReadRecord(9, 3.0, 3.1)),
-            "unwritten value read",
+            "a write from nowhere",
         ),
         (lambda observed, record: record.drains.append(DrainRecord("b2", "", 3.0, 9.0)), "drain: "),
         (
@@ -76,7 +76,7 @@
             lambda observed, record: observed.client_requests.extend(
                 [ClientRequestRecord(5.0, "p1", 503, 0.1)] * 40
             ),
-            "served fraction",
+            "traffic flows",
         ),
         (
             lambda observed, record: observed.client_requests.extend(
@@ -88,18 +88,18 @@
             lambda observed, record: observed.effects.extend(
                 [EffectRecord(11.9, "b1", "p1", "probe/b1", 4, "")] * 9
             ),
-            "probe rate",
+            "probes",
         ),
         (
             lambda observed, record: record.command_failures.append("drain b1: no quorum"),
-            "operator call",
+            "operators",
         ),
         (
             lambda observed, record: observed.backend_requests.__setitem__(
                 slice(None),
                 [r for r in observed.backend_requests if r.backend in ("b1", "b2") or r.at < 6.0],
             ),
-            "idle backend: no proxy sent to b3, b4",
+            "box put out: no proxy sent to b3, b4",
         ),
     ],
 )
@@ -123,7 +123,7 @@
         (lambda record: None, ""),
         (
             lambda record: record.keeper_connections.append(("p2", "k1")),
-            "keeper dialled: p2 dialled k1",
+            "keepers never: p2 dialled k1",
         ),
         (
             lambda record: record.membership_changes.append((5.0, ALL_PROXIES - {"p3"})),
@@ -131,7 +131,7 @@
         ),
         (
             lambda record: record.live_members.discard("p1"),
-            "member missing at the end: p1 not a member at the end",
+            "member at the end: p1 not a member at the end",
         ),
         (
             lambda record: (
