--- a/mothstall/keeper/admission.py
+++ b/mothstall/keeper/admission.py
@@ -19,7 +19,7 @@
 MAX_PENDING = 8192  # proposals, queued and in flight; further ones are rejected
 MAX_QUEUED_NEWCOMERS = 6144  # limit within MAX_PENDING: mass joins leave capacity for members
 MAX_IN_FLIGHT = 256  # proposals handed to the leader and not applied yet
-RESUBMIT_AFTER_NS = 600_000_000  # in flight for this long: a resubmission hands it in again
+RESUBMIT_AFTER_NS = 600_000_000  # in flight for this long: a resubmission queues it again
 LOST_AFTER_NS = 3_000_000_000  # in flight for this long without a caller: counts as lost
 
 NO_DEADLINE = 0
--- a/mothstall/keeper/watchers.py
+++ b/mothstall/keeper/watchers.py
@@ -62,16 +62,15 @@
         counts: dict[str, int],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Count the events in `counts["pushes"]`."""
+        """Start without watchers; `counts["pushes"]` counts the events sent."""
         self._replica = replica
         self._limits = limits
         self._counts = counts
         self._loop = loop
         self._watchers: dict[FrameConnection, Watcher] = {}
         self._round: list[Watcher] = []  # watchers of this round without their event yet
-        self._events: dict[
-            int, EncodedEvent
-        ] = {}  # of this round, by the watchers' version before it
+        # Events of this round, by the version that their watchers have before it.
+        self._events: dict[int, EncodedEvent] = {}
         self._next_changes_at_s = 0.0  # earliest time of the next round with changes
         self._timer: asyncio.TimerHandle | None = None
 
--- a/mothstall/lab/box.py
+++ b/mothstall/lab/box.py
@@ -290,7 +290,7 @@
         job.generation += 1
 
     def reschedule(self) -> None:
-        """Reschedule the running jobs after a change of speed or of the pause."""
+        """Reschedule the running jobs after a change of speed, and after a pause begins or ends."""
         for job in self.running:
             self._update_progress(job)
             if not self.paused:
@@ -409,7 +409,7 @@
             work_by_proxy[proxy] = work_by_proxy.get(proxy, 0) + work
         self.ledger.cold_overloads.append(ColdOverload(self.id, now, int(window), work_by_proxy))
         record.outcome, record.end = AttemptOutcome.LOST, now
-        self.silent = True  # no resets are sent, and no restart follows
+        self.silent = True  # sends no resets
         self.stop()
         return True
 
--- a/mothstall/lab/clients.py
+++ b/mothstall/lab/clients.py
@@ -18,7 +18,7 @@
 
 DEADLINE_SLACK_NS = 50_000_000  # a response this late after its deadline still counts as in time
 MIN_REMAINING_NS = 20_000_000  # with less time left a client does not retry
-GOLDEN_RATIO = 0.6180339887498949
+GOLDEN_RATIO = 0.6180339887498949  # its multiples modulo 1 spread the jitter of retries evenly
 
 
 class RequestTransport(Protocol):
--- a/mothstall/lab/coldsum.py
+++ b/mothstall/lab/coldsum.py
@@ -45,15 +45,13 @@
 
     backend: int
     started: int
-    recent: deque[tuple[int, float]] = field(
-        default_factory=deque
-    )  # within fall-ns: time, and work
+    # Time and work of the attempts within the last fall-ns.
+    recent: deque[tuple[int, float]] = field(default_factory=deque)
     load: float = 0.0
     max_excess: float = -math.inf  # of the load over the limit, in requests of mean work
     max_ratio: float = 0.0  # greatest ratio of the load to the limit
-    windows: list[tuple[float, float, int]] = field(
-        default_factory=list
-    )  # of each full window: load, N, attempts
+    # For each complete window: load, N, attempts.
+    windows: list[tuple[float, float, int]] = field(default_factory=list)
     attempts: int = 0  # attempts in the present window
 
 
--- a/mothstall/lab/command.py
+++ b/mothstall/lab/command.py
@@ -330,7 +330,7 @@
     ):
         sizes = " ".join(map(str, coldsum.SIZES))
         raise scenario.ScenarioError(
-            f"--seeds and --workers must be 1 or more, --proxies of {sizes}"
+            f"--seeds and --workers must be 1 or more, --proxies one of {sizes}"
         )
     policies.parse(args.policy)
     print("| proxies | seeds | over the bound | nearest | below by | mean of N | spread | served |")
--- a/mothstall/lab/compare.py
+++ b/mothstall/lab/compare.py
@@ -97,6 +97,7 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self.program = fingerprint()
+        # By scenario, policy, seed and duration: worth, worst 10 s, violations by kind.
         self.results: dict[
             tuple[str, str, int, float | None], tuple[float, float, dict[str, int]]
         ] = {}
--- a/mothstall/lab/fleet.py
+++ b/mothstall/lab/fleet.py
@@ -59,7 +59,8 @@
 
     who: str
     to: str
-    direction: str = msgspec.field(name="way", default="both")  # there, back or both
+    # "there" (from `who` to `to`), "back" or "both".
+    direction: str = msgspec.field(name="way", default="both")
     is_lossy: bool = msgspec.field(name="lose", default=False)
     duration: Duration = msgspec.field(name="lasts")
 
--- a/mothstall/lab/fleetjudge.py
+++ b/mothstall/lab/fleetjudge.py
@@ -58,35 +58,27 @@
     writes: list[WriteRecord] = field(default_factory=list)
     reads: list[ReadRecord] = field(default_factory=list)
     drains: list[DrainRecord] = field(default_factory=list)
-    exempt: list[tuple[str, float, float]] = field(
-        default_factory=list
-    )  # process, from, to: periods in which it was stopped, killed or cut off
-    owner_faults: list[tuple[str, float]] = field(
-        default_factory=list
-    )  # leases whose owner was stopped or killed, and when
+    # Process, from, to: periods in which it was stopped, killed or cut off.
+    exempt: list[tuple[str, float, float]] = field(default_factory=list)
+    # Leases whose owner was stopped or killed, with the time of that fault.
+    owner_faults: list[tuple[str, float]] = field(default_factory=list)
     forwarded_drains: int = 0  # drains set at one proxy that were then found in the store
     failing_backends: list[str] = field(default_factory=list)  # backends made to fail or to be slow
-    restarted_backends: list[tuple[str, float]] = field(
-        default_factory=list
-    )  # backend, time of its restart
+    # Backend, time of its restart.
+    restarted_backends: list[tuple[str, float]] = field(default_factory=list)
     fault_period: FaultPeriod | None = None
     plan_number: int = 0  # of the newest failover plan read from the store
-    membership_changes: list[tuple[float, frozenset[str]]] = field(
-        default_factory=list
-    )  # time, all members by the log
-    live_members: set[str] = field(
-        default_factory=set
-    )  # members whose lease was in force at the last read
-    keeper_connections: list[tuple[str, str]] = field(
-        default_factory=list
-    )  # proxy, the keeper that it dialled
-    halted_proxies: list[tuple[str, float, float]] = field(
-        default_factory=list
-    )  # proxy, from, to: periods in which it may lose its membership
+    # Time of a change, names of all members after it.
+    membership_changes: list[tuple[float, frozenset[str]]] = field(default_factory=list)
+    # Members whose lease was in force at the last read of the store's state.
+    live_members: set[str] = field(default_factory=set)
+    # Proxy, the keeper that it dialled.
+    keeper_connections: list[tuple[str, str]] = field(default_factory=list)
+    # Proxy, from, to: periods in which it may lose its membership.
+    halted_proxies: list[tuple[str, float, float]] = field(default_factory=list)
     observer_moves: int = 0  # connections to observers beyond the first one of each proxy
-    command_failures: list[str] = field(
-        default_factory=list
-    )  # operator commands without the expected result
+    # Operator commands that did not have the expected result.
+    command_failures: list[str] = field(default_factory=list)
 
     def add_fault(self, at: float, duration_s: float) -> None:
         """Extends the fault period by a fault that begins at `at` and lasts `duration_s` seconds."""
@@ -108,9 +100,8 @@
         *_check_served(spec, observed, record),
         *_check_probes(spec, observed),
         *(_check_members(spec, record) if spec.observers else []),
-        *(
-            [] if spec.failover else _check_idle_backends(spec, observed, record)
-        ),  # a failover plan may take a whole zone out of use
+        # A failover plan may take a whole zone out of use, so that its backends are idle.
+        *([] if spec.failover else _check_idle_backends(spec, observed, record)),
         *(Violation("operators", 0.0, description) for description in record.command_failures),
         *_check_expectations(spec, observed, record),
     ]
@@ -170,7 +161,10 @@
 
 
 def _check_drains(observed: Observations, record: RunRecord) -> list[Violation]:
-    """No new requests at a drained backend; a disconnected proxy knows only the drains set at itself."""
+    """No proxy sends new requests to a drained backend.
+
+    A proxy that was stopped or cut off is bound only by drains that were set at itself.
+    """
     found = []
     for d in record.drains:
         begins = d.since + PROXY_DRAIN_S + (0.0 if d.proxy else STORE_DRAIN_S)
@@ -271,9 +265,8 @@
     Probes that a link had delayed count at the time of their arrival.
     """
     planned_rate = 1e9 / spec.probe_every
-    max_probes = (
-        PROBE_SLACK * planned_rate + 1
-    )  # a window of one second may include one more at its ends
+    # Plus 1: a window of one second may include a probe at each of its ends.
+    max_probes = PROBE_SLACK * planned_rate + 1
     by_backend: dict[str, list[float]] = defaultdict(list)
     for e in observed.effects:
         if not e.rejected_reason:
--- a/mothstall/lab/judge.py
+++ b/mothstall/lab/judge.py
@@ -41,6 +41,7 @@
 )
 from mothstall.lab.scenario import Kind, Scenario
 
+# The rule that each kind of violation breaks.
 RULES = {
     "lost": "one final answer in time",
     "double": "one final answer in time",
@@ -82,9 +83,8 @@
     by_tenant: dict[str, float] = field(default_factory=dict)
     within_share: dict[str, float] = field(default_factory=dict)
     wasted: dict[str, float] = field(default_factory=dict)  # parts of all work done, by use
-    latency: dict[str, dict[str, float]] = field(
-        default_factory=dict
-    )  # ms, from the scheduled arrival
+    # Percentiles in ms by class, measured from the scheduled arrival.
+    latency: dict[str, dict[str, float]] = field(default_factory=dict)
     recover_s: float | None = None  # s after the last fault's end; None: not recovered, or no fault
     answers: dict[str, int] = field(default_factory=dict)
     rules: dict[str, int] = field(default_factory=dict)
@@ -93,9 +93,8 @@
     intents: int = 0
     requests: int = 0
     attempts: int = 0
-    worth_by_time: list[tuple[float, float, float]] = field(
-        default_factory=list
-    )  # s, worth of the intents, worth earned
+    # Time in s, worth of the intents, worth earned.
+    worth_by_time: list[tuple[float, float, float]] = field(default_factory=list)
     histograms: dict[str, HdrHistogram] = field(default_factory=dict)
 
     @property
--- a/mothstall/lab/policies.py
+++ b/mothstall/lab/policies.py
@@ -291,9 +291,8 @@
             and (request := self.requests.get(event.request))
             and self.sorted_backends
         ):
-            self.send_attempt(
-                request, self.rng.choice(self.sorted_backends)
-            )  # a second copy, also where the class forbids it
+            # A second attempt, even if the request's class forbids it.
+            self.send_attempt(request, self.rng.choice(self.sorted_backends))
 
     def attempt_ended(self, event: io.AttemptEnded) -> None:
         request = self.requests.get(event.request)
--- a/mothstall/lab/soak/clients.py
+++ b/mothstall/lab/soak/clients.py
@@ -14,7 +14,7 @@
 UPLOAD_BYTES = (70_000, 150_000, 300_000)
 REMAINING_TIMES_S = (0.3, 0.6, 0.9)  # values of X-Remaining
 CUT_STATUS = 0  # recorded for a response that was cut off
-CLIENT_TIMEOUT_S = 2.5  # more than any response that still counts takes
+CLIENT_TIMEOUT_S = 2.5  # a response in time takes less: X-Remaining plus slack
 MALFORMED_INPUTS = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
--- a/mothstall/lab/standins.py
+++ b/mothstall/lab/standins.py
@@ -177,9 +177,8 @@
         self._server: asyncio.Server | None = None
         self._connections = 0  # accepted so far
         self._silent_up_to = 0  # connections up to this number get no further response
-        self._wait_ends: dict[
-            int, float
-        ] = {}  # of waiting calls, on the loop's clock, by connection number
+        # By connection number: when its waiting call ends, by the event loop's clock.
+        self._wait_ends: dict[int, float] = {}
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
--- a/tests/lab/test_coldsum.py
+++ b/tests/lab/test_coldsum.py
@@ -61,14 +61,12 @@
     assert incarnation.max_excess == pytest.approx(incarnation.load - (n + 2 * math.sqrt(n) + 2))
     trial.now += window
     trial._add_work(1, number, 1.0)
-    assert incarnation.load == pytest.approx(
-        1 + coldsum.HANDSHAKE_COST
-    )  # earlier work has left the window
+    # Earlier work has left the window.
+    assert incarnation.load == pytest.approx(1 + coldsum.HANDSHAKE_COST)
     trial.process[1] += 1
     trial._add_work(1, number, 1.0)
-    assert incarnation.load == pytest.approx(
-        2 * (1 + coldsum.HANDSHAKE_COST)
-    )  # a new process opens a new connection
+    # A new process opens a new connection.
+    assert incarnation.load == pytest.approx(2 * (1 + coldsum.HANDSHAKE_COST))
 
 
 def test_probes_of_a_cold_backend_use_an_open_connection() -> None:
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -25,9 +25,8 @@
     assert same.is_insignificant and str(same).endswith("~")
     better = difference([0.5, 0.6, 0.7, 0.8], [0.55, 0.66, 0.74, 0.86])
     assert not better.is_insignificant and 0 < better.low <= better.mean <= better.high
-    assert better == difference(
-        [0.5, 0.6, 0.7, 0.8], [0.55, 0.66, 0.74, 0.86]
-    )  # bootstrap draws use a fixed seed
+    # Bootstrap draws use a fixed seed.
+    assert better == difference([0.5, 0.6, 0.7, 0.8], [0.55, 0.66, 0.74, 0.86])
     assert difference([0.1, 0.1], [0.9, 0.9]).is_insignificant  # too few pairs for an interval
 
 
@@ -56,9 +55,8 @@
     )
     lines = path.read_text(encoding="utf-8").splitlines()
     assert len(lines) == 2
-    path.write_text(
-        lines[0] + "\n" + lines[1][:40], encoding="utf-8"
-    )  # a crash cut the second line short
+    # As if a crash had cut the second line short.
+    path.write_text(lines[0] + "\n" + lines[1][:40], encoding="utf-8")
     cache = compare.RunCache(path)
     assert len(cache.results) == 1
     key = next(iter(cache.results))
@@ -98,9 +96,8 @@
         return condition()
 
     try:
-        assert wait_for(
-            lambda: len(children.read_text().split()) >= 3
-        )  # two workers and the resource tracker
+        # Two workers and the resource tracker.
+        assert wait_for(lambda: len(children.read_text().split()) >= 3)
         started = [int(pid) for pid in children.read_text().split()]
     finally:
         process.kill()
