--- a/mothstall/lab/explore.py
+++ b/mothstall/lab/explore.py
@@ -73,9 +73,8 @@
     commit: int
 
 
-_State = tuple[
-    tuple[int, int, int], tuple[int, ...], int, int
-]  # local states, messages in flight, entries left, crashes left
+# Local states, messages in flight, entries left to propose, crashes left.
+_State = tuple[tuple[int, int, int], tuple[int, ...], int, int]
 
 
 class _Space:
@@ -169,9 +168,8 @@
         if (found := self._steps.get(key)) is None:
             raft = self._raft(state_id)
             if isinstance(self.messages[message], m.RequestVote):
-                raft.election.elapsed_ticks = (
-                    raft.timing.election_ticks
-                )  # otherwise a replica that recently heard from a leader ignores the vote request
+                # A replica that recently got messages from a leader would ignore the vote request.
+                raft.election.elapsed_ticks = raft.timing.election_ticks
             raft.step(self.messages[message])
             found = self._steps[key] = self.complete_writes(raft)
         return found
@@ -295,8 +293,8 @@
         state_id: int,
         remaining: tuple[int, ...],
         sent: tuple[int, ...],
-        e: int,
-        c: int,
+        entries_left: int,
+        crashes_left: int,
     ) -> _State:
         states = (*replicas[:position], state_id, *replicas[position + 1 :])
         live = [
@@ -306,18 +304,17 @@
             live.sort(key=space.links.__getitem__)  # stable: keeps the order within each link
         else:
             live = sorted(set(live))
-        return states, tuple(live), e, c  # type: ignore[return-value]
+        return states, tuple(live), entries_left, crashes_left  # type: ignore[return-value]
 
     for i, message in enumerate(messages):
         position = space.recipients[message]
         state_id, sent = space.deliver(replicas[position], message)
-        lost = (
-            space.links[message] if space.bounds.keeps_link_order else -1
-        )  # earlier messages of that link are lost
-        remaining = tuple(n for n in messages[:i] if space.links[n] != lost) + messages[i + 1 :]
+        # On an ordered link, delivery of this message means that the earlier ones were lost.
+        link = space.links[message] if space.bounds.keeps_link_order else -1
+        remaining = tuple(n for n in messages[:i] if space.links[n] != link) + messages[i + 1 :]
         yield successor(position, state_id, remaining, sent, entries, crashes)
     for position in range(len(NAMES)):
-        for state_id, sent, e, c in space.steps_without_message(
+        for state_id, sent, entries_left, crashes_left in space.steps_without_message(
             replicas[position], entries, crashes
         ):
-            yield successor(position, state_id, messages, sent, e, c)
+            yield successor(position, state_id, messages, sent, entries_left, crashes_left)
