--- a/mothstall/lab/virtual.py
+++ b/mothstall/lab/virtual.py
@@ -95,7 +95,7 @@
             self.subscribe()
 
     def stop(self, silent: bool) -> None:
-        """Stop the process; clients and backends with open requests see a reset, unless `silent`."""
+        """Stop the process; clients and backends of open requests see a reset unless `silent`."""
         self.up = False
         self.epoch += 1
         run, now = self.run, self.run.time.now
