--- a/mothstall/keeper/admin.py
+++ b/mothstall/keeper/admin.py
@@ -124,7 +124,7 @@
             return self._add_learner(command.target)
         if command.verb == AdminVerb.REMOVE:
             return self._remove(command.target)
-        return f"unknown command {command.verb}"
+        return f"no order {command.verb}"
 
     def _add_learner(self, name: str) -> str:
         own_name = self._reporter.name
