--- a/mothstall/keeper/admin.py
+++ b/mothstall/keeper/admin.py
@@ -96,7 +96,7 @@
         self._schedule_replica = schedule_replica
 
     def execute(self, command: AdminCommand) -> AdminResponse:
-        """Execute one command; the response has a reason if the command is rejected."""
+        """Execute one command; a rejection is a response with the reason."""
         if command.verb == AdminVerb.STATUS:
             text = json.dumps(self._reporter.status()).encode()
             return AdminResponse(command.request_id, "", text)
@@ -117,7 +117,7 @@
         return AdminResponse(command.request_id, "", backup)
 
     def _change_configuration(self, command: AdminCommand) -> str:
-        """Return why the command is rejected; empty if its execution has started."""
+        """Return why the command is rejected; an empty string if its execution has started."""
         if command.verb == AdminVerb.TRANSFER:
             return self._replica.raft.transfer_leadership(command.target)
         if command.verb == AdminVerb.ADD:
--- a/mothstall/keeper/admission.py
+++ b/mothstall/keeper/admission.py
@@ -16,11 +16,11 @@
 
 from mothstall.store.state.changes import AcquireLease, OpenSession, Proposal
 
-MAX_PENDING = 8192  # proposals, queued and in flight; further ones are rejected
-MAX_QUEUED_NEWCOMERS = 6144  # limit within MAX_PENDING: mass joins leave capacity for members
+MAX_PENDING = 8192  # proposals queued and in flight; further proposals are rejected
+MAX_QUEUED_NEWCOMERS = 6144  # within MAX_PENDING, so that mass joins leave capacity for members
 MAX_IN_FLIGHT = 256  # proposals handed to the leader and not applied yet
-RESUBMIT_AFTER_NS = 600_000_000  # in flight for this long: a resubmission hands it in again
-LOST_AFTER_NS = 3_000_000_000  # in flight for this long without a caller: counts as lost
+RESUBMIT_AFTER_NS = 600_000_000  # a resubmission requeues a proposal in flight for this long
+LOST_AFTER_NS = 3_000_000_000  # a proposal in flight for this long without a caller counts as lost
 
 NO_DEADLINE = 0
 NOT_IN_FLIGHT = -1
@@ -34,8 +34,9 @@
 
     Attributes:
         proposal: The proposal.
-        deadlines_ns: Deadline by caller; `NO_DEADLINE`: the caller waits without a limit.
-        in_flight_since_ns: When the proposal was handed in; `NOT_IN_FLIGHT`: it is queued.
+        deadlines_ns: Deadline by caller; `NO_DEADLINE` if the caller waits without a limit.
+        in_flight_since_ns: When the proposal was handed to the leader; `NOT_IN_FLIGHT` while it is
+            queued.
     """
 
     proposal: Proposal
@@ -51,7 +52,7 @@
         return self.in_flight_since_ns != NOT_IN_FLIGHT
 
     def is_past_deadline(self, now_ns: int) -> bool:
-        """Whether the deadlines of all callers have passed; false if one has no deadline."""
+        """Whether the deadlines of all callers have passed; False if a caller has no deadline."""
         return all(0 < deadline_ns <= now_ns for deadline_ns in self.deadlines_ns.values())
 
 
@@ -95,8 +96,8 @@
     def has_capacity_for(self, proposal: Proposal) -> bool:
         """Return whether this proposal can be queued, or is pending already.
 
-        Guards against mass joins that fill the queue: a renewal that is rejected there would cost a
-        member its lease.
+        Guards against mass joins that fill the queue: a member whose renewal is rejected would
+        lose its lease.
         """
         if _key(proposal) in self._pending:
             return True
@@ -108,7 +109,10 @@
     def submit(
         self, caller: int, proposal: Proposal, now_ns: int, deadline_ns: int = NO_DEADLINE
     ) -> None:
-        """Add a caller to this proposal, or update the deadline of a caller that it has."""
+        """Queue a proposal for a caller; add the caller to the proposal if it is pending already.
+
+        A repeated call updates the caller's deadline.
+        """
         key = _key(proposal)
         pending = self._pending.get(key)
         if pending is None:
@@ -135,7 +139,10 @@
             self.dropped += 1
 
     def next_proposal(self, now_ns: int) -> Proposal | None:
-        """Return the next proposal to hand in; None if the window is full or nothing is queued."""
+        """Return the next proposal to hand to the leader.
+
+        Returns None if the window is full or no proposal is queued.
+        """
         while self._in_flight < self.window:
             queue = self._priority_queue or self._newcomer_queue
             if not queue:
@@ -152,15 +159,15 @@
         return None
 
     def requeue(self, proposal: Proposal) -> None:
-        """Put a proposal that could not be handed in back at the head of its queue."""
+        """Put a proposal that could not be handed to the leader back at the head of its queue."""
         pending = self._pending.get(_key(proposal))
         if pending is not None and pending.is_in_flight:
             self._requeue_first(pending)
 
     def requeue_in_flight(self) -> None:
-        """After a change of leader or term, requeue the proposals in flight that have callers.
+        """Requeue the proposals in flight that have callers, and drop those without callers.
 
-        Those proposals may be lost.
+        Called after a change of leader or term, as proposals in flight may be lost then.
         """
         for key, pending in list(self._pending.items()):
             if not pending.is_in_flight:
@@ -173,7 +180,7 @@
         self._in_flight = 0
 
     def complete(self, key: ProposalKey) -> tuple[int, ...]:
-        """Remove a proposal that was applied, and return the callers to be answered."""
+        """Remove an applied proposal, and return the callers that wait for its result."""
         pending = self._pending.get(key)
         if pending is None:
             return ()
--- a/mothstall/keeper/disk_writer.py
+++ b/mothstall/keeper/disk_writer.py
@@ -17,7 +17,7 @@
     """Writes to the disk log without blocking the event loop, and retries until a write succeeds.
 
     Attributes:
-        status: The fault of the disk as shown to operators; empty: none.
+        status: The fault of the disk as shown to operators; empty if there is no fault.
         has_write_error: Whether the last write failed.
     """
 
@@ -50,10 +50,12 @@
             log.error("log damaged: returns as a learner", extra={"kv": {"damage": loaded.damage}})
 
     async def write(self, ready: Ready) -> bool:
-        """Retry the write until it succeeds: dependent messages may be sent only after that.
+        """Write `ready`, and retry until the write succeeds.
+
+        Messages that depend on the write may be sent only after it.
 
         Returns:
-            False if the writer was stopped in the meantime.
+            False if the writer was stopped before or during the write.
         """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/mothstall/keeper/lease_expiry.py
+++ b/mothstall/keeper/lease_expiry.py
@@ -25,8 +25,8 @@
 
 log = logging.getLogger("mothstall.keeper")
 
-MAX_LOGGED_NAMES = 8  # in one log line
-EXPIRY_RETRY_NS = 1_000_000_000  # until an expiry that is not applied is proposed again
+MAX_LOGGED_NAMES = 8  # names of leases in one log line
+EXPIRY_RETRY_NS = 1_000_000_000  # an expiry not applied after this time is proposed again
 
 LeaseTerm = tuple[str, int]  # name of the lease and its token
 
@@ -41,7 +41,7 @@
         self._proposed_at_ns: dict[LeaseTerm, int] = {}
 
     def remaining_ns(self, name: str, now_ns: int) -> int | None:
-        """Return the remaining time of a lease's term at this leader; None: not tracked."""
+        """Return the remaining time of a lease's term, or None if the lease is not tracked."""
         return self._tracker.remaining_ns(name, now_ns)
 
     def on_applied(
@@ -55,9 +55,9 @@
         if not self._tracked_raft_term or result.rejected_reason:
             return
         if isinstance(change, AcquireLease):
-            # Guards against an acquisition that is applied a second time: its result is the first
-            # one with the old token. Tracked in place of the next holder's token, it would keep the
-            # next holder's lease from ever expiring.
+            # Guards against an acquisition that is applied a second time: it returns the first
+            # result, with the old token. If the old token replaced the next holder's token in the
+            # tracker, the next holder's lease would never expire.
             if state.is_lease_current(change.name, result.token):
                 self._tracker.record_grant(change.name, result.token, change.duration_ms, now_ns)
         elif isinstance(change, RenewLeases):
--- a/mothstall/keeper/limits.py
+++ b/mothstall/keeper/limits.py
@@ -21,7 +21,7 @@
         max_watch_events_per_s: Maximum rate of watch events with changes. After a round with more
             than `watch_interval_s` times this number, the next changes are delayed, so that many
             watchers get many changes in one event each.
-        watch_heartbeat_s: A watcher that got no event for this long gets an empty one.
+        watch_heartbeat_s: A watcher that got no event for this long gets an empty event.
         slow_watcher_s: A watcher that has not read its last event is skipped for this long.
         expiry_interval_ns: Interval between removals of requests past their deadline.
         write_retry_s: Pause after a failed write.
--- a/mothstall/keeper/peers.py
+++ b/mothstall/keeper/peers.py
@@ -23,7 +23,7 @@
 
 
 class PeerConnection:
-    """The connection to one other keeper: dialled again, with backoff, whenever it is lost.
+    """The connection to one other keeper, which is dialled again with backoff when it is lost.
 
     A message that cannot be sent is dropped: Raft retransmits, and proxies send new reports.
     """
--- a/mothstall/keeper/pending_reads.py
+++ b/mothstall/keeper/pending_reads.py
@@ -8,7 +8,7 @@
 
 
 class PendingReads:
-    """Callers by the context of their read index request."""
+    """Tracks the callers of reads by the context of their read index request."""
 
     def __init__(self) -> None:
         self._callers: dict[int, int] = {}  # by context
--- a/mothstall/keeper/process.py
+++ b/mothstall/keeper/process.py
@@ -35,7 +35,7 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
-MIN_ELECTION_TICKS = 3  # three heartbeats, which the operator file's checks require too
+MIN_ELECTION_TICKS = 3  # the operator file's checks require at least three heartbeats too
 MIN_HEARTBEAT_TICKS = 1
 COUNTERS = (
     "calls",
--- a/mothstall/keeper/replica.py
+++ b/mothstall/keeper/replica.py
@@ -24,7 +24,7 @@
 MAX_ENTRIES_BEHIND_SNAPSHOT = 512  # lets replicas that lag a little catch up without a snapshot
 DEFAULT_COMPACT_EVERY = 2000  # entries
 
-# Clients recognize both by their first words, and retry with exponential backoff.
+# Clients recognize both reasons by their first words, and retry with exponential backoff.
 TOO_MANY_CALLERS_REASON = "too many callers wait"
 NO_LEADER_REASON = "no quorum: no leader is known"
 
@@ -58,7 +58,7 @@
         self._snapshot_index = snapshot.last_included_index
 
     def compact_if_due(self, raft: RaftNode, state: StateMachine) -> None:
-        """Compact the log to a snapshot once `every` entries were applied since the last."""
+        """Compact the log once `every` entries were applied since the last snapshot."""
         if state.applied_index - self._snapshot_index < self._every:
             return
         self._snapshot_index = state.applied_index
@@ -125,7 +125,7 @@
         """Submit a proposal for a caller that waits until its deadline.
 
         Returns:
-            Why the proposal is rejected; empty: a later `handle_persisted` returns its result.
+            Why the proposal is rejected; empty if a later `handle_persisted` returns its result.
         """
         if not self.admission.has_capacity_for(proposal):
             return TOO_MANY_CALLERS_REASON
@@ -144,7 +144,7 @@
         """Request a linearizable read for a caller.
 
         Returns:
-            Why the read is rejected; empty: a later `handle_persisted` lets the caller read.
+            Why the read is rejected; empty if a later `handle_persisted` lets the caller read.
         """
         if len(self._reads) >= MAX_PENDING:
             return TOO_MANY_CALLERS_REASON
@@ -187,7 +187,10 @@
         self._snapshots.on_loaded(snapshot)
 
     def _early_rejection_reason(self, proposal: Proposal) -> str:
-        """Check a proposal before it costs a commit, if the state is known to be the latest."""
+        """Return why a proposal would be rejected, if the state is known to be the latest.
+
+        Guards against commits of proposals that are rejected when they are applied.
+        """
         is_latest = (
             self.raft.has_committed_in_term and self.raft.last_applied == self.raft.log.last_index
         )
@@ -199,7 +202,10 @@
         return self.state.rejection_reason(proposal.change)
 
     def _forward_queued(self, now_ns: int) -> None:
-        """Hand queued proposals to the leader up to the window; requeue first for a new leader."""
+        """Hand queued proposals to the leader until the window is full.
+
+        For a new leader or term, the proposals in flight are requeued first.
+        """
         if not len(self.admission) or not self.raft.leader:
             return
         leader = (self.raft.current_term, self.raft.leader)
--- a/mothstall/keeper/replica_loop.py
+++ b/mothstall/keeper/replica_loop.py
@@ -1,7 +1,7 @@
 """Runs a replica in an event loop: ticks, writes, messages to peers and applied entries.
 
-Writes run on a separate thread: a slow disk delays the messages that depend on a write, as it must,
-but not the handling of received messages. Dependent messages are sent, and entries applied, once
+Writes run on a separate thread: a slow disk delays the messages that depend on a write, but not
+the handling of received messages. Dependent messages are sent, and entries applied, once
 the write is on disk.
 """
 
@@ -25,7 +25,7 @@
         """Called after each tick of the replica."""
 
     def on_applied(self, applied: AppliedEntries) -> None:
-        """Called with applied entries and with reads that are possible now."""
+        """Called with the results of applied entries and the reads that may be served now."""
 
 
 class ReplicaLoop:
--- a/mothstall/keeper/report_relay.py
+++ b/mothstall/keeper/report_relay.py
@@ -15,8 +15,8 @@
 class ReportRelay:
     """Relays reports in batches, once to each other keeper and to this keeper's subscribers.
 
-    Buffers are bounded: a proxy sends a new report each second, so that a dropped one does no harm.
-    Nothing is stored.
+    Buffers are bounded: each proxy sends a new report every second, so that a dropped report
+    does no harm. Reports are not stored.
 
     Attributes:
         subscribers: The clients of this keeper that receive all reports.
--- a/mothstall/keeper/requests.py
+++ b/mothstall/keeper/requests.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """The client that waits for a response.
+    """A request whose client waits for the response.
 
     Attributes:
         connection: The client's connection.
@@ -21,7 +21,7 @@
 
 
 class RequestTable:
-    """Pending requests by caller id.
+    """Stores pending requests by caller id.
 
     This process assigns the caller ids, as two clients may use the same request id. The replica
     identifies a request by its caller id alone.
--- a/mothstall/keeper/watchers.py
+++ b/mothstall/keeper/watchers.py
@@ -20,8 +20,8 @@
 
     Attributes:
         connection: The connection that events are sent to.
-        version: The version of the state that the client has; 0: none.
-        sent_at_s: When the last event was sent, by the loop's clock; 0: never.
+        version: The version of the state that the client has; 0 if it has no version.
+        sent_at_s: When the last event was sent, by the loop's clock; 0 before the first event.
     """
 
     connection: FrameConnection
@@ -43,13 +43,13 @@
 
 
 class WatchPublisher:
-    """Sends watch events in rounds, which bring all their watchers to one version of the state.
+    """Sends watch events in rounds; each brings its watchers to one version of the state.
 
-    Guards against many watchers that are all at different versions, each of which would need its
-    own encoding: watchers that got the same event lack the same changes from then on, so that one
-    encoding serves all of them. Each batch is bounded; the rest of the round follows in later
-    batches. Also guards against mass joins whose changes would be sent to all joining members
-    twenty times a second and use up their capacity: changes for many watchers are sent less often.
+    Guards against many watchers at different versions, each of which needs an encoding of its own:
+    watchers that got the same event lack the same changes from then on, so that one encoding serves
+    all of them. Each batch is bounded; the rest of the round follows in later batches. Also guards
+    against mass joins whose changes would be sent to all joining members twenty times a second and
+    use up their capacity: changes for many watchers are sent less often.
 
     A round takes time linear in the watchers; those that have the current version and got an event
     within the heartbeat interval are skipped.
@@ -68,7 +68,7 @@
         self._counts = counts
         self._loop = loop
         self._watchers: dict[FrameConnection, Watcher] = {}
-        self._round: list[Watcher] = []  # watchers of this round without their event yet
+        self._round: list[Watcher] = []  # watchers of this round that have not got their event yet
         self._events: dict[
             int, EncodedEvent
         ] = {}  # of this round, by the watchers' version before it
--- a/mothstall/store/errors.py
+++ b/mothstall/store/errors.py
@@ -8,7 +8,7 @@
 
 
 class FrameError(StoreError, ValueError):
-    """Bytes that are not a valid frame of this connection, or a payload too large for a frame.
+    """The bytes are not a valid frame of this connection, or the payload exceeds a frame.
 
     The message is one line. After invalid bytes the connection has to be closed, as the start of
     the next frame is unknown.
@@ -16,12 +16,12 @@
 
 
 class SnapshotError(StoreError, ValueError):
-    """Bytes that are not a valid snapshot of the replicated state."""
+    """The bytes are not a valid snapshot of the replicated state."""
 
 
 class StorageError(StoreError, OSError):
-    """The file of a replica cannot be read or written; the message is one line that names it."""
+    """A replica's file cannot be read or written; the message is one line that names the file."""
 
 
 class CommittedEntryConflictError(StoreError, AssertionError):
-    """A leader sent an entry that conflicts with a committed one, which violates Raft's safety."""
+    """A leader sent an entry that contradicts a committed one, which violates Raft's safety."""
--- a/mothstall/store/protocol/connection.py
+++ b/mothstall/store/protocol/connection.py
@@ -14,13 +14,13 @@
 
 log = logging.getLogger("mothstall.link")
 
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes; a peer that does not read is disconnected beyond this
-GREETING_TIMEOUT_S = 3.0  # seconds until the peer's first frame has to be complete
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # a peer that does not read is disconnected beyond this
+GREETING_TIMEOUT_S = 3.0  # from connecting until the peer's first frame has to be complete
 
 
 @dataclass(frozen=True, slots=True)
 class _Handlers:
-    """Callbacks of the owner of a connection."""
+    """Callbacks to the owner of a connection."""
 
     on_connected: Callable[[FrameConnection], None]
     on_payload: Callable[[FrameConnection, bytes], None]
--- a/mothstall/store/protocol/frames.py
+++ b/mothstall/store/protocol/frames.py
@@ -20,8 +20,8 @@
 from mothstall.store.errors import FrameError
 
 FORMAT_VERSION = 1
-MAX_FRAME_BYTES = 2 * 1024 * 1024  # bytes after the header; bounds what is buffered for a peer
-NONCE_BYTES = 16  # bytes
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # without the header; bounds the receive buffer of a peer
+NONCE_BYTES = 16
 MAX_PEER_NAME_LENGTH = 100  # characters
 _MAC_BYTES = 16
 _CLUSTER_DIGEST_BYTES = 8
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class _Direction:
-    """The frames of one direction of a connection.
+    """The label and the frame count of one direction of a connection.
 
     Attributes:
         label: Identifies the direction in the keyed hash.
@@ -110,7 +110,7 @@
         return header + payload + mac
 
     def receive_data(self, data: bytes) -> list[bytes]:
-        """Returns the payloads that are complete with these bytes; the greeting goes to `peer`.
+        """Returns the payloads that these bytes complete; the greeting is stored in `peer` instead.
 
         Raises:
             FrameError: The bytes are not a valid frame of this connection, which has to be closed.
@@ -127,7 +127,7 @@
                 payloads.append(payload)
 
     def _next_payload(self) -> bytes | None:
-        """Removes one frame from the buffer, verified; None: it is not complete yet."""
+        """Removes and verifies the next frame; returns its payload, or None if it is incomplete."""
         if len(self._buffer) < _HEADER.size:
             return None
         header = bytes(self._buffer[: _HEADER.size])
@@ -169,7 +169,7 @@
         return digest.digest()
 
     def _accept_greeting(self, payload: bytes) -> None:
-        """Keeps the peer's greeting, and derives the key of all later frames from both nonces."""
+        """Stores the peer's greeting, and derives the key of all later frames from both nonces."""
         try:
             peer = msgspec.msgpack.decode(payload, type=Greeting)
         except (msgspec.DecodeError, ValueError) as error:
--- a/mothstall/store/protocol/keeper_messages.py
+++ b/mothstall/store/protocol/keeper_messages.py
@@ -36,7 +36,7 @@
     Attributes:
         request_id: Chosen by the caller; the response has the same.
         proposal: The change, and the session that proposes it.
-        wait_ms: Milliseconds that the caller still waits, by its own clock; 0: without a limit.
+        wait_ms: Milliseconds that the caller still waits, by its own clock; 0 for no limit.
     """
 
     request_id: int
@@ -45,7 +45,7 @@
 
 
 class CancelRequest(_Message, frozen=True, tag="Withdraw"):
-    """The caller no longer waits for the response to a proposal; has no response itself.
+    """Cancels the wait for the response to a proposal; has no response itself.
 
     Attributes:
         request_id: As in the `ProposeRequest`.
@@ -68,7 +68,7 @@
     """Subscribes to changes of the state; answered by `WatchEvent`s until the connection closes.
 
     Attributes:
-        known_version: The version that the caller has; 0: none.
+        known_version: The version of the state that the caller has; 0 if it has no version.
     """
 
     known_version: int
@@ -89,7 +89,9 @@
 
 
 class PublishReport(_Message, frozen=True, tag="Report"):
-    """A proxy's report for all subscribers at any keeper; not stored, and has no response.
+    """Publishes a proxy's report to the subscribers at all keepers; has no response.
+
+    The report is not stored.
 
     Attributes:
         report: The encoded report; keepers do not decode it.
@@ -109,7 +111,7 @@
 
 
 class RelayReports(_Message, frozen=True, tag="Relay"):
-    """Reports from one keeper to another, for the subscribers there.
+    """Relays reports from one keeper to the subscribers of another.
 
     Attributes:
         reports: Encoded reports.
@@ -169,8 +171,8 @@
 
     Attributes:
         request_id: As in the request.
-        rejected_reason: Why the command was rejected; empty: it was executed.
-        body: What the command returns: JSON, or the compressed state for a backup.
+        rejected_reason: Why the command was rejected; empty if it was executed.
+        body: The result of the command: JSON, or the compressed state for a backup.
     """
 
     request_id: int
@@ -200,9 +202,9 @@
 
     Attributes:
         request_id: Chosen by the caller; the response has the same.
-        lease: The lease that the caller holds; empty: it acts for an operator.
+        lease: The lease that the caller holds; empty if the caller acts for an operator.
         token: The lease's fencing token.
-        change: The drain to put or to remove; None: only check the lease and its token.
+        change: The drain to put or to remove; None only checks the lease and its token.
     """
 
     request_id: int
--- a/mothstall/store/protocol/observer_messages.py
+++ b/mothstall/store/protocol/observer_messages.py
@@ -25,8 +25,8 @@
         name: The proxy.
         epoch: Number of the proxy's attachment; each attachment has one observer.
         zone: The proxy's zone.
-        backend_prefixes: Prefixes of the names of the backends that it serves; "" means all.
-        known_version: The version of the state that it has; 0: none.
+        backend_prefixes: Name prefixes of the backends that the proxy uses; "" means all.
+        known_version: The version of the state that the proxy has; 0 if it has no version.
     """
 
     name: str
@@ -47,10 +47,10 @@
 
 
 class ResyncRequest(_Message, frozen=True, tag="Again"):
-    """Reports that an update does not continue the proxy's version; answered by one that does.
+    """Reports that an update does not start at the proxy's version; answered by one that does.
 
     Attributes:
-        known_version: The version of the state that it has; 0: none.
+        known_version: The version of the state that the proxy has; 0 if it has no version.
     """
 
     known_version: int
@@ -71,7 +71,7 @@
 
     Attributes:
         delta: The changes since the version that the proxy has, limited to its subscription.
-        age_ms: Time since the observer last reached a keeper that has a leader; -1: never.
+        age_ms: Time since the observer last reached a keeper that has a leader; -1 if it never has.
     """
 
     delta: StateDelta
@@ -93,7 +93,7 @@
 
     Attributes:
         epoch: Epoch of the attachment.
-        reason: Why, in one line.
+        reason: Why the proxy is not attached, in one line.
     """
 
     epoch: int
--- a/mothstall/store/raft/early_messages.py
+++ b/mothstall/store/raft/early_messages.py
@@ -22,7 +22,7 @@
 from mothstall.store.raft.progress import ProgressTracker
 from mothstall.store.raft.replica_state import ReplicaState
 
-MAX_WRITE_ELECTIONS = 2  # election timeouts after which a running write ends early messages
+MAX_WRITE_ELECTION_TIMEOUTS = 2  # a write that takes longer stops early messages
 
 
 class EarlyMessages:
@@ -47,12 +47,15 @@
 
     def take(self) -> list[Message]:
         """Return the messages that may be sent now; the others stay in the outbox."""
-        if self._persistence.write_ticks > MAX_WRITE_ELECTIONS * self._state.timing.election_ticks:
+        if (
+            self._persistence.write_ticks
+            > MAX_WRITE_ELECTION_TIMEOUTS * self._state.timing.election_ticks
+        ):
             return []
         return self._outbox.take_early(self._early_part)
 
     def _early_part(self, message: Message) -> Message | None:
-        """Return the part of a message that depends only on persisted state; None: no part."""
+        """Return the part of a message that depends only on persisted state, or None."""
         if isinstance(message, RequestVote | RequestVoteResponse):
             return message if message.is_pre_vote else None
         is_of_this_term = message.term == self._state.current_term
@@ -66,7 +69,10 @@
         return None
 
     def _persisted_heartbeat(self, message: AppendEntries) -> AppendEntries | None:
-        """Return a heartbeat at an index where the logs are known to agree: it is not rejected."""
+        """Return a heartbeat that is not rejected, as the logs agree at its `prev_log_index`.
+
+        Returns None if the log no longer holds the term of that entry.
+        """
         match_index = self._progress.replicas[message.recipient].match_index
         prev_log_index = min(match_index, self._persistence.persisted_index)
         prev_log_term = self._state.log.term_at(prev_log_index)
--- a/mothstall/store/raft/election.py
+++ b/mothstall/store/raft/election.py
@@ -8,18 +8,18 @@
 from mothstall.store.raft.outbox import Outbox
 from mothstall.store.raft.replica_state import ReplicaState, Role
 
-# consecutive lost campaigns that double the timeout each, up to eightfold
+# Each consecutive lost campaign doubles the timeout; three doublings make it eight times as long.
 MAX_TIMEOUT_DOUBLINGS = 3
 
 
 class Election:
-    """The election timeout of a replica, and its votes as a candidate.
+    """The election timeout of a replica, and the votes that it receives as a candidate.
 
     Attributes:
         elapsed_ticks: Ticks since the last message of a leader, or since the timeout was drawn.
         timeout_ticks: Number of elapsed ticks after which the replica campaigns.
         votes: Responses of voters in the current pre-vote or election, by name.
-        lost_campaigns: Campaigns since the replica last had a leader or led.
+        lost_campaigns: Number of campaigns since the replica last had a leader or led.
     """
 
     def __init__(self, state: ReplicaState, outbox: Outbox, seed: int) -> None:
@@ -81,10 +81,10 @@
         return False
 
     def record_vote(self, response: RequestVoteResponse) -> bool:
-        """Count a vote.
+        """Record a voter's response; a won pre-vote starts the election.
 
         Returns:
-            Whether the election, not only the pre-vote, is won by it.
+            Whether this response wins the election; False if it wins only the pre-vote.
         """
         awaited = {Role.PRE_CANDIDATE: True, Role.CANDIDATE: False}
         if awaited.get(self._state.role) != response.is_pre_vote:
@@ -93,11 +93,11 @@
         return self._has_quorum() and self._win_round()
 
     def ignores(self, request: RequestVote) -> bool:
-        """Whether a vote request is ignored, without a response.
+        """Whether a vote request gets no response.
 
         Guards against a replica that has received nothing from the leader for a while and would
-        depose a leader that others still receive from (thesis, 4.2.3), and against votes of a
-        replica whose earlier votes may be lost.
+        depose a leader that others still receive from (thesis, 4.2.3), and against a second
+        vote in one term by this replica while its earlier votes may be lost.
         """
         if self._state.recovery_status != RecoveryStatus.NORMAL:
             return True
--- a/mothstall/store/raft/follower.py
+++ b/mothstall/store/raft/follower.py
@@ -34,10 +34,10 @@
         self._snapshots = SnapshotReceiver(state, outbox, persistence)
 
     def handle_append(self, request: AppendEntries) -> None:
-        """Append entries if the logs agree at the entry before them, and respond.
+        """Append the entries if both logs agree at `prev_log_index`, and respond.
 
         Raises:
-            CommittedEntryConflictError: An entry conflicts with a committed one.
+            CommittedEntryConflictError: An entry conflicts with a committed entry.
         """
         state = self._state
         prev_log_index = request.prev_log_index
@@ -58,7 +58,7 @@
         self.answer(request, success=True, match_index=match_index)
 
     def handle_snapshot(self, request: InstallSnapshot) -> None:
-        """Store a chunk of a snapshot, and respond."""
+        """Store a chunk of a snapshot unless the snapshot is too old or too large, and respond."""
         commit_index = self._state.commit_index
         is_needed = request.last_included_index > commit_index
         if is_needed and request.total_bytes <= MAX_SNAPSHOT_BYTES:
@@ -77,7 +77,7 @@
         self._send_answer(name, False, 0, 0, 0)
 
     def _append_entry(self, entry: Entry) -> None:
-        """Append an entry; a conflicting one at its index and all after it are removed first."""
+        """Append an entry; first remove a conflicting entry at its index and all later ones."""
         log = self._state.log
         existing_term = log.term_at(entry.index)
         if existing_term == entry.term or entry.index <= log.base_index:
@@ -92,7 +92,10 @@
         log.append(entry)
 
     def _retry_index(self, request: AppendEntries) -> int:
-        """Return the index to retry from; entries of terms after `prev_log_term` are skipped."""
+        """Return the index from which the leader retries.
+
+        Entries whose term is newer than `prev_log_term` are skipped.
+        """
         log = self._state.log
         index = min(request.prev_log_index - 1, log.last_index)
         while index > log.base_index and log.term_at(index) > request.prev_log_term:
@@ -117,7 +120,7 @@
 
 
 def _promises_of_leader(request: AppendEntries) -> ObservedPromises:
-    """Return the promises of a leader that a request implies: it sends only what is on its disk."""
+    """Return the promises that a request implies, as a leader sends only entries on its disk."""
     if request.entries:
         last = request.entries[-1]
         return ObservedPromises(request.term, last.term, last.index)
--- a/mothstall/store/raft/leader.py
+++ b/mothstall/store/raft/leader.py
@@ -21,7 +21,7 @@
 from mothstall.store.raft.replica_state import RaftOptions, ReplicaState
 from mothstall.store.raft.replication import Replication
 
-MAX_UNCOMMITTED_ENTRIES = 4096  # that may wait for a quorum; further proposals are rejected
+MAX_UNCOMMITTED_ENTRIES = 4096  # waiting for a quorum; further proposals are rejected
 
 
 class Leader:
@@ -30,8 +30,8 @@
     Attributes:
         progress: Replication progress of each replica.
         reads: Reads that wait for a quorum.
-        replication: Sends the log to the others.
-        transfer: A transfer of the leadership.
+        replication: Sends the log to the other replicas.
+        transfer: The transfer of the leadership to another voter, if one is in progress.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.transfer = LeadershipTransfer(state, outbox, self.progress)
 
     def start_term(self) -> None:
-        """Begin to lead: propose an empty entry and send it to all."""
+        """Begin to lead: append an empty entry and send a heartbeat to all other replicas."""
         self.transfer.cancel()
         self.progress.start_term()
         self.progress.own.match_index = self._persistence.persisted_index
@@ -63,7 +63,7 @@
         self.reads.clear()
 
     def has_active_quorum(self) -> bool:
-        """Whether a quorum has answered since the last call (check quorum, thesis, 6.2)."""
+        """Whether a quorum has responded since this was last True (check quorum, thesis, 6.2)."""
         has_quorum = self.progress.active_voter_count() >= self._state.configuration.quorum_size
         if has_quorum:
             self.progress.clear_activity()
@@ -81,7 +81,10 @@
             self.propose_configuration(change.voters, change.learners)
 
     def propose(self, data: bytes) -> bool:
-        """Append a command to the log; False during a transfer, or if too many entries wait."""
+        """Append a command to the log.
+
+        Returns False during a transfer, or while too many entries are uncommitted.
+        """
         uncommitted = self._state.log.last_index - self._state.commit_index
         if self.transfer.is_in_progress or uncommitted >= MAX_UNCOMMITTED_ENTRIES:
             return False
@@ -89,7 +92,7 @@
         return True
 
     def propose_configuration(self, voters: Sequence[str], learners: Sequence[str]) -> str:
-        """Propose a configuration; return why it is rejected, else an empty string."""
+        """Propose a configuration; return the reason if it is rejected, else an empty string."""
         proposed = Configuration(tuple(sorted(voters)), tuple(sorted(learners)))
         reason = membership.rejection_reason(self._state, proposed)
         if reason:
@@ -99,7 +102,7 @@
         return ""
 
     def read(self, sender: str, context: int) -> None:
-        """Begin a read for any replica; a heartbeat has to confirm that this one still leads."""
+        """Begin a read for any replica; a quorum's heartbeat responses confirm the leadership."""
         if self.reads.add(sender, context):
             self.replication.broadcast(is_heartbeat=True)
             self.reads.release_confirmed()
--- a/mothstall/store/raft/leadership_transfer.py
+++ b/mothstall/store/raft/leadership_transfer.py
@@ -12,7 +12,7 @@
     """A transfer that lasts at most one election timeout; no entries are proposed meanwhile.
 
     Attributes:
-        target: The voter that is to lead; empty: no transfer is in progress.
+        target: The voter that is to lead; an empty string while no transfer is in progress.
     """
 
     def __init__(self, state: ReplicaState, outbox: Outbox, progress: ProgressTracker) -> None:
@@ -28,7 +28,7 @@
         return bool(self.target)
 
     def begin(self, target: str) -> str:
-        """Begin a transfer; return why it is rejected, else an empty string."""
+        """Begin a transfer; return the reason if it is rejected, else an empty string."""
         state = self._state
         if target == state.name or target not in state.configuration.voters:
             return f"{target} is no other voter"
@@ -40,7 +40,7 @@
         return ""
 
     def tick(self) -> None:
-        """Cancel the transfer when its time is over."""
+        """Cancel the transfer once an election timeout has passed since it began."""
         if not self.is_in_progress:
             return
         self._remaining_ticks -= 1
--- a/mothstall/store/raft/log.py
+++ b/mothstall/store/raft/log.py
@@ -6,7 +6,7 @@
 
 from mothstall.store.raft.messages import Configuration, Entry, EntryKind, Snapshot
 
-UNKNOWN_TERM = -1  # of an entry that is not in the log
+UNKNOWN_TERM = -1  # stands for the term of an entry that is not in the log
 UNLIMITED_BYTES = 1 << 30  # more than all entries of a log in memory
 ENTRY_OVERHEAD_BYTES = 24  # an upper estimate of an entry's encoded size without its data
 
@@ -19,7 +19,7 @@
         entries: The entries in memory, the first one at `base_index + 1`.
         base_index: Index of the entry before the first one in memory.
         base_term: Term of that entry.
-        configurations: Index and configuration, in log order; the last one applies now.
+        configurations: Pairs of an index and the configuration from there on; the last applies now.
     """
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -62,19 +62,22 @@
         return UNKNOWN_TERM
 
     def entries_from(self, index: int, max_bytes: int = UNLIMITED_BYTES) -> tuple[Entry, ...]:
-        """Return the entries from `index` on that fit into `max_bytes`, at least one if any."""
-        found: list[Entry] = []
+        """Return the entries from `index` on that fit into `max_bytes`.
+
+        The first entry is returned even if it alone is larger.
+        """
+        batch: list[Entry] = []
         size_bytes = 0
         for position in range(index - self.base_index - 1, len(self.entries)):
             entry = self.entries[position]
             size_bytes += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if found and size_bytes > max_bytes:
+            if batch and size_bytes > max_bytes:
                 break
-            found.append(entry)
-        return tuple(found)
+            batch.append(entry)
+        return tuple(batch)
 
     def append(self, entry: Entry) -> None:
-        """Append an entry; if it holds a configuration, that applies at once."""
+        """Append an entry; a configuration in it applies at once."""
         self.entries.append(entry)
         if entry.kind == EntryKind.CONFIGURATION:
             configuration = msgspec.msgpack.decode(entry.data, type=Configuration)
@@ -100,5 +103,5 @@
         del self.entries[: new_base - self.base_index]
         self.base_index = new_base
         self.base_term = new_base_term
-        later = [row for row in self.configurations if row[0] > new_base]
-        self.configurations = [(new_base, base_configuration), *later]
+        later_configurations = [row for row in self.configurations if row[0] > new_base]
+        self.configurations = [(new_base, base_configuration), *later_configurations]
--- a/mothstall/store/raft/membership.py
+++ b/mothstall/store/raft/membership.py
@@ -10,7 +10,7 @@
 
 
 def rejection_reason(state: ReplicaState, proposed: Configuration) -> str:
-    """Return why a leader must not propose a configuration now; empty: it may."""
+    """Return why a leader must not propose a configuration now; an empty string if it may."""
     current = state.configuration
     if not state.has_committed_in_term:
         return "the leader has not yet committed an entry of its own term"
@@ -28,7 +28,7 @@
 
 
 def automatic_change(state: ReplicaState, replicas: Mapping[str, Progress]) -> Configuration | None:
-    """Return the configuration that a leader proposes on its own; None: no change is due.
+    """Return the configuration that a leader proposes on its own, or None if no change is due.
 
     A voter that has lost promises becomes a learner first; a learner that has caught up becomes a
     voter.
--- a/mothstall/store/raft/messages.py
+++ b/mothstall/store/raft/messages.py
@@ -1,7 +1,8 @@
 """Messages between replicas, and the records that a replica's log and disk hold. Pure.
 
-Terms and indexes count from 1; 0 means none. All structs are encoded as arrays, so the order
-of their fields is part of the wire and disk format, and the tags name the types on the wire.
+Terms and indexes count from 1; 0 means that there is no term or entry. All structs are encoded as
+arrays, so the order of their fields is part of the wire and disk format, and the tags name the
+types on the wire.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
     """Whether a replica still has all promises it made before its start; the numbers are sent."""
 
     NORMAL = 0
-    VERIFYING = 1  # just started: queries the others for its promises that they observed
-    RECOVERING = 2  # its disk has lost promises: it has no vote until it has been a learner
+    VERIFYING = 1  # just started: asks the other voters which of its promises they have observed
+    RECOVERING = 2  # its disk has lost promises: it does not vote until it has been a learner
 
     @property
     def published_name(self) -> str:
@@ -40,7 +41,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, array_like=True):
-    """The replicas by name.
+    """The names of the voters and learners of the cluster.
 
     Attributes:
         voters: Replicas that vote and whose copies count towards a quorum.
@@ -84,7 +85,7 @@
 
     Attributes:
         current_term: The newest term that the replica has seen.
-        voted_for: Who got its vote in that term; empty: nobody.
+        voted_for: The replica that got its vote in that term; empty if none did.
         is_recovering: Whether its disk has lost promises (`RecoveryStatus.RECOVERING`).
     """
 
@@ -105,7 +106,7 @@
     Attributes:
         last_log_index: Index of the candidate's last entry.
         last_log_term: Term of the candidate's last entry.
-        is_pre_vote: Whether it only tests if a vote would be granted (thesis, 9.6).
+        is_pre_vote: Whether the request only tests if a vote would be granted (thesis, 9.6).
         is_leadership_transfer: Whether the leader itself triggered the campaign (thesis, 3.10).
     """
 
@@ -130,7 +131,7 @@
         prev_log_term: Term of that entry.
         entries: Consecutive entries, possibly none.
         leader_commit: The leader's commit index.
-        read_round: The newest round of reads that waits for a quorum (thesis, 6.4).
+        read_round: Number of the leader's newest round of reads, to be confirmed (thesis, 6.4).
     """
 
     prev_log_index: int
@@ -141,7 +142,7 @@
 
 
 class AppendEntriesResponse(_Message, frozen=True, kw_only=True, tag="AppendAnswer"):
-    """Answers `AppendEntries`, and `InstallSnapshot` where the snapshot is not needed.
+    """Answers `AppendEntries`, and an `InstallSnapshot` that is not needed or is too large.
 
     Attributes:
         success: Whether the follower's log agreed at `prev_log_index`.
@@ -194,11 +195,11 @@
 
 
 class TimeoutNow(_Message, frozen=True, kw_only=True, tag="HandOver"):
-    """The leader makes the recipient campaign at once (thesis, 3.10)."""
+    """Makes the recipient campaign at once, to transfer the leadership (thesis, 3.10)."""
 
 
 class ForwardProposal(_Message, frozen=True, kw_only=True, tag="Forward"):
-    """A command that a replica which does not lead forwards to the leader."""
+    """Forwards a command to the leader from a replica that does not lead."""
 
     data: bytes
 
@@ -217,7 +218,7 @@
 
 
 class RecoveryQuery(_Message, frozen=True, kw_only=True, tag="Hello"):
-    """A newly started replica queries which of its promises the recipient has observed.
+    """Asks which promises of the sender, a newly started replica, the recipient has observed.
 
     Attributes:
         seen_term: The sender's own term.
@@ -234,8 +235,8 @@
     """Answers `RecoveryQuery` with the recipient's newest promises that the sender has observed.
 
     Attributes:
-        seen_term: The newest term in which it sent a message.
-        last_log_term: Term of the newest entry that it acknowledged.
+        seen_term: The newest term in which the recipient sent a message.
+        last_log_term: Term of the newest entry that the recipient is known to hold.
         last_log_index: Index of that entry.
     """
 
--- a/mothstall/store/raft/node.py
+++ b/mothstall/store/raft/node.py
@@ -124,7 +124,7 @@
 
     @property
     def voted_for(self) -> str:
-        """Who got its vote in the current term; empty: nobody."""
+        """The replica that got its vote in the current term; empty if none did."""
         return self.state.voted_for
 
     @property
@@ -139,7 +139,7 @@
 
     @property
     def recovery_status(self) -> RecoveryStatus:
-        """Whether its promises from before its start are known to be complete."""
+        """Whether the replica is known to hold all promises that it made before its start."""
         return self.state.recovery_status
 
     @property
@@ -149,17 +149,20 @@
 
     @property
     def leader(self) -> str:
-        """The leader of the current term; empty: unknown."""
+        """The leader of the current term; empty while it is unknown."""
         return self.state.leader
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads the current term."""
+        """Whether this replica leads the current term."""
         return self.state.is_leader
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it has committed an entry of its term as leader: its commit index is current."""
+        """Whether this replica leads and has committed an entry of its term.
+
+        Its commit index is current then.
+        """
         return self.state.has_committed_in_term
 
     @property
@@ -196,24 +199,27 @@
         return bool(self.leader)
 
     def request_read(self, context: int) -> None:
-        """Request a read index; a later `ready` contains it, or never: the caller retries."""
+        """Request a read index, which a later `ready` contains.
+
+        The request may be lost; the caller retries.
+        """
         if self.is_leader:
             self._leader.read(self.name, context)
         elif self.leader:
             self.outbox.send(ReadIndex(sender=self.name, recipient=self.leader, context=context))
 
     def propose_configuration(self, voters: Sequence[str], learners: Sequence[str]) -> str:
-        """Propose a configuration that differs by at most one voter.
+        """Propose a configuration that differs from the current one by at most one voter.
 
         Returns:
-            Why it is rejected, else an empty string.
+            The reason if it is rejected, else an empty string.
         """
         if not self.is_leader or self._leader.transfer.is_in_progress:
             return "this keeper does not lead"
         return self._leader.propose_configuration(voters, learners)
 
     def transfer_leadership(self, target: str) -> str:
-        """Begin to transfer the leadership; return why it is rejected, else an empty string."""
+        """Begin to transfer the leadership; return a rejection's reason, else an empty string."""
         if not self.is_leader:
             return "this keeper does not lead"
         return self._leader.transfer.begin(target)
@@ -251,7 +257,7 @@
                 self._campaign(is_pre_vote=self.options.is_pre_vote_enabled)
 
     def ready(self) -> Ready:
-        """Return the records to write, messages to send and entries to apply, in this order."""
+        """Return records to write, then messages to send and entries to apply after the write."""
         self._leader.replication.broadcast_if_due()
         ready = self.persistence.begin_write()
         ready.messages = self.outbox.take_all()
@@ -274,7 +280,7 @@
         return self._early_messages.take()
 
     def step(self, message: Message) -> None:
-        """Handle a message from another replica; one for another recipient is ignored."""
+        """Handle a message from another replica; ignore it if it is for another recipient."""
         if message.recipient != self.name:
             return
         match message:
@@ -363,7 +369,7 @@
         self.election.leader_found()
 
     def _accepts_term(self, message: Message) -> bool:
-        """Adopt a newer term; return whether a message is of the current one."""
+        """Adopt the term of a message if it is newer; return whether to handle the message."""
         if isinstance(message, RequestVoteResponse) and message.is_pre_vote:
             return self._accepts_pre_vote_response(message)
         if _recovery_status_of_sender(message) == RecoveryStatus.NORMAL:
@@ -379,7 +385,10 @@
         return True
 
     def _accepts_pre_vote_response(self, response: RequestVoteResponse) -> bool:
-        """Return whether it counts; its term is that of the election that would follow."""
+        """Return whether a pre-vote response counts; a rejection with a newer term is adopted.
+
+        The term of a granted pre-vote is the term of the election that would follow.
+        """
         if response.term > self.current_term and not response.vote_granted:
             self._become_follower(response.term, leader="")
         return self.role is Role.PRE_CANDIDATE
--- a/mothstall/store/raft/outbox.py
+++ b/mothstall/store/raft/outbox.py
@@ -8,7 +8,7 @@
 
 
 class Outbox:
-    """Messages in the order in which they were added."""
+    """Holds messages in the order in which they were added."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
@@ -32,7 +32,7 @@
         once. Of several `AppendEntries` to one recipient only the newest is returned.
 
         Args:
-            early_part: Returns the part of a message that may be sent now; None: no part.
+            early_part: Returns the part of a message that may be sent now, or None.
         """
         early: dict[object, Message] = {}
         remaining = self.messages[: self._examined_count]
--- a/mothstall/store/raft/persistence.py
+++ b/mothstall/store/raft/persistence.py
@@ -47,7 +47,7 @@
         return self._state.hard_state == self._persisted_hard_state
 
     def tick(self) -> None:
-        """Count the time of the write in progress."""
+        """Count a tick of the write in progress."""
         if self.write_ticks >= 0:
             self.write_ticks += 1
 
@@ -57,7 +57,7 @@
         self.persisted_index = min(self.persisted_index, first_removed - 1)
 
     def snapshot_received(self, snapshot: Snapshot) -> None:
-        """Note that a snapshot from the leader has replaced the log, and is to be written."""
+        """Note that a snapshot from the leader has replaced the log, and has to be written."""
         self.persisted_index = snapshot.last_included_index
         self._scheduled_index = snapshot.last_included_index
         self._received_snapshot = snapshot
--- a/mothstall/store/raft/progress.py
+++ b/mothstall/store/raft/progress.py
@@ -1,4 +1,4 @@
-"""A leader's view of each replica's progress, and what a quorum has confirmed. Pure."""
+"""Progress of each replica as its leader sees it, and the indexes a quorum confirms. Pure."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     Attributes:
         match_index: Index up to which its log is known to agree with the leader's.
         next_index: Index of the next entry to send to it.
-        is_streaming: Whether `next_index` is known to be right, so that entries are sent without
-            waiting for responses.
+        is_streaming: Whether the logs are known to agree before `next_index`, so that entries are
+            sent without waiting for responses.
         is_recently_active: Whether it has responded since the last check of the quorum.
-        snapshot_offset: Bytes of the snapshot sent, or `NO_SNAPSHOT`.
-        recovery_status: The status in its last response; only a normal one counts in a quorum.
+        snapshot_offset: Offset of the snapshot chunk sent last, in bytes, or `NO_SNAPSHOT`.
+        recovery_status: The status in its last response; only `NORMAL` counts in a quorum.
         sent_commit_index: The newest commit index that was sent to it.
         acknowledged_read_round: The newest round of reads that it has confirmed.
     """
@@ -60,7 +60,7 @@
         self.replicas = {}
 
     def follow_configuration(self) -> None:
-        """Add and remove replicas as the newest configuration says."""
+        """Add the replicas of the newest configuration, and remove all others."""
         names = self._state.configuration.replicas
         for name in names:
             if name not in self.replicas:
@@ -93,7 +93,7 @@
         return Progress(next_index=self._state.log.last_index + 1, is_recently_active=True)
 
     def _counts_in_quorum(self, name: str) -> bool:
-        """Whether a replica counts in a quorum; not while its disk may have lost promises."""
+        """Whether a replica counts in a quorum: its disk must not have lost promises."""
         is_normal = self.replicas[name].recovery_status == RecoveryStatus.NORMAL
         return name == self._state.name or is_normal
 
--- a/mothstall/store/raft/reads.py
+++ b/mothstall/store/raft/reads.py
@@ -10,18 +10,18 @@
 from mothstall.store.raft.ready import ReadState
 from mothstall.store.raft.replica_state import ReplicaState
 
-MAX_PENDING_READS = 4096  # that may wait for a quorum; further ones are dropped, and callers retry
+MAX_PENDING_READS = 4096  # waiting for a quorum; further reads are dropped, and callers retry
 
 
 @dataclass(slots=True, frozen=True)
 class PendingRead:
-    """A read that waits until a quorum has confirmed that its leader still leads.
+    """A read that waits until a quorum has confirmed that this replica still leads.
 
     Attributes:
-        round: The round of heartbeats that confirms it.
+        round: The round of heartbeats that confirms the leadership for this read.
         sender: The replica that requested it.
         context: The identifier that the sender chose.
-        index: The commit index when it was requested.
+        index: The commit index when the read arrived.
     """
 
     round: int
@@ -47,7 +47,7 @@
         self.read_states: list[ReadState] = []
 
     def add(self, sender: str, context: int) -> bool:
-        """Queue a read for the next round; False if it is dropped: the caller retries."""
+        """Queue a read for the next round; return False if it is dropped and has to be retried."""
         if len(self._pending) >= MAX_PENDING_READS or not self._state.has_committed_in_term:
             return False
         self.round += 1
@@ -59,7 +59,10 @@
         self._pending = []
 
     def release_confirmed(self) -> None:
-        """Answer the reads of confirmed rounds: no other replica led when they were requested."""
+        """Answer the reads of the rounds that a quorum has confirmed.
+
+        No newer leader had been elected when these reads arrived.
+        """
         if not self._pending:
             return
         self._progress.own.acknowledged_read_round = self.round
--- a/mothstall/store/raft/ready.py
+++ b/mothstall/store/raft/ready.py
@@ -25,12 +25,12 @@
     """Records to write (snapshot, entries, hard state), then messages to send and entries to apply.
 
     Attributes:
-        hard_state: The new term and vote; None: unchanged.
-        snapshot: From the leader: replaces the complete log on disk.
-        compacted_snapshot: Of the replica's own state: entries up to its end may be deleted.
-        entries: To append to the log on disk; they replace all from the first one's index on.
-        messages: To send, only after the write.
-        committed_entries: To apply, in this order.
+        hard_state: The new term and vote; None if both are unchanged.
+        snapshot: A snapshot from the leader, which replaces the complete log on disk.
+        compacted_snapshot: A snapshot of the own state; entries up to its end may be deleted.
+        entries: Entries to write; they replace all on disk from the index of the first one on.
+        messages: Messages to send after the write.
+        committed_entries: Entries to apply, in log order.
         read_states: Reads that may be served once their index is applied.
     """
 
--- a/mothstall/store/raft/recovery.py
+++ b/mothstall/store/raft/recovery.py
@@ -1,10 +1,11 @@
 """Recovery of a replica whose disk is older than the promises that were made from it. Pure.
 
 A vote, or the acknowledgement of an entry, is a promise that Raft relies on for ever. A disk that
-was replaced, or restored from an old copy, has lost some. Each replica therefore remembers what it
-has observed of the others; one that starts queries them before it votes or counts towards a quorum.
-If any has observed more than its disk holds, it recovers: it neither votes nor counts until a
-leader has made it a learner in a term that is not older than the lost promises.
+was replaced, or restored from an old copy, has lost some of them. Each replica therefore records
+the promises that it observes of the others. A replica that starts queries the others before it
+votes or counts towards a quorum. If one has observed promises that the replica's disk lacks, the
+replica recovers: it neither votes nor counts until a leader has made it a learner in a term that is
+not older than the lost promises.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 
 # Election timeouts for which a started replica waits for the responses of all other voters; after
 # that a quorum suffices, so that one replica that stays down does not keep another from starting.
-ALL_VOTERS_TIMEOUT_ELECTIONS = 5
+ALL_VOTERS_ELECTION_TIMEOUTS = 5
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedPromises:
-    """The newest promises of a replica that another one has observed.
+    """The newest promises of a replica that another replica has observed.
 
     Attributes:
-        term: The newest term in which it sent a message.
-        last_log_term: Term of the newest entry that it holds.
+        term: The newest term in which the replica sent a message.
+        last_log_term: Term of the newest entry that the replica is known to hold.
         last_log_index: Index of that entry.
     """
 
@@ -40,13 +41,13 @@
         return self.last_log_term, self.last_log_index
 
     def merged(self, other: ObservedPromises) -> ObservedPromises:
-        """Return the newer term and the newer log position of both."""
+        """Return the newer of both terms and the newer of both log positions."""
         newest = max(self.log_position, other.log_position)
         return ObservedPromises(max(self.term, other.term), *newest)
 
 
 class PromiseRecovery:
-    """The observed promises of the other replicas, and the check of this one's own promises.
+    """Records promises of the other replicas, and checks that this one has lost none.
 
     Attributes:
         observed: The promises of other replicas, by name.
@@ -66,7 +67,7 @@
             state.recovery_status = RecoveryStatus.NORMAL
 
     def observe(self, name: str, promises: ObservedPromises) -> None:
-        """Record what another replica has promised."""
+        """Add promises of another replica to those observed before."""
         known = self.observed.get(name, ObservedPromises())
         self.observed[name] = known.merged(promises)
 
@@ -93,7 +94,7 @@
         )
 
     def handle_report(self, report: RecoveryReport) -> None:
-        """Handle another replica's report of the promises that it has observed of this one.
+        """Handle another replica's report of the promises of this replica that it observed.
 
         Guards against a disk that is older than the promises made from it: an old copy or a new
         disk.
@@ -140,7 +141,7 @@
         if state.recovery_status != RecoveryStatus.VERIFYING:
             return
         others = set(state.other_voters)
-        timeout_ticks = ALL_VOTERS_TIMEOUT_ELECTIONS * state.timing.election_ticks
+        timeout_ticks = ALL_VOTERS_ELECTION_TIMEOUTS * state.timing.election_ticks
         needed = len(others)
         if self._ticks_since_start >= timeout_ticks:
             needed = state.configuration.quorum_size - 1
--- a/mothstall/store/raft/replica_state.py
+++ b/mothstall/store/raft/replica_state.py
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Times in ticks.
+    """Election timeout and heartbeat interval in ticks.
 
     Attributes:
-        election_ticks: The shortest election timeout; each is drawn between once and twice this.
+        election_ticks: Minimum election timeout; timeouts are drawn between this and its double.
         heartbeat_ticks: The interval of a leader's heartbeats.
     """
 
@@ -39,9 +39,9 @@
 
     Attributes:
         is_pre_vote_enabled: Whether a pre-vote comes before each campaign.
-        is_commit_limited_to_own_term: Whether a leader counts copies only of entries of its own
-            term (Raft, 5.4.2).
-        max_batch_bytes: Bytes of entries in one message.
+        is_commit_limited_to_own_term: Whether a leader commits entries of older terms only along
+            with a later entry of its own term (Raft, 5.4.2).
+        max_batch_bytes: Maximum size of the entries in one message; one entry may exceed it.
     """
 
     is_pre_vote_enabled: bool = True
@@ -58,12 +58,12 @@
         timing: Election timeout and heartbeat interval.
         log: The entries after the newest snapshot.
         current_term: The newest term that the replica has seen.
-        voted_for: Who got its vote in that term; empty: nobody.
+        voted_for: The replica that got its vote in that term; empty if none did.
         commit_index: Index of the newest entry that is known to be committed.
         last_applied: Index of the newest entry that a `Ready` has contained, to be applied.
-        recovery_status: Whether its promises from before its start are known to be complete.
+        recovery_status: Whether the replica is known to hold all promises made before its start.
         role: Its role in the current term.
-        leader: The leader of the current term; empty: unknown.
+        leader: The leader of the current term; empty while it is unknown.
     """
 
     name: str
@@ -95,7 +95,10 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it has committed an entry of its term as leader: its commit index is current."""
+        """Whether this replica leads and has committed an entry of its term.
+
+        Its commit index is current then.
+        """
         return self.is_leader and self.log.term_at(self.commit_index) == self.current_term
 
     @property
@@ -115,6 +118,6 @@
 
     @property
     def can_campaign(self) -> bool:
-        """Whether it is a voter whose promises are complete."""
+        """Whether the replica is a voter that has lost none of its promises."""
         is_normal = self.recovery_status == RecoveryStatus.NORMAL
         return is_normal and self.name in self.configuration.voters
--- a/mothstall/store/raft/replication.py
+++ b/mothstall/store/raft/replication.py
@@ -16,11 +16,11 @@
 from mothstall.store.raft.replica_state import RaftOptions, ReplicaState
 from mothstall.store.raft.snapshot_transfer import SnapshotSender
 
-MAX_IN_FLIGHT_ENTRIES = 1024  # sent to one follower and not acknowledged
+MAX_IN_FLIGHT_ENTRIES = 1024  # sent to one follower and not acknowledged yet
 
 
 class Replication:
-    """Sends entries, heartbeats and snapshots to the replicas, and commits what a quorum holds.
+    """Sends entries, heartbeats and snapshots to the replicas, and advances the commit index.
 
     Attributes:
         is_broadcast_due: Whether entries or a commit index wait to be sent with the next `Ready`.
@@ -70,7 +70,7 @@
         self.is_broadcast_due = False
 
     def broadcast(self, *, is_heartbeat: bool) -> None:
-        """Send each other replica the entries it lacks; a heartbeat is sent even without any."""
+        """Send each other replica the entries that it lacks; a heartbeat may have no entries."""
         for name in self._state.configuration.replicas:
             if name != self._state.name and name in self._progress.replicas:
                 self._send(name, is_heartbeat=is_heartbeat)
@@ -104,7 +104,10 @@
             self._send(response.sender, is_heartbeat=True)
 
     def advance_commit_index(self) -> None:
-        """Commit what a quorum holds, if its last entry is of the own term (Raft, 5.4.2)."""
+        """Commit the entries that a quorum has on disk, if the last is of the own term.
+
+        See Raft, 5.4.2.
+        """
         state = self._state
         index = self._progress.quorum_match_index()
         if index <= state.commit_index:
@@ -113,17 +116,17 @@
         if self._options.is_commit_limited_to_own_term and not is_own_term:
             return
         state.commit_index = index
-        # Lets followers apply it too, and answer their callers, without waiting for a heartbeat.
+        # Lets followers apply the entries and answer their callers without waiting for a heartbeat.
         self.is_broadcast_due = True
         self._reads.release_confirmed()
 
     def _retry_from_earlier_index(
         self, response: AppendEntriesResponse, progress: Progress
     ) -> None:
-        """Retry from an earlier index, since the follower's log did not agree."""
+        """Retry from an earlier index, as the follower's log did not agree at `prev_log_index`."""
         progress.is_streaming = False
         if response.recovery_status != RecoveryStatus.NORMAL:
-            # Entries that it had acknowledged are lost with its disk.
+            # The follower may have lost entries that it had acknowledged.
             progress.match_index = min(progress.match_index, response.match_index)
         rejected_next_index = progress.next_index
         retry_index = min(response.match_index + 1, response.prev_log_index)
@@ -134,7 +137,7 @@
             self._send(response.sender, is_heartbeat=True)
 
     def _send(self, name: str, *, is_heartbeat: bool) -> None:
-        """Send what a replica lacks: a chunk of the snapshot, or entries."""
+        """Send a replica the next chunk of the snapshot, or the entries that its log lacks."""
         state = self._state
         progress = self._progress.replicas[name]
         if progress.next_index <= state.log.base_index:
--- a/mothstall/store/raft/snapshot_transfer.py
+++ b/mothstall/store/raft/snapshot_transfer.py
@@ -10,12 +10,12 @@
 from mothstall.store.raft.replica_state import ReplicaState
 
 MAX_CHUNK_BYTES = 256 * 1024  # of a snapshot in one message; takes a few ms on a slow link
-MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # bounds the memory of a follower that receives one
-NO_SNAPSHOT_RECEIVED = (0, 0)  # index and term of no snapshot
+MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # bounds the memory of a follower that receives a snapshot
+NO_SNAPSHOT_RECEIVED = (0, 0)  # index and term that stand for no snapshot
 
 
 class SnapshotSender:
-    """The leader's side: sends each follower one chunk at a time, the next after a response."""
+    """Sends a leader's snapshot to each follower, with one chunk in flight at a time."""
 
     def __init__(self, state: ReplicaState, outbox: Outbox, progress: ProgressTracker) -> None:
         self._state = state
@@ -64,7 +64,7 @@
 
 
 class SnapshotReceiver:
-    """The follower's side: collects the chunks of one snapshot, then replaces the log by it."""
+    """Collects the chunks of a leader's snapshot, then replaces the follower's log by it."""
 
     def __init__(self, state: ReplicaState, outbox: Outbox, persistence: Persistence) -> None:
         self._state = state
--- a/mothstall/store/state/changes.py
+++ b/mothstall/store/state/changes.py
@@ -10,7 +10,7 @@
 
 from mothstall.store.state.rows import Drain
 
-KEEPER_SESSION = 0  # no session: the change comes from the leading keeper itself
+KEEPER_SESSION = 0  # stands for no session: the change comes from the leading keeper itself
 
 # Parts of rejection reasons that callers match. Reasons are stored in sessions and sent, so their
 # wording must not change.
@@ -54,7 +54,7 @@
 
     Attributes:
         owner: The process that holds them.
-        leases: Name and fencing token of each.
+        leases: Name and fencing token of each lease.
     """
 
     owner: str
@@ -79,7 +79,7 @@
     Attributes:
         name: Name of the lease.
         requested_by: The operator.
-        reason: Why, in the operator's words.
+        reason: The operator's reason, as free text.
     """
 
     name: str
@@ -91,7 +91,7 @@
     """Ends leases that nobody renewed in time, by the leading keeper's clock.
 
     Attributes:
-        leases: Name and fencing token of each; a lease with another token by now is kept.
+        leases: Name and fencing token of each lease; a lease that has another token is kept.
     """
 
     leases: tuple[tuple[str, int], ...]
@@ -104,7 +104,7 @@
         lease: The lease that the writer holds.
         token: Its fencing token; rejected unless it is the lease's current one.
         key: The name of the value.
-        value: The bytes; None removes the key.
+        value: The bytes to store; None removes the key.
     """
 
     lease: str
@@ -117,7 +117,7 @@
     """Puts a drain in force, or replaces the one of the same kind and name.
 
     Attributes:
-        drain: The row.
+        drain: The drain to store.
     """
 
     drain: Drain
@@ -154,7 +154,7 @@
 
 
 class MemberLeave(msgspec.Struct, frozen=True, array_like=True):
-    """Removes exactly this row, but no newer row of the same name.
+    """Removes a proxy's row if it has this owner, epoch and token; a newer row stays.
 
     Attributes:
         name: The proxy.
@@ -217,7 +217,7 @@
     """The result of applying a change.
 
     Attributes:
-        rejected_reason: Why the change was rejected; empty: it was made.
+        rejected_reason: Why the change was rejected; empty if it was made.
         token: The fencing token of the lease that the change is about, or the number of a new
             session.
         owner: The holder of that lease.
--- a/mothstall/store/state/machine.py
+++ b/mothstall/store/state/machine.py
@@ -68,11 +68,12 @@
         version: Grows by one with each row that a change modifies.
         last_token: The greatest fencing token that was issued.
         tables: All rows that readers see.
-        sessions: By number, the longest idle one first.
+        sessions: Sessions by number, the longest idle one first.
         recent_changes: The rows that the latest changes modified, oldest first.
-        check_token_on_apply: Guards against writes with a stale fencing token; only tests turn it
-            off.
-        check_epoch_on_apply: Guards against stale attachments of a proxy; only tests turn it off.
+        check_token_on_apply: Whether writes with a stale fencing token are rejected; only tests
+            disable the check.
+        check_epoch_on_apply: Whether stale attachments of a proxy are rejected; only tests disable
+            the check.
     """
 
     applied_index: int = 0
@@ -105,13 +106,13 @@
         return self.tables.members
 
     def is_lease_current(self, name: str, token: int) -> bool:
-        """Whether a lease is held, under exactly this fencing token."""
+        """Whether the lease is held and its current fencing token is `token`."""
         return self.tables.is_lease_current(name, token)
 
     # Changes
 
     def rejection_reason(self, change: Change) -> str:
-        """Returns why a change is rejected; empty if it is accepted."""
+        """Returns why a change is rejected; an empty string if it is accepted."""
         return validation.rejection_reason(
             change, self.tables, check_token=self.check_token_on_apply
         )
@@ -148,7 +149,7 @@
         return self._apply_in_session(proposal)
 
     def _open_session(self, index: int) -> ChangeResult:
-        """Opens a session that is numbered by its log entry; evicts the longest idle one."""
+        """Opens a session whose number is the entry's index; evicts the longest idle if needed."""
         self.sessions[index] = Session(0, ChangeResult())
         while len(self.sessions) > MAX_SESSIONS:
             self.sessions.popitem(last=False)
@@ -255,7 +256,7 @@
         """Returns the rows that have changed since a reader's version.
 
         Args:
-            version: The version that the reader has; 0: none.
+            version: The version that the reader has; 0 if it has no version.
 
         Returns:
             The changed rows, or the complete state if the changes since then are no longer kept.
--- a/mothstall/store/state/membership.py
+++ b/mothstall/store/state/membership.py
@@ -23,7 +23,7 @@
 from mothstall.store.state.rows import Member
 
 IsLeaseCurrent = Callable[[str, int], bool]
-"""Whether a lease, by name, is held under exactly this fencing token."""
+"""Returns whether the lease of this name is held and has this fencing token."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     """The result of a batch.
 
     Attributes:
-        changed_members: Names of rows that differ now, each once.
+        changed_members: Names of the rows that the batch added, replaced or removed, each once.
         rejected_joins: Names of proxies whose join was rejected.
     """
 
@@ -40,7 +40,7 @@
 
 
 def batch_rejection(change: UpdateMembers) -> str:
-    """Returns why a batch is malformed; empty if it is valid."""
+    """Returns why a batch is malformed; an empty string if it is valid."""
     if len(change.joins) + len(change.leaves) > MAX_MEMBERSHIP_BATCH:
         return f"more than {MAX_MEMBERSHIP_BATCH} joins and departures at once"
     rows: tuple[MemberJoin | MemberLeave, ...] = (*change.joins, *change.leaves)
@@ -67,11 +67,11 @@
     given up, or by a second process of the same name while the first one is attached.
 
     Args:
-        current: The proxy's row; None: it has none.
+        current: The proxy's row; None if it has no row.
         join: The attachment.
-        observer_lease: The lease of the observer that proposes it.
+        observer_lease: The lease of the observer that proposes the attachment.
         is_lease_current: Whether a lease is held under a token now.
-        member_count: Number of rows.
+        member_count: Number of rows of all proxies.
     """
     if current is None:
         return f"there are {MAX_MEMBERS} proxies already" if member_count >= MAX_MEMBERS else ""
@@ -102,7 +102,7 @@
         is_lease_current: Whether a lease is held under a token now.
         check_joins: False accepts every join; only tests use it.
     """
-    changed: dict[str, None] = {}  # an ordered set
+    changed: dict[str, None] = {}  # an ordered set of names
     rejected: list[str] = []
     for leave in change.leaves:
         if _may_remove(members.get(leave.name), leave, change, is_lease_current):
@@ -128,9 +128,10 @@
     change: UpdateMembers,
     is_lease_current: IsLeaseCurrent,
 ) -> bool:
-    """Whether a departure names exactly this row, and its lease is the batch's own or has ended.
+    """Whether a departure matches the current row, and the batch's observer may remove that row.
 
-    Any observer may remove an orphaned proxy; only its own observer may remove an attached one.
+    Any observer may remove the row of an orphaned proxy; only the proxy's own observer may remove
+    the row of an attached one.
     """
     if current is None:
         return False
@@ -144,5 +145,5 @@
 def attachment_by_member(
     members: Mapping[str, Member], is_lease_current: IsLeaseCurrent
 ) -> dict[str, bool]:
-    """Returns for each proxy whether it is attached to an observer; False: it is orphaned."""
+    """Returns by proxy whether it is attached to an observer (True) or orphaned (False)."""
     return {name: is_lease_current(row.lease, row.token) for name, row in members.items()}
--- a/mothstall/store/state/rows.py
+++ b/mothstall/store/state/rows.py
@@ -38,8 +38,8 @@
         name: Name of the lease.
         owner: The process that holds it.
         duration_ms: Milliseconds for which it stays valid after each renewal.
-        token: The fencing token; grows over all leases, so that a later holder always has a greater
-            one.
+        token: The fencing token; tokens increase across all leases, so that a later holder always
+            has a greater token.
         info: Data that the owner publishes about itself, such as its zone.
     """
 
@@ -58,7 +58,7 @@
         name: The backend or zone.
         requested_by: The operator.
         requested_at: The caller's wall-clock time as text; shown to operators, never compared.
-        reason: Why, in the operator's words.
+        reason: The operator's reason, as free text.
     """
 
     kind: str
@@ -72,8 +72,8 @@
     """A value that the holder of a lease wrote.
 
     Attributes:
-        key: Its name.
-        value: Its bytes; the store does not decode them.
+        key: The name of the value.
+        value: The bytes of the value; the store does not decode them.
         lease: The lease under which it was written.
         token: The fencing token that the lease had then.
     """
@@ -108,11 +108,11 @@
     """The rows that differ between two versions of the state; None marks a removed row.
 
     Attributes:
-        since_version: The version it starts from; 0: this is the complete state.
-        version: The version it leads to.
-        leases: By name.
-        drains: By `drain_key`.
-        values: By key.
+        since_version: The version that the delta starts from; 0 if it is the complete state.
+        version: The version that the delta leads to.
+        leases: Leases by name.
+        drains: Drains by `drain_key`.
+        values: Values by key.
         members: Attached proxies by name.
     """
 
--- a/mothstall/store/state/snapshot.py
+++ b/mothstall/store/state/snapshot.py
@@ -10,11 +10,11 @@
 
 
 class Session(msgspec.Struct, array_like=True):
-    """A session's last change, so that a repeated one gets its result and is not applied again.
+    """The last change of a session: if it is repeated, the stored result is returned again.
 
     Attributes:
-        sequence_number: Number of the last change that was applied; 0: none yet.
-        result: Its result.
+        sequence_number: Number of the last change that was applied; 0 before the first.
+        result: The result of that change.
     """
 
     sequence_number: int
@@ -25,10 +25,10 @@
     """The complete state; the order of the fields is the format.
 
     Attributes:
-        applied_index: Index of the last log entry that it contains.
+        applied_index: Index of the last log entry that the state contains.
         version: Version of the state that readers see.
         last_token: The greatest fencing token that was issued.
-        sessions: Number and state of each, the longest idle one first.
+        sessions: Number and state of each session, the longest idle one first.
         leases: All leases.
         drains: All drains.
         values: All values.
--- a/mothstall/store/state/tables.py
+++ b/mothstall/store/state/tables.py
@@ -18,9 +18,9 @@
     """All rows that readers see.
 
     Attributes:
-        leases: By name.
-        drains: By `drain_key`.
-        values: By key.
+        leases: Leases by name.
+        drains: Drains by `drain_key`.
+        values: Values by key.
         members: Attached proxies by name.
     """
 
@@ -30,12 +30,12 @@
     members: dict[str, Member] = field(default_factory=dict)
 
     def is_lease_current(self, name: str, token: int) -> bool:
-        """Whether a lease is held, under exactly this fencing token."""
+        """Whether the lease is held and its current fencing token is `token`."""
         lease = self.leases.get(name)
         return lease is not None and lease.token == token
 
     def stale_token_reason(self, name: str, token: int) -> str:
-        """Returns why a fencing token is not current; empty if it is."""
+        """Returns why a fencing token is not current; an empty string if it is current."""
         lease = self.leases.get(name)
         if lease is None:
             return f"{name}: token {token} is over, nobody holds it"
--- a/mothstall/store/state/validation.py
+++ b/mothstall/store/state/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a change against the tables it would be applied to.
+"""Checks of a change against the tables to which it would be applied.
 
 The same checks run twice: before a change is proposed, and when it is applied; only the second
 result counts. Each check returns the reason for a rejection, or an empty string. A session stores
@@ -39,7 +39,7 @@
 
 
 def rejection_reason(change: Change, tables: StateTables, *, check_token: bool = True) -> str:
-    """Returns why a change is rejected; empty if it is accepted.
+    """Returns why a change is rejected; an empty string if it is accepted.
 
     Args:
         change: The change.
--- a/mothstall/store/storage.py
+++ b/mothstall/store/storage.py
@@ -1,8 +1,9 @@
 """The durable log of a replica: entries, hard state and snapshot in one SQLite file.
 
-Each record has a checksum, which is verified when the file is opened: no record behind a torn or
-damaged one is used, and such a replica is marked as one that has lost promises. A write is one
-transaction (WAL, full sync); a failed write changes nothing.
+Each record has a checksum, which is verified when the file is opened: no entry after a
+damaged snapshot, or after a missing or damaged entry, is used, and a replica whose file is damaged
+is marked as one that has lost promises. A write is one transaction (WAL, full sync); a failed write
+changes nothing.
 """
 
 from __future__ import annotations
@@ -35,13 +36,13 @@
 
 @dataclass(slots=True)
 class LoadedLog:
-    """The contents of a file.
+    """The records that were read from a replica's file.
 
     Attributes:
         hard_state: Term and vote; marked as recovering if the file was damaged.
-        snapshot: The newest snapshot; its index is 0 if there is none.
-        entries: The intact entries behind the snapshot, without a gap.
-        damage: Names the first record that cannot be used; empty: none.
+        snapshot: The newest snapshot; its index is 0 if the file holds no snapshot.
+        entries: The intact entries after the snapshot, without a gap.
+        damage: Describes the first record that cannot be used; empty if all are usable.
     """
 
     hard_state: HardState
@@ -79,7 +80,8 @@
     def load(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
         """Opens the file, or creates it if it is missing, and reads all records.
 
-        A file that is not a database is renamed and replaced by a new one that is in recovery.
+        A file that is not a database is renamed, and a new file is created whose replica is marked
+        as recovering.
 
         Args:
             name: The replica; another replica's file is rejected.
@@ -94,7 +96,7 @@
             self._connection = self._open()
             return self._read(name, cluster, initial_configuration)
         except StorageError:
-            raise  # it is an OSError too, but names the file already
+            raise  # a StorageError is an OSError too, but its message names the file already
         except sqlite3.OperationalError as error:
             raise StorageError(f"{self.path}: {error}") from error
         except sqlite3.DatabaseError as error:
@@ -103,10 +105,10 @@
             raise StorageError(f"{self.path}: {error.strerror or error}") from error
 
     def write(self, ready: Ready) -> None:
-        """Writes all records of `ready`, or none.
+        """Writes all records of `ready` in one transaction.
 
         Raises:
-            StorageError: The write failed, and no record was written.
+            StorageError: The write failed, and the file is unchanged.
         """
         database = self._database
         try:
@@ -152,7 +154,7 @@
         initial_configuration: Configuration,
         error: sqlite3.DatabaseError,
     ) -> LoadedLog:
-        """Renames a file that is not a database, and begins a new one that is in recovery.
+        """Renames a file that is not a database, and creates a new one marked as recovering.
 
         Raises:
             StorageError: The new file cannot be written.
@@ -189,7 +191,7 @@
         return self.path.with_suffix(f".damaged-{number}")
 
     def _read(self, name: str, cluster: str, initial_configuration: Configuration) -> LoadedLog:
-        """Reads all records; if one is damaged, marks the replica and drops the entries behind."""
+        """Reads all records; after damage, marks the replica as recovering and deletes the rest."""
         self._check_owner(name, cluster)
         loaded = LoadedLog(HardState(), Snapshot(0, 0, initial_configuration, b""))
         self._read_hard_state(loaded)
@@ -233,7 +235,7 @@
         database.execute("DELETE FROM entries")
 
     def _read_entries(self, loaded: LoadedLog) -> None:
-        """Reads the entries behind the snapshot, up to the first that is missing or damaged."""
+        """Reads the entries after the snapshot, up to the first that is missing or damaged."""
         last_index = loaded.snapshot.last_included_index
         rows = self._database.execute(
             "SELECT idx, term, kind, data, sum FROM entries WHERE idx > ? ORDER BY idx",
@@ -250,7 +252,10 @@
             last_index = index
 
     def _mark_recovering(self, loaded: LoadedLog) -> None:
-        """Guards against a second vote in a term: a replica that lost records has lost promises."""
+        """Marks the replica as recovering, and deletes the entries that were not loaded.
+
+        Guards against a second vote in a term: a replica that lost records has lost promises.
+        """
         loaded.hard_state = msgspec.structs.replace(loaded.hard_state, is_recovering=True)
         last_index = loaded.snapshot.last_included_index + len(loaded.entries)
         self._database.execute("DELETE FROM entries WHERE idx > ?", (last_index,))
@@ -280,7 +285,7 @@
         )
 
     def _write_entries(self, entries: list[Entry]) -> None:
-        """Replaces all entries from the first one's index on."""
+        """Writes entries, which replace all stored ones from the index of the first on."""
         self._database.execute("DELETE FROM entries WHERE idx >= ?", (entries[0].index,))
         self._database.executemany(
             "INSERT INTO entries VALUES (?, ?, ?, ?, ?)", [_entry_row(entry) for entry in entries]
--- a/mothstall/store/storage_inspection.py
+++ b/mothstall/store/storage_inspection.py
@@ -14,7 +14,7 @@
 from mothstall.store.state.rows import Drain, Lease, StoredValue
 from mothstall.store.storage import checksum
 
-_LOCK_WAIT_S = 1.0  # for a keeper that has the file open to release it
+_LOCK_WAIT_S = 1.0  # how long to wait for a keeper that has the file open to release it
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +23,10 @@
 
     Attributes:
         hard: Term and vote.
-        snapshot: Index of the last entry that the snapshot contains; 0: there is no snapshot.
+        snapshot: Index of the last entry that the snapshot contains; 0 if there is no snapshot.
         members: The configuration in the snapshot.
         last: Index of the last entry of the log.
-        version: Version of the state with all entries applied, even uncommitted ones.
+        version: Version of the state with all entries applied, including uncommitted ones.
         leases: All leases of that state.
         drains: All drains of that state.
         entries: All values of that state.
@@ -43,7 +43,7 @@
 
 
 def find_damage(path: Path) -> str:
-    """Returns the first damage in a replica's file; empty: none."""
+    """Returns the first damage in a replica's file; an empty string if it is intact."""
     if not path.exists():
         return f"{path}: no such file"
     try:
@@ -59,7 +59,7 @@
 
 
 def _damaged_record(database: sqlite3.Connection) -> str:
-    """Returns the damage in the hard state or the snapshot; empty: none."""
+    """Returns the damage in the hard state or the snapshot; an empty string if both are intact."""
     for table in ("hard", "snapshot"):
         for data, stored_checksum in database.execute(f"SELECT data, sum FROM {table}"):
             if checksum(data) != stored_checksum:
@@ -68,7 +68,7 @@
 
 
 def _damaged_entry(database: sqlite3.Connection) -> str:
-    """Returns the first entry that is damaged or missing; empty: none."""
+    """Returns which entry is damaged or missing first; an empty string if all are intact."""
     last_index: int | None = None
     rows = database.execute("SELECT * FROM entries ORDER BY idx")
     for index, term, kind, data, stored_checksum in rows:
--- a/tests/store/raft/factories.py
+++ b/tests/store/raft/factories.py
@@ -1,4 +1,4 @@
-"""Replicas and messages for the tests of the consensus."""
+"""Makes replicas and messages for the tests of Raft."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def complete_write(raft: RaftNode) -> list[Message]:
-    """Writes what is to be written, and returns the messages that are sent after it."""
+    """Completes the next write, and returns the messages that are sent after it."""
     ready = raft.ready()
     raft.complete_write(ready)
     return ready.messages
--- a/tests/store/raft/test_replication.py
+++ b/tests/store/raft/test_replication.py
@@ -20,7 +20,7 @@
 def test_entry_of_an_older_term_is_committed_only_with_one_of_the_leaders_own(
     is_guarded: bool,
 ) -> None:
-    """Figure 8 of Ongaro and Ousterhout (2014): a quorum holds entry 1, yet it may be lost."""
+    """Figure 8 of Ongaro and Ousterhout (2014): entry 1 may be lost even though a quorum has it."""
     leader = replica("k1", HardState(3), [command(1, 2, b"old")])
     leader.options.is_commit_limited_to_own_term = is_guarded
     elect(leader)
--- a/tests/store/raft/test_simulated_runs.py
+++ b/tests/store/raft/test_simulated_runs.py
@@ -12,10 +12,11 @@
 from mothstall.lab.replicas import Guards, InvariantViolation, Plan
 
 
-@pytest.mark.parametrize("first", range(1, 201, 10))
-def test_safety_holds_in_simulated_runs_with_faults(first: int) -> None:
+@pytest.mark.parametrize("first_seed", range(1, 201, 10))
+def test_safety_holds_in_simulated_runs_with_faults(first_seed: int) -> None:
     runs = [
-        replicas.run(Plan(seed, replicas=3 if seed % 2 else 5)) for seed in range(first, first + 10)
+        replicas.run(Plan(seed, replicas=3 if seed % 2 else 5))
+        for seed in range(first_seed, first_seed + 10)
     ]
     # The runs had elections, writes and effects with stale tokens, so that the checks could fail.
     assert sum(run.elections for run in runs) > 15
@@ -79,7 +80,10 @@
 
 
 def test_slow_disk_does_not_depose_the_leader() -> None:
-    """Guards against seven elections in seven seconds without a leader, beside a busy disk."""
+    """Early messages keep the leader although each write takes 50 ms.
+
+    Guards against repeated elections on a busy disk: seven in seven seconds without a leader.
+    """
 
     def elections(seed: int, sends_early: bool) -> int:
         guards = Guards(send_early=sends_early)
@@ -117,5 +121,5 @@
         operation(21, 30, False, 0),
     ]
     assert linear.is_linearizable(non_monotonic_reads) is False, (
-        "once a read has returned it, no later one may miss it"
+        "a read that begins after another has returned a value must not return an older value"
     )
