--- a/mothstall/store/protocol/connection.py
+++ b/mothstall/store/protocol/connection.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Handlers:
-    """Callbacks of the owner of a connection."""
+    """Callbacks to the owner of a connection."""
 
     on_connected: Callable[[FrameConnection], None]
     on_payload: Callable[[FrameConnection, bytes], None]
--- a/mothstall/store/storage_inspection.py
+++ b/mothstall/store/storage_inspection.py
@@ -14,7 +14,7 @@
 from mothstall.store.state.rows import Drain, Lease, StoredValue
 from mothstall.store.storage import checksum
 
-_LOCK_WAIT_S = 1.0  # for a keeper that has the file open to release it
+_LOCK_WAIT_S = 1.0  # how long to wait for a keeper that has the file open to release it
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +23,10 @@
 
     Attributes:
         hard: Term and vote.
-        snapshot: Index of the last entry that the snapshot contains; 0: there is no snapshot.
+        snapshot: Index of the last entry that the snapshot contains; 0 if there is no snapshot.
         members: The configuration in the snapshot.
         last: Index of the last entry of the log.
-        version: Version of the state with all entries applied, even uncommitted ones.
+        version: Version of the state with all entries applied, including uncommitted ones.
         leases: All leases of that state.
         drains: All drains of that state.
         entries: All values of that state.
