--- a/mothstall/policy/concurrency.py
+++ b/mothstall/policy/concurrency.py
@@ -64,8 +64,8 @@
 
     def initial_capacity(self) -> float:
         """Return the first capacity: a few attempts per backend, divided among all proxies."""
-        even = INITIAL_LIMIT * len(self._endpoints) / self._context.settings.proxies
-        return max(self._endpoints.backends_per_proxy, even)
+        per_proxy = INITIAL_LIMIT * len(self._endpoints) / self._context.settings.proxies
+        return max(self._endpoints.backends_per_proxy, per_proxy)
 
     def grow_by_backend(self) -> None:
         """Raise the capacity for an added backend, as a removed one lowers it."""
@@ -151,7 +151,7 @@
         settings = self._context.settings
         # The capacities of all proxies must add up to one attempt per backend at least, or
         # backends would be idle.
-        least = len(self._endpoints) / settings.proxies
+        min_capacity = len(self._endpoints) / settings.proxies
         step = math.sqrt(self._endpoints.backends_per_proxy)
         if settings.tenants:
             # Requests beyond a tenant's quota have almost no value: mere lateness restricts them.
@@ -165,10 +165,10 @@
         else:
             change = RAMP_UP_INCREASE if grows_fast else SPARE_INCREASE
         spare = min(self.spare_capacity, self.capacity) + change * step
-        self.spare_capacity = max(least * MIN_SPARE_RATIO, spare)
+        self.spare_capacity = max(min_capacity * MIN_SPARE_RATIO, spare)
         if is_congested:
             remaining = self.capacity - weight * step * CAPACITY_DECREASE
-            self.capacity = max(self._endpoints.backends_per_proxy, least, remaining)
+            self.capacity = max(self._endpoints.backends_per_proxy, min_capacity, remaining)
             self.is_ramping_up = False
         elif self.capacity < MAX_CAPACITY_RATIO * (self.in_flight + 1) + self.initial_capacity():
             self.capacity += step * (RAMP_UP_INCREASE if self.is_ramping_up else CAPACITY_INCREASE)
--- a/mothstall/policy/endpoints.py
+++ b/mothstall/policy/endpoints.py
@@ -11,7 +11,7 @@
 from mothstall.policy.context import Context
 
 SPARSE_BELOW = 2.0  # backends per proxy below which a proxy has too few responses from each
-_RESORT_FRACTION = 64  # up to one changed row in this many, rows are inserted one by one
+_MIN_ROWS_PER_CHANGE = 64  # up to one changed row in this many, rows are inserted one by one
 
 
 class EndpointList:
@@ -54,7 +54,7 @@
         """Return whether few enough rows change to insert each without sorting the whole ring."""
         if update.scope != io.UpdateScope.DELTA:
             return False
-        return _RESORT_FRACTION * len(update.entries) <= len(self.ring)
+        return _MIN_ROWS_PER_CHANGE * len(update.entries) <= len(self.ring)
 
     def add(self, backend: Backend) -> None:
         """Add a backend by its id; call `place_on_ring` or `finish_update` afterwards."""
--- a/mothstall/policy/load_probes.py
+++ b/mothstall/policy/load_probes.py
@@ -11,14 +11,14 @@
 from mothstall.policy.slow_start import SlowStart
 
 MAX_PROBE_POINTS = 0.015  # cost budget of probes per attempt, in points of service
-MIN_INTERVAL_NS = NS // 20  # minimum time between two probes of a backend
+MIN_PROBE_INTERVAL_NS = NS // 20  # minimum time between two probes of a backend
 REPORT_MAX_AGE_NS = 2 * NS  # age at which a report has no weight left
 # A backend misses its turns if its reported queue exceeds this multiple of the mean plus the
 # offset.
 LONG_QUEUE_RATIO = 0.7
 LONG_QUEUE_OFFSET = 0.5
 MAX_QUEUE = 1e6  # reports of longer queues are ignored
-MAX_CREDIT = 2.0  # bound of the saved credit, in probes
+MAX_SAVED_PROBES = 2.0  # bound of the saved credit, in probes
 
 
 class LoadProbes:
@@ -46,7 +46,7 @@
     def probe_next(self, group: list[Backend], turn: int) -> None:
         """Probe the backends whose turns come after `turn`, as far as the cost budget allows."""
         fee = max(self._context.settings.probe_fee, MAX_PROBE_POINTS)
-        self._credit = min(MAX_CREDIT, self._credit + MAX_PROBE_POINTS / fee)
+        self._credit = min(MAX_SAVED_PROBES, self._credit + MAX_PROBE_POINTS / fee)
         if self._credit < 1.0:
             return
         for backend in group[turn + 1 :] + group[:turn]:
@@ -62,7 +62,7 @@
             return False
         if not backend.slow_start.is_used and self._slow_start.warmth(backend) < 1:
             return False
-        return self._context.now_ns - report.reported_at_ns >= MIN_INTERVAL_NS
+        return self._context.now_ns - report.reported_at_ns >= MIN_PROBE_INTERVAL_NS
 
     def probe_ended(self, event: io.LoadProbeEnded) -> None:
         """Record the result of a probe."""
--- a/mothstall/policy/polling.py
+++ b/mothstall/policy/polling.py
@@ -10,7 +10,9 @@
 MAX_INTERVAL_NS = 11 * NS // 4  # between two calls of one proxy, for any number of proxies
 MAX_RETRY_DELAY_NS = 13 * NS // 4  # from a failed call's start; leaves the retry 2.25 s to respond
 MAX_FIRST_DELAY_NS = 21 * NS // 4  # upper bound from the start to the first call
-MAX_FAILURES = 3  # consecutive failures that count; each doubles the interval, up to its maximum
+MAX_COUNTED_FAILURES = (
+    3  # consecutive failures that count; each doubles the interval, up to its maximum
+)
 _INTERVAL_STEPS = 8  # a call that would be too late moves to an earlier eighth of the interval
 
 
@@ -39,12 +41,12 @@
             PROXY_INTERVAL_NS * settings.proxies,
         )
         self._turn_ns = self._context.now_ns + int(spread_ns * self._context.ring_offset)
-        self._context.timers.schedule(self._turn_ns, self._check)
+        self._context.timers.schedule(self._turn_ns, self._watch_if_due)
 
     def failed(self, call_ns: int) -> None:
         """Schedule a retry after a call that failed `call_ns` after it began."""
         self._is_watching = False
-        self._failures = min(MAX_FAILURES, self._failures + 1)
+        self._failures = min(MAX_COUNTED_FAILURES, self._failures + 1)
         self._schedule_in_turn(self._context.now_ns - call_ns + MAX_RETRY_DELAY_NS)
 
     def succeeded(self) -> None:
@@ -57,13 +59,13 @@
         if not self._context.settings.discovery_push:
             self._schedule_in_turn(self._context.now_ns + int(NS * self._context.ring_offset))
 
-    def _check(self) -> None:
+    def _watch_if_due(self) -> None:
         """Open a watch if none is open, and check again later in case the call gets no response."""
         now_ns = self._context.now_ns
         if now_ns >= self._due_ns and not self._is_watching:
             self._context.actions.append(io.WatchEndpoints(True))
             self._due_ns = now_ns + self._context.settings.poll_within_ns // 2
-            self._context.timers.schedule(self._due_ns, self._check)
+            self._context.timers.schedule(self._due_ns, self._watch_if_due)
 
     def _schedule_in_turn(self, latest_ns: int) -> None:
         """Schedule a call at this proxy's next turn, no later than `latest_ns`.
@@ -75,10 +77,10 @@
             self._max_interval_ns,
             max(
                 PROXY_INTERVAL_NS * self._context.settings.proxies,
-                MAX_INTERVAL_NS >> (MAX_FAILURES - self._failures),
+                MAX_INTERVAL_NS >> (MAX_COUNTED_FAILURES - self._failures),
             ),
         )
         in_turn_ns = now_ns + interval_ns - (now_ns - self._turn_ns) % interval_ns
         early_ns = latest_ns - (latest_ns - self._turn_ns) % (interval_ns // _INTERVAL_STEPS)
         self._due_ns = min(in_turn_ns, max(now_ns, early_ns))
-        self._context.timers.schedule(self._due_ns, self._check)
+        self._context.timers.schedule(self._due_ns, self._watch_if_due)
--- a/mothstall/policy/priority_groups.py
+++ b/mothstall/policy/priority_groups.py
@@ -67,11 +67,11 @@
         Guards against a move caused by a single late response: with too few requests, returns 0 and
         carries them over to the next slot.
         """
-        seen = self.count + self.open_count
-        if seen < MIN_LATENCY_SAMPLES:
+        request_count = self.count + self.open_count
+        if request_count < MIN_LATENCY_SAMPLES:
             return 0.0
         open_ratio = now_ns * self._inverse_objectives - self._arrivals_over_objectives
-        ratio = (self.total_ratio + open_ratio) / seen
+        ratio = (self.total_ratio + open_ratio) / request_count
         self.total_ratio = 0.0
         self.count = 0
         return ratio
--- a/mothstall/policy/request_lifecycle.py
+++ b/mothstall/policy/request_lifecycle.py
@@ -28,7 +28,7 @@
 HEDGE_AFTER = 3.0  # a request is hedged after this multiple of the usual latency without a response
 HEDGE_UNRESPONSIVE_CLASS_AFTER = 2.0  # the same for a class that gets no response at any backend
 MIN_HEDGE_FRACTION = 1 / 8  # of the latency objective: no request is hedged sooner
-HALF_OPEN_TIMEOUT = 4  # timeout of a half-open probe, as a multiple of the usual latency
+HALF_OPEN_TIMEOUT_RATIO = 4  # timeout of a half-open probe, as a multiple of the usual latency
 QUEUE_CHECK_NS = NS // 100  # interval of capacity checks while requests are queued
 
 
@@ -183,7 +183,7 @@
         usual_ns = self._latency.usual_ns
         if is_half_open_probe and request.request_class.effect == Effect.IDEMPOTENT and usual_ns:
             connect_timeout_ns = self._context.settings.connect_timeout_ns
-            return min(timeout_ns, int(HALF_OPEN_TIMEOUT * usual_ns) + connect_timeout_ns)
+            return min(timeout_ns, int(HALF_OPEN_TIMEOUT_RATIO * usual_ns) + connect_timeout_ns)
         return timeout_ns
 
     def _schedule_hedge(self, request: Request) -> None:
--- a/mothstall/policy/rotation.py
+++ b/mothstall/policy/rotation.py
@@ -24,8 +24,10 @@
 from mothstall.policy.slow_start import SlowStart
 from mothstall.policy.zone_weights import ZoneWeights
 
-MAX_SPREAD = 1.0  # of the mean attempts in flight per member, plus the offset: more miss a turn
-SPREAD_OFFSET = 0.5
+MAX_IN_FLIGHT_RATIO = (
+    1.0  # of the mean attempts in flight per member, plus the offset: more miss a turn
+)
+IN_FLIGHT_OFFSET = 0.5
 SLOWNESS_POWER = -6  # a turn is kept with this power of slowness over noise as probability
 BURST_FACTOR = 2.0  # a burst may exceed a small capacity by this multiple of its square root
 CONNECT_TIMEOUT_FRACTION = 1 / 4  # of the connect timeout: added to the stall timeout
@@ -209,7 +211,7 @@
         if self._context.now_ns < backend.concurrency.backoff_until_ns:
             return True
         mean_in_flight = self._limits.in_flight / max(1, len(self._groups.members))
-        return backend.in_flight > MAX_SPREAD * mean_in_flight * warmth + SPREAD_OFFSET
+        return backend.in_flight > MAX_IN_FLIGHT_RATIO * mean_in_flight * warmth + IN_FLIGHT_OFFSET
 
     def _is_slow(self, backend: Backend) -> bool:
         """Guards against congestion caused by other proxies, where this one has few responses."""
--- a/mothstall/policy/subset.py
+++ b/mothstall/policy/subset.py
@@ -19,11 +19,13 @@
 from mothstall.policy.zone_weights import ZoneWeights
 
 MIN_MEMBERS = 3
-CONNECTIONS_PER_BACKEND = 6.0  # proxies that have a given backend in their subsets
+PROXIES_PER_BACKEND = 6.0  # proxies that have a given backend in their subsets
 RATE_PER_MEMBER = 6.0  # requests per second of this proxy for each member
 SHRINK_BELOW = 0.7  # the subset shrinks once its wanted size is below this fraction of its size
 MAX_WIDENING = 2  # upper bound of members over `size`, where some are ejected or warming up
-MIN_SAMPLES = 10  # attempts in a slot from which a higher rate applies without smoothing
+UNSMOOTHED_RISE_ATTEMPTS = (
+    10  # attempts in a slot from which a higher rate applies without smoothing
+)
 _RATE_GAIN_PER_PERIOD = 3  # time constants of the smoothed request rate per observation time
 
 
@@ -70,7 +72,7 @@
     def _resize(self) -> None:
         size = max(
             MIN_MEMBERS,
-            CONNECTIONS_PER_BACKEND * len(self._endpoints.ring) / self._context.settings.proxies,
+            PROXIES_PER_BACKEND * len(self._endpoints.ring) / self._context.settings.proxies,
             self.request_rate / RATE_PER_MEMBER,
         )
         if not self.size or size > self.size or size < SHRINK_BELOW * self.size:
@@ -99,7 +101,7 @@
         Guards against a sudden rise of traffic that overloads the few members until the slot ends.
         """
         self.sent_in_slot += 1
-        if self.sent_in_slot <= 2 * len(self._groups.members) + MIN_SAMPLES:
+        if self.sent_in_slot <= 2 * len(self._groups.members) + UNSMOOTHED_RISE_ATTEMPTS:
             return
         if len(self._groups.members) < len(self._endpoints):
             span_ns = max(NS, self._context.now_ns - self._groups.slots.started_ns)
@@ -114,6 +116,6 @@
             self.request_rate += gain * (slot_rate - self.request_rate)
         else:
             self.request_rate += slot_rate
-        if self.sent_in_slot >= MIN_SAMPLES:
+        if self.sent_in_slot >= UNSMOOTHED_RISE_ATTEMPTS:
             self.request_rate = max(self.request_rate, slot_rate)
         self.sent_in_slot = 0
--- a/mothstall/policy/traffic_profile.py
+++ b/mothstall/policy/traffic_profile.py
@@ -103,8 +103,10 @@
         self.arrivals = 0.0
         self._inactive_arrivals = 0.0
         self._observed_ns = 0.0
-        self._first = max(range(len(rows)), key=lambda index: (self.claim(index), -index))
-        self.priority = self._first
+        self._initial_priority = max(
+            range(len(rows)), key=lambda index: (self.claim(index), -index)
+        )
+        self.priority = self._initial_priority
         self.by_quota = list(range(len(rows)))
         self.by_quota.sort(key=lambda index: -self.all[index].quota)
         self.quota_rank = sorted(range(len(rows)), key=self.by_quota.__getitem__)
@@ -182,8 +184,12 @@
             for index, profile in self.active.items()
             if profile.arrivals >= MIN_TRAFFIC_FRACTION * self.arrivals
         }
-        small = next((index for index in self.by_quota if index not in large), self._first)
-        best = max([self._first, small, *large], key=lambda index: (self.claim(index), -index))
+        small = next(
+            (index for index in self.by_quota if index not in large), self._initial_priority
+        )
+        best = max(
+            [self._initial_priority, small, *large], key=lambda index: (self.claim(index), -index)
+        )
         if is_first_slot or self.claim(best) > PRIORITY_MARGIN * self.claim(self.priority):
             self.priority = best
 
@@ -194,21 +200,21 @@
         weighs `PRIOR_REQUESTS`). Takes linear time in the active profiles (and a sort), logarithmic
         in all: the relative rates of inactive profiles ascend along `by_quota` and are searched.
         """
-        even = PRIOR_REQUESTS * self._context.settings.proxies
+        prior_divisor = PRIOR_REQUESTS * self._context.settings.proxies
         observed_ns = self._observed_ns
         count = len(self.all)
         ranks = sorted([self.quota_rank[index] for index in self.active])
         relative_rates = sorted(
             [
                 (profile.completions + PRIOR_REQUESTS)
-                / (max(profile.quota, MIN_WEIGHT) * observed_ns / NS + even)
+                / (max(profile.quota, MIN_WEIGHT) * observed_ns / NS + prior_divisor)
                 for profile in self.active.values()
             ]
         )
 
         def inactive_relative_rate(rank: int) -> float:
             quota = max(self.all[self.by_quota[rank]].quota, MIN_WEIGHT)
-            return PRIOR_REQUESTS / (quota * observed_ns / NS + even)
+            return PRIOR_REQUESTS / (quota * observed_ns / NS + prior_divisor)
 
         def count_up_to(rank: int) -> int:
             inactive = rank + 1 - bisect_right(ranks, rank)
--- a/mothstall/settings.py
+++ b/mothstall/settings.py
@@ -24,10 +24,10 @@
     "token": Effect.IDEMPOTENT_WITH_KEY,
     "side_effect": Effect.NON_IDEMPOTENT,
 }
-_GROUPS = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
+_KEY_SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 _FLAGS = {"true": True, "false": False}
 # Whether load is reported only to probes, by the values of `telemetry.source`.
-_SOURCES = {"answers": False, "probe": True, "none": False}
+_LOAD_BY_PROBES = {"answers": False, "probe": True, "none": False}
 
 
 MAX_NUMBER = 1e12
@@ -44,10 +44,10 @@
 
 
 def _fraction(text: str) -> float:
-    part = _number(text)
-    if part > 1:
+    fraction = _number(text)
+    if fraction > 1:
         raise ValueError(text)
-    return part
+    return fraction
 
 
 def _fee(text: str) -> float:
@@ -152,24 +152,24 @@
 
 def _classes(pairs: _Pairs) -> tuple[RequestClass, ...]:
     get = pairs.get
-    found = []
+    classes = []
     for index in range(get("classes.count", int)):
-        at = f"classes.{index}."
-        found.append(
+        prefix = f"classes.{index}."
+        classes.append(
             RequestClass(
-                objective_ns=get(at + "aim-ns", timer_ns),
-                deadline_ns=get(at + "deadline-ns", timer_ns),
-                priority_weight=get(at + "worth", _number),
-                late_weight=get(at + "late-value", _number, 0.0),
-                effect=get(at + "effect", _EFFECTS.__getitem__),
-                group=get(at + "group", _GROUPS.__getitem__, KeyScope.ALL),
-                window_ns=get(at + "window-ns", count, 0),
-                streaming=get(at + "streaming", _FLAGS.__getitem__, False),
+                objective_ns=get(prefix + "aim-ns", timer_ns),
+                deadline_ns=get(prefix + "deadline-ns", timer_ns),
+                priority_weight=get(prefix + "worth", _number),
+                late_weight=get(prefix + "late-value", _number, 0.0),
+                effect=get(prefix + "effect", _EFFECTS.__getitem__),
+                group=get(prefix + "group", _KEY_SCOPES.__getitem__, KeyScope.ALL),
+                window_ns=get(prefix + "window-ns", count, 0),
+                streaming=get(prefix + "streaming", _FLAGS.__getitem__, False),
             )
         )
-    if not found:
+    if not classes:
         raise SettingsError("setting classes.count must be 1 or more")
-    return tuple(found)
+    return tuple(classes)
 
 
 def _tenants(pairs: _Pairs) -> tuple[Tenant, ...]:
@@ -214,7 +214,7 @@
         probe_fee=get("fees.probe", _fee, 0.0),
         warm_keys=get("extra.warm-keys", _FLAGS.__getitem__, False),
         load_names=tuple(name for name in names.split(",") if name),
-        load_by_probes=get("telemetry.source", _SOURCES.__getitem__, False),
+        load_by_probes=get("telemetry.source", _LOAD_BY_PROBES.__getitem__, False),
     )
 
 
--- a/mothstall/simhost/host.py
+++ b/mothstall/simhost/host.py
@@ -48,11 +48,11 @@
         actions: list[tuple[int, Action]] = []
         for number, events in pending.items():
             try:
-                made = self.instances[number].handle(now, departures_first(events))
-                actions.extend((number, action) for action in made)
+                new_actions = self.instances[number].handle(now, departures_first(events))
+                actions.extend((number, action) for action in new_actions)
             except Exception as why:  # noqa: BLE001 # a failed instance must not affect others
-                place = traceback.extract_tb(why.__traceback__)[-1]
-                fault = f"{type(why).__name__}: {why} at {place.name}:{place.lineno}"
+                frame = traceback.extract_tb(why.__traceback__)[-1]
+                fault = f"{type(why).__name__}: {why} at {frame.name}:{frame.lineno}"
                 faults.append((number, fault))
                 del self.instances[number]
         return codec.encode(actions, faults)
--- a/tests/policy/test_costs_and_probes.py
+++ b/tests/policy/test_costs_and_probes.py
@@ -36,19 +36,21 @@
     return served
 
 
-@pytest.mark.parametrize("odd", [1.0, 3.0, 0.0, -1.0, math.nan, math.inf, -math.inf, 1e-30, 1e38])
-def test_turns_are_proportional_to_listed_weights(odd: float) -> None:
+@pytest.mark.parametrize(
+    "other_weight", [1.0, 3.0, 0.0, -1.0, math.nan, math.inf, -math.inf, 1e-30, 1e38]
+)
+def test_turns_are_proportional_to_listed_weights(other_weight: float) -> None:
     # Guards against backends of half the size that get as many requests as the others.
-    driver = Driver(entries=weighted_entries(1, odd, 1, odd), classes=PURE)
+    driver = Driver(entries=weighted_entries(1, other_weight, 1, other_weight), classes=PURE)
     served = serve_counts(driver, 42)  # within the first slot: no backend moves
     group = driver.balancer.groups.by_side[1]  # the group of the only class
     total_weight = sum(b.weight for b in group)
     assert sum(served.values()) == 42 and len(group) == 4
-    if odd <= 3.0 or math.isnan(odd):  # an invalid weight counts as 1
+    if other_weight <= 3.0 or math.isnan(other_weight):  # an invalid weight counts as 1
         assert all(
             served[b.id] == pytest.approx(42 * b.weight / total_weight, abs=2) for b in group
         )
-        assert odd > 0 or total_weight == 4.0
+        assert other_weight > 0 or total_weight == 4.0
 
 
 def measured_congestion(declared: bool) -> float:
@@ -89,13 +91,13 @@
     # baseline was ever measured.
     driver = Driver(4, classes=PURE, proxies=4, tenants=(io.Tenant(1.0, 100.0),))
     driver.balancer.limits.capacity = 12.0
-    out = [driver.send(cost=50 * MS) for _ in range(6)]
+    in_flight = [driver.send(cost=50 * MS) for _ in range(6)]
     for _ in range(80):
         driver.now += 300 * MS  # over 0.45 of the objective
         driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 12.0
-        driver.end(*out.pop(0), latency=300 * MS)
+        driver.end(*in_flight.pop(0), latency=300 * MS)
         spare = driver.balancer.limits.spare_capacity
-        out.append(driver.send(cost=50 * MS))
+        in_flight.append(driver.send(cost=50 * MS))
     assert (
         driver.balancer.latency.baselines[0].lowest_ns == 0.0
         and driver.balancer.latency.congestion < 0.05
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -27,7 +27,7 @@
     return driver
 
 
-def probe_request(driver: Driver, class_index: int = 0, left: int = 2 * NS) -> Request:
+def unsent_request(driver: Driver, class_index: int = 0, left: int = 2 * NS) -> Request:
     """Return a request for checking the skip rules, which the balancer has not received."""
     b = driver.balancer
     arrived = io.RequestArrived(0, class_index, 0, 0, left, 0, False)
@@ -40,9 +40,9 @@
     )
 
 
-def skip(driver: Driver, number: int, class_index: int = 0) -> SkipReason:
+def skip_reason_of(driver: Driver, number: int, class_index: int = 0) -> SkipReason:
     return driver.balancer.rotation.skip_reason(
-        driver.balancer.endpoints.by_id[number], probe_request(driver, class_index)
+        driver.balancer.endpoints.by_id[number], unsent_request(driver, class_index)
     )
 
 
@@ -50,20 +50,20 @@
     driver = warm_driver()
     rid, hung = driver.send()
     driver.wait(30 * MS)
-    assert skip(driver, hung) != SkipReason.UNHEALTHY
+    assert skip_reason_of(driver, hung) != SkipReason.UNHEALTHY
     driver.wait(500 * MS)
-    assert skip(driver, hung) == SkipReason.UNHEALTHY
+    assert skip_reason_of(driver, hung) == SkipReason.UNHEALTHY
     assert not driver.balancer.endpoints.by_id[hung].outlier.ejected_until_ns
     driver.end(rid, hung, latency=530 * MS)
-    assert skip(driver, hung) == SkipReason.NONE
+    assert skip_reason_of(driver, hung) == SkipReason.NONE
 
 
 def test_a_non_idempotent_request_skips_a_stalled_backend_earlier() -> None:
     driver = warm_driver(classes=(request_class(), request_class(Effect.NON_IDEMPOTENT)))
     _, unresponsive = driver.send()
     driver.wait(55 * MS)
-    assert skip(driver, unresponsive, 1) == SkipReason.UNHEALTHY
-    assert skip(driver, unresponsive, 0) != SkipReason.UNHEALTHY
+    assert skip_reason_of(driver, unresponsive, 1) == SkipReason.UNHEALTHY
+    assert skip_reason_of(driver, unresponsive, 0) != SkipReason.UNHEALTHY
 
 
 def test_health_hints_alone_do_not_eject() -> None:
@@ -83,7 +83,9 @@
     )
 
 
-def fail(driver: Driver, number: int, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
+def eject(
+    driver: Driver, number: int, result: AttemptResult = AttemptResult.CONNECT_FAILED
+) -> None:
     b = driver.balancer.endpoints.by_id[number]
     driver.balancer.outliers.count_failure(b, EJECTION_SCORE)
     assert b.outlier.ejected_until_ns
@@ -91,25 +93,25 @@
 
 def test_a_dead_backend_is_ejected_and_readmitted_by_one_idempotent_probe() -> None:
     driver = warm_driver(classes=(request_class(), request_class(Effect.NON_IDEMPOTENT)))
-    fail(driver, 2)
-    assert skip(driver, 2) == SkipReason.UNHEALTHY
+    eject(driver, 2)
+    assert skip_reason_of(driver, 2) == SkipReason.UNHEALTHY
     driver.wait(NS)
-    assert skip(driver, 2, 1) == SkipReason.UNHEALTHY  # only idempotent half-open probes
-    assert skip(driver, 2) == SkipReason.NONE
+    assert skip_reason_of(driver, 2, 1) == SkipReason.UNHEALTHY  # only idempotent half-open probes
+    assert skip_reason_of(driver, 2) == SkipReason.NONE
     rid = probed = 0
     while probed != 2:
         rid, probed = driver.send()
-    assert skip(driver, 2) == SkipReason.UNHEALTHY  # one half-open probe at a time
+    assert skip_reason_of(driver, 2) == SkipReason.UNHEALTHY  # one half-open probe at a time
     driver.end(rid, 2)
     assert driver.balancer.endpoints.by_id[2].outlier.ejected_until_ns == 0
 
 
 def test_a_failed_half_open_probe_doubles_the_ejection_time() -> None:
     driver = warm_driver()
-    fail(driver, 2)
+    eject(driver, 2)
     first = driver.balancer.endpoints.by_id[2].outlier.ejection_ns
     driver.wait(NS)
-    fail(driver, 2)
+    eject(driver, 2)
     assert driver.balancer.endpoints.by_id[2].outlier.ejection_ns == 2 * first
 
 
@@ -132,7 +134,7 @@
 def test_a_first_attempt_is_sent_even_if_all_backends_are_unhealthy() -> None:
     driver = warm_driver(3)
     for number in (1, 2, 3):
-        fail(driver, number)
+        eject(driver, number)
     _, to = driver.send()
     assert to in (1, 2, 3)
 
@@ -142,7 +144,7 @@
     driver = warm_driver(3)
     rid, first = driver.send()
     for number in {1, 2, 3} - {first}:
-        fail(driver, number)
+        eject(driver, number)
     acts = driver.end(rid, first, AttemptResult.ERROR)
     assert not sends(acts)
     assert any(isinstance(a, io.Reject) for a in acts)
@@ -153,7 +155,7 @@
     # next one followed immediately.
     driver = warm_driver(3)
     driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=driver.now)]))
-    fail(driver, 9)
+    eject(driver, 9)
     driver.wait(NS)
     hits = 0
     for _ in range(200):
@@ -172,9 +174,9 @@
     driver = warm_driver()
     rid, full = driver.send()
     driver.end(rid, full, AttemptResult.REJECTED)
-    assert skip(driver, full) == SkipReason.FULL
+    assert skip_reason_of(driver, full) == SkipReason.FULL
     driver.wait(100 * MS)
-    assert skip(driver, full) == SkipReason.NONE
+    assert skip_reason_of(driver, full) == SkipReason.NONE
 
 
 def test_a_restart_under_the_same_id_begins_a_new_slow_start() -> None:
@@ -273,8 +275,8 @@
     driver.balancer.limits.spare_capacity = 0.0
     waiting, acts = driver.arrive(0)
     assert not sends(acts)
-    worthy, acts = driver.arrive(1)
-    assert [s.request for s in sends(acts)] == [worthy]
+    heavier, acts = driver.arrive(1)
+    assert [s.request for s in sends(acts)] == [heavier]
     driver.balancer.limits.spare_capacity = 50.0
     assert [s.request for s in sends(driver.wait(50 * MS))] == [waiting]
 
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -195,13 +195,13 @@
     def serve_all(latency: int) -> set[int]:
         # Every request gets a response; with tenants, every second request is from an unknown tenant.
         known, got = members(balancer), set[int]()
-        asks = 8 * len(known)
+        request_count = 8 * len(known)
         open_: list[tuple[int, int, int]] = []
-        for turn in range(asks + 2 * latency // (20 * MS) + 150):
+        for turn in range(request_count + 2 * latency // (20 * MS) + 150):
             balancer.limits.capacity = balancer.limits.spare_capacity = 500.0
             acts = (
                 driver.arrive(tenant=turn % 2)[1]
-                if turn < asks
+                if turn < request_count
                 else driver.feed(io.TimerFired(driver.now))
             )
             open_ += [(driver.now + latency, act.request, act.backend) for act in sends(acts)]
@@ -362,9 +362,9 @@
         if to != b.id:
             driver.end(rid, to)
             continue
-        again = sends(driver.end(rid, to, AttemptResult.REJECTED, latency=MS))
+        retries = sends(driver.end(rid, to, AttemptResult.REJECTED, latency=MS))
         backoffs.append(b.concurrency.backoff_until_ns - driver.now)
-        driver.end(rid, again[0].backend, attempt=1)
+        driver.end(rid, retries[0].backend, attempt=1)
         driver.now = b.concurrency.backoff_until_ns
     assert backoffs[-1] > 3 * backoffs[0]
     while driver.serve() != b.id:
@@ -437,10 +437,11 @@
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize(
-    ("positions", "off"), [(range(30), 3.0), (range(411, 441), 3.0), (range(5, 5 + 7 * 30, 7), 5.0)]
+    ("positions", "tolerance"),
+    [(range(30), 3.0), (range(411, 441), 3.0), (range(5, 5 + 7 * 30, 7), 5.0)],
 )
 def test_first_attempts_of_a_fleet_are_evenly_spaced(
-    positions: range, off: float, seed: int
+    positions: range, tolerance: float, seed: int
 ) -> None:
     # Guards against clusters of first attempts, as from independent random draws. Consecutive
     # positions are evenly spaced; missing positions leave gaps.
@@ -461,7 +462,7 @@
         age = begin + NS // 4 - started_at
         warmth = cfg.initial_warmth + (1 - cfg.initial_warmth) * age / cfg.slow_start_ns
         planned = 30 * OVERLOAD_FRACTION * cfg.overload_multiple * 4.0 * warmth / 2
-        assert abs(got - planned) <= off, (got, planned)
+        assert abs(got - planned) <= tolerance, (got, planned)
 
 
 @pytest.mark.parametrize("restart", [200, 900, 1700, 2600, 4000])
@@ -496,21 +497,21 @@
 def test_repeated_restarts_of_a_backend_get_no_new_random_tokens() -> None:
     # Guards against new random tokens at every proxy for each restart: the order of the proxies must
     # stay the same, with another start.
-    proxies, life = 30, 400 * MS
+    proxies, interval_ns = 30, 400 * MS
     tier = [
         Balancer(settings(classes=PURE, proxies=proxies, position=k), k) for k in range(proxies)
     ]
     for b in tier:
         b.handle(START, [io.EndpointUpdate(UpdateScope.FULL, 1, [entry(i) for i in range(1, 4)])])
     for i in range(1, 21):
-        started_at, got = START + i * life, 0
+        started_at, got = START + i * interval_ns, 0
         for b in tier:
             b.handle(
                 started_at,
                 [io.EndpointUpdate(UpdateScope.DELTA, 1 + i, [entry(3, started=started_at)])],
             )
             b.slow_start.warm_rate = 4.0
-            got += len(warming_attempt_times(b, 3, started_at + life - MS))
+            got += len(warming_attempt_times(b, 3, started_at + interval_ns - MS))
         # Each proxy: 0.45 x 3 x 4 x a warmth of 0.1 or slightly more, 0.54 to 0.6 attempts per second.
         assert abs(got - proxies * 0.225) <= 2.5, (i, got)
 
@@ -532,10 +533,11 @@
 
 # With one class all four backends get equal traffic, (4) makes slots longer, and two must suffice.
 @pytest.mark.parametrize(
-    ("classes", "late"), [((request_class(), request_class(priority_weight=0.5)), 30), (PURE, 50)]
+    ("classes", "slow_responses"),
+    [((request_class(), request_class(priority_weight=0.5)), 30), (PURE, 50)],
 )
 def test_the_warm_rate_follows_a_falling_rate(
-    classes: tuple[io.RequestClass, ...], late: int
+    classes: tuple[io.RequestClass, ...], slow_responses: int
 ) -> None:
     # Guards against overload when many backends restart: each proxy uses more backends and gets less
     # from each. The 10 s mean lagged behind, and the sum over the fleet was twice the planned rate.
@@ -543,7 +545,7 @@
     for _ in range(300):
         driver.serve(latency=10 * MS)
     before = driver.balancer.slow_start.warm_rate
-    for _ in range(late):
+    for _ in range(slow_responses):
         driver.serve(latency=100 * MS)
     assert driver.balancer.slow_start.warm_rate < 0.55 * before
     assert driver.balancer.slow_start.warm_rate > 0.1 * before
--- a/tests/policy/test_priority_groups.py
+++ b/tests/policy/test_priority_groups.py
@@ -29,17 +29,23 @@
 
 
 def measure_slot(
-    b: Backend, at: int, span: int, arrivals: int, done: int, e: float, util: float = 0.5
+    b: Backend,
+    at: int,
+    span: int,
+    arrivals: int,
+    completions: int,
+    slots_per_period: float,
+    util: float = 0.5,
 ) -> None:
     bal = balancer()
     bal.context.now_ns, bal.groups.slots.started_ns, bal.groups.slots.slots_per_period = (
         at,
         at - span,
-        e,
+        slots_per_period,
     )
     b.throughput.arrivals, b.throughput.completions, b.throughput.reported_utilization = (
         arrivals,
-        done,
+        completions,
         util,
     )
     bal.groups.measure(b, span)
@@ -55,7 +61,7 @@
     )
 
 
-def test_filter_5_with_weight_6() -> None:
+def test_first_estimate_is_filtered_by_equations_5_and_6() -> None:
     b = Backend(entry(1), START, 1.0)
     measure_slot(b, START + NS, NS, 10, 10, 10)
     measure_slot(b, START + 2 * NS, NS, 4, 4, 4.5)
@@ -63,7 +69,7 @@
     assert b.throughput.filtered == pytest.approx(9.4)
 
 
-def test_burst_estimate_7_8() -> None:
+def test_second_estimate_is_corrected_for_bursts_by_equations_7_and_8() -> None:
     b = Backend(entry(1), START, 1.0)
     measure_slot(b, START + 1 * NS, NS, 4, 4, 10)  # b = 0: the rate does not exceed its own mean
     measure_slot(
@@ -76,7 +82,7 @@
     assert b.throughput.corrected == pytest.approx(4 - 1 / 3)
 
 
-def test_burst_estimate_is_unchanged_when_burstiness_falls_and_never_negative() -> None:
+def test_second_estimate_ignores_falling_burstiness_and_is_never_negative() -> None:
     b = Backend(entry(1), START, 1.0)
     measure_slot(b, START + 1 * NS, NS, 4, 4, 10)
     measure_slot(b, START + 2 * NS, NS, 8, 8, 10)
@@ -107,20 +113,22 @@
         (1.0, 1.0, 0.0, 9, 20.0),
     ],
 )
-def test_slots_by_4(high: float, low: float, low_before: float, slots: int, want: float) -> None:
+def test_slots_per_period_follow_equation_4(
+    high: float, low: float, low_before: float, slots: int, want: float
+) -> None:
     bal = balancer()
     bal.groups.slots.slots_per_period, bal.groups.slots.lowest_burstiness = 10.0, low_before
     bal.groups.slots.ended.extend(range(slots))
     assert bal.groups.slots.next_slots_per_period(high, low) == pytest.approx(want)
 
 
-def test_slots_are_bounded_above() -> None:
+def test_slots_per_period_are_bounded_above() -> None:
     bal = balancer()
     bal.groups.slots.slots_per_period = 39.0
     assert bal.groups.slots.next_slots_per_period(1.0, 1.0) == OBSERVATION_NS / MIN_SLOT_NS
 
 
-def test_first_slot_is_a_tenth_of_t_and_3_sets_the_next() -> None:
+def test_first_slot_is_a_tenth_of_the_period_and_equation_3_sets_the_next() -> None:
     driver = Driver()
     driver.wait(OBSERVATION_NS // 10)
     assert len(driver.balancer.groups.slots.ended) == 1
@@ -128,7 +136,7 @@
     assert len(driver.balancer.groups.slots.ended) == 2
 
 
-def test_distance_10() -> None:
+def test_the_backend_of_the_largest_distance_by_equation_10_moves() -> None:
     driver = Driver(8)
     bal = driver.balancer
     source = bal.groups.by_side[0]
@@ -158,7 +166,7 @@
     bal._close_slot()
 
 
-def test_priority_over_its_objective_takes_the_best_of_b_by_9_and_10() -> None:
+def test_priority_group_over_its_objective_gets_the_best_backend_of_the_other() -> None:
     driver = Driver(6)
     for i, b in enumerate(driver.balancer.endpoints.by_id.values()):
         b.throughput.filtered, b.throughput.corrected = float(i), float(i)
@@ -174,7 +182,7 @@
     assert moved not in after_b
 
 
-def test_priority_under_half_its_objective_returns_a_backend_if_b_is_over() -> None:
+def test_priority_group_under_half_its_objective_returns_a_backend_if_the_other_is_over() -> None:
     driver = Driver(6)
     driver.wait(OBSERVATION_NS // 10 + 1)
     driver.balancer.groups.move_to(1)
@@ -186,7 +194,9 @@
 @pytest.mark.parametrize(
     ("priority", "best_effort"), [(0.9, 1.5), (0.6, 1.5), (0.4, 0.9), (0.2, 0.1)]
 )
-def test_otherwise_no_backend_moves(priority: float, best_effort: float) -> None:
+def test_no_backend_moves_unless_a_latency_ratio_requires_it(
+    priority: float, best_effort: float
+) -> None:
     driver = Driver(6)
     driver.wait(OBSERVATION_NS // 10 + 1)
     before = groups(driver)
@@ -324,8 +334,8 @@
         driver = Driver(60, proxies=60, position=position)
         b = driver.balancer
         start = int(b.context.ring_offset * 60)
-        turned = b.endpoints.ring[start:] + b.endpoints.ring[:start]
-        assert {m.id for m in b.groups.members} == {m.id for m in turned[: b.subset.size]}
+        rotated = b.endpoints.ring[start:] + b.endpoints.ring[:start]
+        assert {m.id for m in b.groups.members} == {m.id for m in rotated[: b.subset.size]}
 
 
 def test_the_end_of_a_slot_visits_only_active_profiles() -> None:
--- a/tests/policy/test_traffic_profiles.py
+++ b/tests/policy/test_traffic_profiles.py
@@ -52,10 +52,10 @@
                 self.completions[i] * keep,
             )
         self.observed_ns = self.observed_ns * keep + span_ns
-        even = PRIOR_REQUESTS * self.balancer.context.settings.proxies
+        prior_divisor = PRIOR_REQUESTS * self.balancer.context.settings.proxies
         relative_rates = sorted(
             (self.completions[i] + PRIOR_REQUESTS)
-            / (max(profile.quota, 1e-6) * self.observed_ns / NS + even)
+            / (max(profile.quota, 1e-6) * self.observed_ns / NS + prior_divisor)
             for i, profile in enumerate(profiles)
         )
         self.traffic_fraction = relative_rates[(len(relative_rates) - 1) // 2]
@@ -92,11 +92,11 @@
         if rng.random() < 0.02:
             frequent[rng.randrange(3)] = rng.randrange(count)
         if rng.random() < 0.02:  # all become idle, or all but one
-            until, one = driver.now + rng.randrange(max_pause_s) * NS, rng.randrange(2)
+            until, sends_meanwhile = driver.now + rng.randrange(max_pause_s) * NS, rng.randrange(2)
             while driver.now < until:
                 driver.now += 2 * NS
                 driver.feed(io.TimerFired(driver.now))
-                if one and rng.random() < 0.3:
+                if sends_meanwhile and rng.random() < 0.3:
                     send_request(driver, reference, frequent[0], rng)
         send_request(
             driver,
@@ -234,26 +234,26 @@
         balancer.handle(
             START, [io.EndpointUpdate(io.UpdateScope.FULL, 1, [entry(i) for i in range(1, 41)])]
         )
-        kept = [
+        counted = [
             CountingList(balancer.profiles.all),
             CountingList(balancer.profiles.by_quota),
             CountingList(balancer.profiles.quota_rank),
         ]
-        balancer.profiles.all, balancer.profiles.by_quota, balancer.profiles.quota_rank = kept
+        balancer.profiles.all, balancer.profiles.by_quota, balancer.profiles.quota_rank = counted
         now = START
         for number in range(400):
             now += 50 * MS
-            came = io.RequestArrived(number, 0, rng.randrange(count), 0, NS, 0, False)
-            for act in balancer.handle(now, [came]):
+            arrival = io.RequestArrived(number, 0, rng.randrange(count), 0, NS, 0, False)
+            for act in balancer.handle(now, [arrival]):
                 if isinstance(act, io.SendAttempt):
-                    done = io.AttemptEnded(
+                    ended = io.AttemptEnded(
                         number, 0, act.backend, io.AttemptResult.OK, MS, True, ()
                     )
-                    balancer.handle(now, [done])
+                    balancer.handle(now, [ended])
         assert len(balancer.profiles.active) > 300 and len(balancer.groups.slots.ended) > 3
-        for rows in kept:
+        for rows in counted:
             rows.accesses = 0
         balancer.update_rates(NS)
         balancer.groups.split()
-        accesses.append(sum(rows.accesses for rows in kept))
+        accesses.append(sum(rows.accesses for rows in counted))
     assert accesses[1] < 2000 and accesses[1] < 1.5 * accesses[0]
