--- a/mothstall/interface.py
+++ b/mothstall/interface.py
@@ -21,7 +21,7 @@
 
 
 class KeyScope(IntEnum):
-    """The backends that recognize the key of a request that one of them has run."""
+    """Which backends recognize the key of a request after one backend has run it."""
 
     ALL = 0
     ZONE = 1
@@ -37,12 +37,12 @@
 
 
 class UpdateScope(IntEnum):
-    """Content of an update of the endpoint list.
+    """What an update of the endpoint list contains.
 
     Attributes:
         CACHED: The complete list as cached at the start; it may be outdated.
         FULL: The complete list; endpoints that are missing from it are gone.
-        FAILED: Empty: a call failed, or a watch ended.
+        FAILED: Nothing, because a call failed or a watch ended.
         DELTA: Only the endpoints that changed.
     """
 
@@ -80,9 +80,9 @@
         priority_weight: Value of a successful response within the objective.
         late_weight: Value of a late response, as a fraction of `priority_weight`, 0 to 1.
         effect: The effect of sending a request again.
-        group: The backends that recognize its key.
-        window_ns: How long backends recognize its key.
-        streaming: Whether its responses are sent in parts.
+        group: Which backends recognize the key of a request.
+        window_ns: How long backends recognize the key of a request.
+        streaming: Whether responses are sent in parts.
     """
 
     objective_ns: int
@@ -116,26 +116,26 @@
         classes: Classes of requests.
         tenants: Tenants; if empty, traffic is distinguished by class.
         zone: The zone of this proxy.
-        position: Index of this proxy among `proxies`; any integer is accepted.
+        position: Index of this proxy among all proxies; any integer is accepted.
         proxies: Number of proxies.
         discovery_push: Whether lists are pushed, so that no watch or poll is needed.
-        poll_within_ns: Maximum time without contact with discovery; after it, a change applies to
-            this proxy even if it could not be read.
+        poll_within_ns: Maximum time without contact with discovery; after that time, a change of
+            the list binds this proxy even if discovery could not be reached.
         drain_grace_ns: How long after a drain attempts may still be sent to the backend.
-        initial_warmth: Fraction of its capacity that a backend has at its start, 0 to 1.
+        initial_warmth: Fraction of its full capacity that a backend has at its start, 0 to 1.
         slow_start_ns: How long a backend takes to warm up.
-        overload_multiple: The multiple of its capacity that overloads a warming backend.
-        overload_window_ns: The time over which that load is measured.
+        overload_multiple: Load that overloads a warming backend, as a multiple of its capacity.
+        overload_window_ns: Time over which the load of a warming backend is measured.
         max_attempts: Maximum number of attempts of a request, including the first.
         may_hedge: Whether two attempts of a request may be in flight, if its class permits it.
         may_cancel: Whether attempts may be cancelled.
         may_probe: Whether load probes may be sent.
         retry_after: Whether rejections may tell clients when to retry.
-        max_retry_after_ns: Upper bound of that time.
+        max_retry_after_ns: Upper bound of the retry time that a rejection states.
         connect_timeout_ns: How long connecting to a backend may take.
         tick_ns: Resolution of the adapter's clock.
         cross_zone_fee: Cost of a request to another zone, in points.
-        probe_fee: Cost of one probe per request, in points.
+        probe_fee: Cost of sending one load probe per request, in points.
         warm_keys: Whether a request key identifies backends that have its data cached.
         load_names: Names of the values in a load report, in order.
         load_by_probes: Whether load is reported only to probes.
@@ -200,7 +200,7 @@
 
     Attributes:
         scope: Whether `entries` is a complete list, a change or empty.
-        version: Its version; updates older than the current list are ignored.
+        version: Version of the list; an update older than the current list is ignored.
         entries: The endpoints.
         took_ns: Duration of a failed call.
     """
@@ -217,11 +217,11 @@
 
     Attributes:
         request: Its id, unique among open requests.
-        class_index: Its class.
-        tenant_index: Its tenant.
-        key: A hash of its key; 0: none.
+        class_index: Index of its class.
+        tenant_index: Index of its tenant.
+        key: Hash of the request key; 0: none.
         left_ns: Time until its client's deadline.
-        cost_ns: Its expected work as declared; 0: not declared.
+        cost_ns: Its expected work as the client declared it; 0: not declared.
         is_retry: Whether its client declares it a retry.
     """
 
@@ -248,13 +248,13 @@
     """An attempt ended.
 
     Attributes:
-        request: The request; `attempt` counts its attempts from 0.
+        request: Id of the request; `attempt` is the index of the attempt, from 0.
         backend: The backend that it was sent to.
         result: How it ended.
-        latency_ns: How long it took.
-        finished: Whether the client received its final response through it.
+        latency_ns: Duration of the attempt.
+        finished: Whether the client has received its final response from this attempt.
         load: Load values that the backend reported, in the order of `Settings.load_names`.
-        may_retry: False if the start of the body is no longer buffered, which rules out a retry.
+        may_retry: Whether the start of the request body is still buffered, as a retry requires.
     """
 
     request: int
@@ -280,7 +280,7 @@
     """An attempt that awaited its body was written completely.
 
     Attributes:
-        request: The request; `attempt` counts its attempts from 0.
+        request: Id of the request; `attempt` is the index of the attempt, from 0.
         left_ns: Time from now until its client's deadline.
     """
 
@@ -291,7 +291,7 @@
 
 @dataclass(slots=True)
 class ResponseCut:
-    """A backend cut off a long response, whose attempt had succeeded with its first bytes."""
+    """A backend cut off a response whose attempt had counted as successful at its first bytes."""
 
     backend: int
 
@@ -301,7 +301,7 @@
     """State that the previous process kept of one backend.
 
     Attributes:
-        backend: Its id; `started_ns` identifies the incarnation.
+        backend: Id of the backend; `started_ns` identifies the incarnation.
         concurrency_limit: Its concurrency limit.
         failure_score: Its failure score.
         ejected_until_ns: End of its ejection; 0: not ejected.
@@ -342,7 +342,8 @@
     """Another process of this proxy takes over, or has ended.
 
     Attributes:
-        is_running: True: it serves new requests, and open ones finish here. False: it has ended.
+        is_running: True: the other process serves new requests, and open ones finish in this one.
+            False: the other process has ended.
     """
 
     is_running: bool
@@ -361,7 +362,7 @@
 
     Attributes:
         weights: Fraction of this proxy's traffic for each zone.
-        rejected_part: Fraction of the traffic that exceeds all capacity and is rejected.
+        rejected_part: Fraction of the traffic to reject because it exceeds all capacity.
         strength: Fraction of requests that follow the weights, 0 (none) to 1.
         until_ns: When the weights expire.
     """
@@ -381,7 +382,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """The timer that was set under this token is due."""
+    """The timer that `SetTimer` set with this token is due."""
 
     token: int
 
@@ -413,8 +414,8 @@
         request: The request.
         backend: The backend to send it to.
         timeout_ns: Timeout of the attempt; 0: until the client gives up.
-        write_by_ns: When the last byte must be written, as the window for a retry ends then; 0: no
-            limit.
+        write_by_ns: Deadline for writing the last byte, at which the window of the request's key
+            ends; 0: no limit.
     """
 
     request: int
@@ -441,7 +442,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Respond to a request with an error; it may have had an effect."""
+    """Respond to a request with an error, because an attempt may have had an effect."""
 
     request: int
 
--- a/mothstall/policy/admission.py
+++ b/mothstall/policy/admission.py
@@ -10,8 +10,8 @@
 from mothstall.policy.request import Request
 from mothstall.policy.traffic_profile import TrafficProfile, TrafficProfiles
 
-QUOTA_SLACK = 1.35  # a tenant is within its quota up to this multiple of the typical rate
-BURST_TOKENS = 2.0  # additional burst size where a proxy sees little traffic, in requests
+QUOTA_SLACK = 1.35  # a proxy's part of a quota, as a multiple of its traffic fraction
+BURST_TOKENS = 2.0  # additional bucket size, in requests, if there are few backends per proxy
 
 
 class Quotas:
@@ -47,9 +47,9 @@
 
 
 class FairQueue:
-    """Requests that wait for capacity; the profile with the least service for its weight is first.
+    """Queue of requests that wait for capacity, served in proportion to the weights of profiles.
 
-    Start-time fair queueing (Goyal, Vin and Cheng, 1997), where every request costs one.
+    Start-time fair queueing (Goyal, Vin and Cheng, 1997); every request has a cost of 1.
 
     Attributes:
         count: Number of queued requests.
@@ -75,18 +75,18 @@
         request.profile.queue.remove(request)
 
     def is_next(self, profile: TrafficProfile) -> bool:
-        """Advance an idle profile's virtual time; return whether it precedes the queued ones."""
+        """Return whether a profile is due before all queued ones; update its virtual time first."""
         profile.virtual_finish = max(profile.virtual_finish, self._virtual_time)
         if not self.count:
             return True
         return profile.virtual_finish <= min(row.virtual_finish for row in self._waiting())
 
     def in_order(self) -> list[TrafficProfile]:
-        """Return the profiles with queued requests, in order of virtual finish time."""
+        """Return the profiles with queued requests by ascending virtual finish time."""
         return sorted(self._waiting(), key=lambda row: (row.virtual_finish, row.index))
 
     def admit(self, request: Request) -> None:
-        """Charge a request that gets capacity to its profile; its retries are not charged."""
+        """Charge the first attempt of a request to its profile; retries are not charged."""
         profile = request.profile
         self._virtual_time = max(self._virtual_time, profile.virtual_finish)
         if not request.attempts:
--- a/mothstall/policy/attempt_outcomes.py
+++ b/mothstall/policy/attempt_outcomes.py
@@ -28,11 +28,11 @@
 from mothstall.policy.retries import RetryBudget
 from mothstall.policy.traffic_profile import TrafficProfiles
 
-NO_RESPONSE_RATIO = 1.5  # times the usual latency; longer waits count against the backend
+NO_RESPONSE_RATIO = 1.5  # multiple of the usual latency; only longer waits count as failures
 
 
 class AttemptOutcomes:
-    """Reports the outcome of each attempt to the parts of the balancer that depend on it."""
+    """Updates the parts of the balancer that depend on the outcomes of attempts."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._retry_budget = retry_budget
 
     def record(self, attempt: Attempt, request: Request, event: io.AttemptEnded) -> None:
-        """Record the outcome of an attempt: progress, congestion, or a fault of its backend."""
+        """Record an attempt's outcome as a success, congestion or a failure of its backend."""
         backend = attempt.backend
         if not attempt.awaits_body:
             self._limits.remove_in_flight(backend)
@@ -111,8 +111,8 @@
     def _record_no_response(self, attempt: Attempt, request: Request) -> None:
         """Record an attempt that ended without a response.
 
-        Guards against blaming a backend for a request that had little time left: a wait that is not
-        longer than usual is ignored.
+        Guards against blaming a backend for a request that had little time left: a wait up to
+        `NO_RESPONSE_RATIO` times the usual latency is ignored.
         """
         backend = attempt.backend
         age_ns = self._context.now_ns - attempt.sent_ns
@@ -130,6 +130,6 @@
         )
         record_max_slowness(backend)
         if backend.last_progress_ns < attempt.sent_ns:
-            # The score grows with the wait, but is low for a class without responses anywhere.
+            # The score grows with the wait, but is low if only this class gets no responses.
             is_shared = self._latency.shared_lateness[request.class_index] >= MIN_SHARED_FRACTION
             self._outliers.count_failure(backend, certainty if is_shared else CLASS_TIMEOUT_SCORE)
--- a/mothstall/policy/backend.py
+++ b/mothstall/policy/backend.py
@@ -8,16 +8,16 @@
 from mothstall.interface import NS
 from mothstall.policy import hashing
 
-INITIAL_LIMIT = 4.0  # attempts in flight at first: enough to measure, too few to overload
+INITIAL_LIMIT = 4.0  # first concurrency limit: enough to measure latency, too few to overload
 WARMING_LIMIT = 1.0  # initial concurrency limit of a backend that is warming up
 MIN_EJECTION_NS = NS // 2  # duration of the first ejection; each further one doubles it
-MIN_WEIGHT = 1e-3
+MIN_WEIGHT = 1e-3  # bounds of a listed weight
 MAX_WEIGHT = 1e3
-NOT_MEASURED = -1.0  # value of a throughput or a load report that does not exist yet
+NOT_MEASURED = -1.0  # value of a throughput or a load value that has not been measured
 
 
 def clamped_weight(weight: float) -> float:
-    """Return a listed weight clamped to the allowed range; 1 if it is not positive or NaN.
+    """Return a listed weight clamped to the allowed range; 1 if it is NaN or not positive.
 
     Guards against listed weights so small that the backend would never get a turn.
     """
@@ -30,23 +30,24 @@
     end_ns: int
     span_ns: int
     arrivals: int
-    is_burst: bool  # its arrival rate was above the mean over the observation time
+    is_burst: bool  # the slot's arrival rate was above the mean over the observation time
 
 
 class Throughput:
     """The paper's measurements of one backend, updated by `priority_groups` at the end of a slot.
 
     Attributes:
-        filtered: The paper's first estimate (5), in responses per second; negative: not measured.
-        corrected: The paper's second estimate (8), in responses per second.
-        measured: X of the previous slot, in responses per second.
-        utilization: U of the previous slot, 0 to 1.
-        burstiness: b (2) over the observation time, 0 to 1.
+        filtered: The paper's first estimate, equation (5), in responses per second; negative: not
+            measured.
+        corrected: The paper's second estimate, equation (8), in responses per second.
+        measured: Throughput in the previous slot (the paper's X), in responses per second.
+        utilization: Utilization in the previous slot (the paper's U), 0 to 1.
+        burstiness: The paper's b, equation (2), over the observation time, 0 to 1.
         slot_records: The slots within the observation time.
         arrivals: Attempts sent in this slot.
         completions: Successful responses in this slot.
         busy_ns: Time in this slot with attempts in flight, up to `Backend.busy_since_ns`.
-        reported_utilization: The value that the backend last reported; negative: none yet.
+        reported_utilization: Utilization that the backend last reported; negative: none yet.
     """
 
     __slots__ = (
@@ -85,9 +86,9 @@
 
     Attributes:
         limit: The concurrency limit, in attempts.
-        reduced_at_ns: When the limit was last reduced; only later attempts may reduce it again.
-        backoff_until_ns: End of the backoff after a rejection; no attempt is sent before.
-        backoff_multiplier: Backoff multiplier; doubles with each rejection, 1 after a success.
+        reduced_at_ns: When the limit was last reduced; only attempts sent later may reduce it.
+        backoff_until_ns: End of the backoff after a rejection; until then no attempt is sent.
+        backoff_multiplier: Doubles with each rejection; a successful response resets it to 1.
     """
 
     __slots__ = ("backoff_multiplier", "backoff_until_ns", "limit", "reduced_at_ns")
@@ -103,8 +104,8 @@
     """Failures of one backend and its ejection; changed by `outliers`.
 
     Attributes:
-        failure_score: Sum of recent failures; each successful response halves it.
-        ejected_until_ns: When a half-open probe may be sent; 0: not ejected.
+        failure_score: Sum of the scores of recent failures; each successful response halves it.
+        ejected_until_ns: When the ejection ends and a half-open probe may be sent; 0: not ejected.
         ejection_ns: Duration of the next ejection.
         is_probing: Whether a half-open probe is in flight.
     """
@@ -122,7 +123,7 @@
     """Token bucket of a backend that is warming up; changed by `slow_start`.
 
     Attributes:
-        tokens: Attempts that may be sent to it now.
+        tokens: Tokens in the bucket; an attempt is sent only if there is a full one.
         refilled_at_ns: When tokens were last added.
         is_used: Whether an attempt has been sent to it, so that a connection is probably open.
     """
@@ -156,20 +157,21 @@
     """One listed backend; a restart under the same id makes a new `Backend`.
 
     Attributes:
-        id: As listed; `zone`, `cell` and `machine_kind` (hardware generation) too.
+        id: Its id in the endpoint list; `zone`, `cell` and `machine_kind` (hardware generation)
+            are listed too.
         weight: Its listed weight, clamped to the allowed range.
         started_ns: When it started; 0: long ago.
-        ring_position: Hash of its id, then the id: its place on the hash ring.
+        ring_position: Its sort key on the hash ring: the hash of its id, then the id.
         turn_credit: Deficit counter of the weighted round robin; a turn costs 1.
-        in_priority_group: Whether it is in the paper's priority group, while it is a member.
+        in_priority_group: Whether it is in the paper's priority group; valid only for a member.
         is_member: Whether it is in this proxy's subset.
         in_flight: Number of attempts from this proxy in flight.
-        busy_since_ns: Since when at least one attempt has been in flight.
+        busy_since_ns: When the number of attempts in flight last rose from 0.
         last_progress_ns: Time of its last successful response; initially, when it was listed.
-        slowness: Ratio of its recent latency to the baseline; 1: as usual.
-        throughput: The paper's measurements.
-        concurrency: Its concurrency limit.
-        outlier: Its failures and ejection.
+        slowness: Ratio of its recent latency to the baseline of the class; 1: not slow.
+        throughput: The paper's measurements of its throughput.
+        concurrency: Its concurrency limit and backoff.
+        outlier: Its failure score and ejection.
         slow_start: Its token bucket while it is warming up.
         queue_report: The queue length that a load probe reported.
     """
--- a/mothstall/policy/balancer.py
+++ b/mothstall/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: takes events and returns actions."""
+"""The balancer, which takes events and returns the actions that they cause."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
     Attributes:
         context: Settings, clock, random numbers, timers.
         endpoints: The endpoint list.
-        polling: When to open a watch at discovery.
-        profiles: Traffic by tenant or class.
-        groups: The paper's two groups of members, and the slots.
+        polling: Schedule of the calls that open a watch at discovery.
+        profiles: Traffic statistics by tenant or class.
+        groups: The paper's two groups of backends, and the slots.
         subset: Selection of the member backends.
         latency: Latency statistics of responses.
         limits: Concurrency limits: the capacity of this proxy, and each backend's limit.
@@ -48,9 +48,9 @@
         zone_weights: Fractions of the traffic by zone, from the region's plan.
         queue: Requests that wait for capacity.
         quotas: Token buckets of the tenants' quotas.
-        retry_budget: Retries and hedged requests that may be sent.
-        rotation: Weighted round robin over the members.
-        requests: Open requests.
+        retry_budget: Token budget of retries and hedged requests.
+        rotation: Weighted round robin over the members of the subset.
+        requests: Open requests and their life cycle.
     """
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
@@ -134,7 +134,7 @@
         """Process events in order; return the resulting actions in order.
 
         Args:
-            now: Nanoseconds of a monotonic clock.
+            now: Time of a monotonic clock, in nanoseconds.
             events: Events since the last call.
         """
         context = self.context
@@ -152,11 +152,11 @@
         return context.actions
 
     def out_of_rotation(self) -> int:
-        """Return the number of listed backends that are ejected or half-open; changes nothing."""
+        """Return the number of listed backends that are ejected or half-open; no side effects."""
         return self.outliers.ejected_count()
 
     def export_state(self) -> io.InheritedState:
-        """Return the state that a successor process can start from; changes nothing."""
+        """Return the state that a successor process can start from, without side effects."""
         known = [
             io.InheritedBackend(
                 backend.id,
@@ -190,7 +190,7 @@
         self.context.timers.fired(event.token)
 
     def _close_slot(self) -> None:
-        """The paper's computation phase, at the end of a slot."""
+        """End the slot: the paper's computation phase."""
         span_ns = self.groups.measure_members()
         for backend in self.groups.members:
             decay_slowness(backend, span_ns)
@@ -283,7 +283,7 @@
         self.retry_budget.tokens = 0.0
 
     def _on_predecessor(self, event: io.InheritedState) -> None:
-        """Continue from the predecessor's state: the two processes count as one proxy, not two."""
+        """Take over the predecessor's state, so that both processes together act as one proxy."""
         self.latency.usual_ns = event.usual_latency_ns
         self.slow_start.warm_rate = event.warm_rate
         self.slow_start.recent_warm_rate = event.warm_rate
@@ -302,7 +302,7 @@
             backend, known.failure_score, known.ejected_until_ns, known.ejection_ns
         )
         backend.concurrency.limit = known.concurrency_limit
-        # This process's earlier throughput covered only a fraction of the proxy's clients.
+        # Throughput that this process has measured so far covers only some of the proxy's clients.
         estimate = warm_rate or -1.0
         backend.throughput.filtered = estimate
         backend.throughput.corrected = estimate
--- a/mothstall/policy/concurrency.py
+++ b/mothstall/policy/concurrency.py
@@ -2,7 +2,8 @@
 
 Capacity is the number of attempts that this proxy may have in flight. It grows while it is used and
 responses are in time, and shrinks with responses that show congestion. All proxies see the same
-latencies, so that the sum of their capacities converges to what the fleet can carry.
+latencies, so that the sum of their capacities converges to the number of attempts in flight that
+the fleet can serve.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 
 LIMIT_DECREASE = 0.8  # a late response multiplies its backend's limit by this
 CAPACITY_DECREASE = 0.2  # decrease, in attempts, for each response that shows congestion
-CAPACITY_INCREASE = 0.1  # increase for each other one; stable when a third shows congestion
-SPARE_DECREASE = 0.3  # the same for `spare_capacity`
+CAPACITY_INCREASE = 0.1  # increase for each other response; stable if a third show congestion
+SPARE_DECREASE = 0.3  # decrease and increase of `spare_capacity` for each response
 SPARE_INCREASE = 0.1
 RAMP_UP_INCREASE = 1.0  # increase of both capacities until the first congestion
 MAX_CAPACITY_RATIO = 2.0  # capacity grows up to this multiple of the attempts in flight
-MISSED_OBJECTIVE_FACTOR = 4.0  # weight of a congested outcome after the objective
+MISSED_OBJECTIVE_FACTOR = 4.0  # weight of an outcome later than the objective
 STABLE_CONGESTION = 1 / 3  # fraction of congested responses at which the capacity is stable
-MIN_SPARE_RATIO = 0.5  # minimum spare capacity of all proxies together, per backend
-MAX_BACKOFF_MULTIPLIER = 32.0  # upper bound; the multiplier doubles with each rejection
-MIN_BACKOFF = 0.5  # first backoff: this to `MIN_BACKOFF + 1` times the usual latency
+MIN_SPARE_RATIO = 0.5  # minimum spare capacity of all proxies together, in attempts per backend
+MAX_BACKOFF_MULTIPLIER = 32.0  # bound of the multiplier, which doubles with each rejection
+MIN_BACKOFF = 0.5  # first backoff: random, 0.5 to 1.5 times the usual latency
 
 
 class ConcurrencyLimits:
@@ -38,8 +39,8 @@
     Attributes:
         in_flight: Number of attempts in flight, without those that wait for the request body.
         capacity: Upper bound of `in_flight`.
-        spare_capacity: The same bound for requests that exceed a quota.
-        is_ramping_up: No response has shown congestion yet, so that capacity grows fast.
+        spare_capacity: Upper bound of `in_flight` for requests that exceed a quota.
+        is_ramping_up: Whether no response has shown congestion yet, so that capacity grows fast.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         return max(self._endpoints.backends_per_proxy, per_proxy)
 
     def grow_by_backend(self) -> None:
-        """Raise the capacity for an added backend, as a removed one lowers it."""
+        """Raise the capacity in proportion for an added backend."""
         self.capacity *= 1.0 + 1.0 / max(1, len(self._endpoints))
 
     def shrink_by_backend(self) -> None:
@@ -112,7 +113,7 @@
         Args:
             attempt: The attempt that ended.
             request: Its request.
-            is_late: Whether it was late by its class's objective.
+            is_late: Whether its latency was late by the objective or the baseline of its class.
             is_congested: Whether it shows congestion of the fleet.
             weight: Confidence in `is_congested`, 0 to 1.
         """
@@ -133,10 +134,10 @@
             state.limit += 1.0 / state.limit
 
     def _is_fleet_evidence(self, attempt: Attempt) -> bool:
-        """Whether an outcome is evidence about the fleet.
+        """Whether an attempt's outcome may change the capacity for the whole fleet.
 
-        It is not at a warming backend, nor at an unhealthy one unless at least half as many
-        backends as there are members are unhealthy.
+        The outcome is ignored at a warming backend, and at an unhealthy one unless the number of
+        unhealthy backends is at least half the number of members.
         """
         backend = attempt.backend
         if self._slow_start.warmth(backend) < 1:
@@ -149,12 +150,13 @@
     def update_capacity(self, *, is_late: bool, is_congested: bool, weight: float) -> None:
         """Update the capacity and the spare capacity."""
         settings = self._context.settings
-        # The capacities of all proxies must add up to one attempt per backend at least, or
-        # backends would be idle.
+        # Guards against idle backends: the capacities of all proxies must add up to at least one
+        # attempt per backend.
         min_capacity = len(self._endpoints) / settings.proxies
         step = math.sqrt(self._endpoints.backends_per_proxy)
         if settings.tenants:
-            # Requests beyond a tenant's quota have almost no value: mere lateness restricts them.
+            # Requests beyond a tenant's quota have almost no value: late responses suffice to
+            # restrict them, even without congestion.
             is_reduced = is_late
             grows_fast = self.is_ramping_up and self._endpoints.is_sparse
         else:
@@ -176,8 +178,8 @@
     def record_rejection(self, backend: Backend) -> None:
         """Back off from a backend that rejected an attempt unread.
 
-        Guards against storms of rejections: a full backend gets no attempt for about one service
-        time.
+        Guards against repeated rejections: a full backend gets no attempt for about one usual
+        latency.
         """
         context = self._context
         state = backend.concurrency
@@ -190,7 +192,7 @@
     def no_response_weight(self) -> float:
         """Return the confidence that a missing response shows congestion.
 
-        Guards against overload that shows only as timeouts, and against lost responses that look
-        like overload.
+        Guards against overload that shows only as timeouts, and against lost responses that would
+        be taken for overload: the weight grows with the fraction of congested responses.
         """
         return min(1.0, self._latency.congestion / STABLE_CONGESTION) ** 2
--- a/mothstall/policy/context.py
+++ b/mothstall/policy/context.py
@@ -10,10 +10,10 @@
 
 
 class Context:
-    """Shared by the parts of one `Balancer`, which alone advances the clock.
+    """State of one `Balancer` that its parts share; only the balancer advances the clock.
 
     Attributes:
-        settings: Classes, tenants, rules and limits, as given at the start.
+        settings: The settings of the instance, which do not change.
         rng: The only source of randomness; the order of its draws must not change between runs.
         now_ns: Time of the current batch of events; negative before the first batch.
         actions: Actions of the current batch so far, in order.
--- a/mothstall/policy/endpoints.py
+++ b/mothstall/policy/endpoints.py
@@ -10,8 +10,8 @@
 from mothstall.policy.backend import Backend, clamped_weight
 from mothstall.policy.context import Context
 
-SPARSE_BELOW = 2.0  # backends per proxy below which a proxy has too few responses from each
-_MIN_ROWS_PER_CHANGE = 64  # up to one changed row in this many, rows are inserted one by one
+SPARSE_BELOW = 2.0  # backends per proxy below which `EndpointList.is_sparse` is set
+_MIN_ROWS_PER_CHANGE = 64  # listed rows per changed row for inserting rows without a sort
 
 
 class EndpointList:
@@ -19,7 +19,7 @@
 
     Attributes:
         by_id: Backends by their ids.
-        ring: The same in order of their ring positions.
+        ring: Backends in order of their ring positions.
         version: Version of the newest list or change that was applied.
         max_weight: The greatest listed weight.
         weights: Number of listed backends by weight.
@@ -42,7 +42,7 @@
         return len(self.by_id)
 
     def lists(self, backend: Backend) -> bool:
-        """Return whether this backend is listed, and has not restarted since."""
+        """Return whether this backend is listed and has not been replaced after a restart."""
         return self.by_id.get(backend.id) is backend
 
     def missing_from(self, entries: list[io.Endpoint]) -> list[Backend]:
@@ -83,7 +83,7 @@
         self.ring[index : index + is_on_ring] = [listed] if listed else []
 
     def finish_update(self, *, is_ring_sorted: bool) -> None:
-        """Update everything that is derived from the list."""
+        """Update the ring, the weights and the ratio of backends to proxies from the list."""
         if not is_ring_sorted:
             self.ring = sorted(self.by_id.values(), key=lambda backend: backend.ring_position)
         self.backends_per_proxy = min(1.0, len(self.ring) / self._proxies)
--- a/mothstall/policy/hashing.py
+++ b/mothstall/policy/hashing.py
@@ -1,4 +1,4 @@
-"""Hash ring positions of backends and proxies; every proxy computes the same ones."""
+"""Positions of backends and proxies on the hash ring; all proxies compute the same values."""
 
 from __future__ import annotations
 
--- a/mothstall/policy/latency.py
+++ b/mothstall/policy/latency.py
@@ -1,7 +1,7 @@
 """Latency statistics: the usual latency, each class's baseline, and lateness shared by classes.
 
 A late response may be due to a congested fleet, a slow machine, an expensive request, or a class
-that is slow at every backend. The model tells these causes apart, so that only congestion reduces
+that is slow at every backend. The model distinguishes these causes, so that only congestion reduces
 the capacity for all requests.
 """
 
@@ -23,14 +23,14 @@
 IDLE_IN_FLIGHT = 2.0  # attempts per backend, of all proxies, up to which the fleet is idle
 BASELINE_SAMPLES = 50.0  # responses in the mean that becomes the baseline
 BASELINE_RISE = 0.002  # relative rise of the lowest mean per second
-MIN_SAMPLES = 10  # minimum number of responses behind a class's recent latency
+MIN_SAMPLES = 10  # attempts of a class before its lowest recent latency is recorded
 SHARED_TOLERANCE = 0.2  # tolerated difference between classes, as a fraction of the usual latency
-MIN_SHARED_FRACTION = 0.5  # lateness or errors shared to less than this belong to one class
+MIN_SHARED_FRACTION = 0.5  # shared fraction below which lateness or errors belong to one class
 SLOWNESS_GAIN = 0.3  # smoothing factor of a backend's slowness, per response
 SLOWNESS_DECAY_NS = 8 * NS  # time constant of the decay of slowness
-MAX_SLOWNESS = 4.0  # times the baseline; also the value of a timeout or a rejection
-INITIAL_NOISE = 0.25  # initial relative deviation of a single response
-MIN_KIND_RATIO = 0.1  # lower bound of the ratio of a machine kind, which is divided by
+MAX_SLOWNESS = 4.0  # bound, as a multiple of the baseline; timeouts and rejections count as this
+INITIAL_NOISE = 0.25  # initial value of `LatencyModel.noise`
+MIN_KIND_RATIO = 0.1  # lower bound of a machine kind's ratio, which is used as a divisor
 
 
 class ClassBaseline:
@@ -57,11 +57,11 @@
     Attributes:
         usual_ns: Smoothed latency of successful responses; 0: none yet.
         congestion: Fraction of recent responses that showed congestion, 0 to 1.
-        noise: Mean relative deviation of a single response from the expected latency.
-        baselines: By class.
+        noise: Mean relative deviation of single latencies from the expected latency.
+        baselines: By class, its baseline latency.
         recent_ns: By class, smoothed latency; an attempt without a response counts with its age.
-        shared_lateness: By class, the fraction of its lateness that all classes show, 0 to 1.
-        kind_ratios: By machine kind, ratio of its latency to the baseline.
+        shared_lateness: By class, the fraction of its lateness that all classes share, 0 to 1.
+        kind_ratios: By machine kind, ratio of its latency to the baseline of the class.
     """
 
     def __init__(self, context: Context, endpoints: EndpointList) -> None:
@@ -83,7 +83,7 @@
         self._cost_covariance = 0.0  # of cost and latency
 
     def record_cost(self, class_index: int, cost_ns: int) -> None:
-        """Record the cost that a request declares."""
+        """Update a class's mean cost with the cost that a request declares."""
         mean = self._mean_costs[class_index]
         if mean:
             self._mean_costs[class_index] = mean + USUAL_GAIN * (cost_ns - mean)
@@ -91,14 +91,14 @@
             self._mean_costs[class_index] = float(cost_ns)
 
     def update_usual(self, latency_ns: int) -> None:
-        """Record the latency of a successful response."""
+        """Update the usual latency with a successful response."""
         if self.usual_ns:
             self.usual_ns += USUAL_GAIN * (latency_ns - self.usual_ns)
         else:
             self.usual_ns = latency_ns
 
     def end_slot(self, span_ns: int) -> None:
-        """Raise the lowest means slightly, so that an outdated minimum does not stay forever."""
+        """Raise the lowest latencies slightly, so that an outdated minimum is replaced in time."""
         rise = 1.0 + BASELINE_RISE * span_ns / NS
         for baseline in self.baselines:
             baseline.lowest_ns *= rise
@@ -107,8 +107,8 @@
     def update_shared_lateness(self, class_index: int, latency_ns: int) -> None:
         """Update the fraction of each class's lateness that all classes share, as in congestion.
 
-        Guards against a class that is slow or gets no response at every backend, and so looks like
-        congestion or unhealthy backends.
+        Guards against reducing the capacity or ejecting backends because one class is slow, or gets
+        no response, at every backend.
         """
         self._samples[class_index] += 1
         gain = max(USUAL_GAIN, 1.0 / self._samples[class_index])
@@ -132,7 +132,7 @@
     def shared_error_fraction(self, class_index: int, error: float) -> float:
         """Record an error (1) or a success (0); return the fraction of errors that classes share.
 
-        Guards against a class that fails at every backend and would eject them one by one.
+        Guards against a class that fails at every backend and would cause all to be ejected.
         """
         self._error_rates[class_index] += USUAL_GAIN * (error - self._error_rates[class_index])
         least = min(self._error_rates) + SHARED_TOLERANCE
@@ -142,7 +142,7 @@
     def latency_at_mean_cost(self, request: Request, latency_ns: int) -> float:
         """Return the latency adjusted to the mean cost of the request's class.
 
-        Guards against expensive requests that look like congestion, where costs are declared.
+        Guards against taking expensive requests for congestion, if their costs are declared.
         """
         if not request.cost_ns:
             return latency_ns
@@ -151,7 +151,7 @@
             self._cost_variance += COST_GAIN * (excess * excess - self._cost_variance)
         else:
             self._cost_variance += excess * excess
-        # Until measured, latency is assumed to grow by the declared cost: a slope of 1.
+        # Initially, latency is assumed to grow by the declared cost, with a slope of 1.
         self._cost_covariance = self._cost_covariance or self._cost_variance
         deviation_ns = latency_ns - self.recent_ns[request.class_index]
         self._cost_covariance += COST_GAIN * (excess * deviation_ns - self._cost_covariance)
@@ -163,8 +163,9 @@
     def baseline_ns(self, request: Request, latency_ns: float, in_flight: int) -> float:
         """Record a response's latency; return the baseline of its class.
 
-        Guards against judging congestion by the objective alone: an idle fleet would look congested
-        if the objective is close to the service time, and long queues harmless if it is far above.
+        Guards against judging congestion by the objective alone: with an objective close to the
+        service time an idle fleet would look congested; with one far above it, long queues would
+        not be noticed.
         """
         settings = self._context.settings
         baseline = self.baselines[request.class_index]
@@ -172,11 +173,12 @@
             baseline.add(latency_ns)
         lowest_ns = baseline.lowest_ns
         if not lowest_ns and self._endpoints.is_sparse:
-            # Guards against requests that wait on other services: many are in flight at low load.
+            # Guards against a missing baseline for requests that wait on other services: many of
+            # them are in flight even at low load.
             lowest_ns = self._lowest_recent_ns[request.class_index]
         lowest_ns = lowest_ns or baseline.mean_ns
         if self._endpoints.is_sparse:
-            # Guards against congestion since the start, whose latencies are no baseline.
+            # Guards against a baseline measured during congestion that began before the start.
             return min(lowest_ns, LATE_FRACTION * request.objective_ns)
         return lowest_ns
 
@@ -199,7 +201,7 @@
 
 
 def record_max_slowness(backend: Backend) -> None:
-    """Count a timeout or a rejection as a response of the greatest slowness."""
+    """Update a backend's slowness after a timeout or a rejection, as if it had the maximum."""
     backend.slowness += SLOWNESS_GAIN * (MAX_SLOWNESS - backend.slowness)
 
 
--- a/mothstall/policy/load_probes.py
+++ b/mothstall/policy/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes to backends that report their queue length only to probes, within a cost budget."""
+"""Load probes, within a cost budget, to backends that report their queue length only to probes."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from mothstall.policy.latency import USUAL_GAIN
 from mothstall.policy.slow_start import SlowStart
 
-MAX_PROBE_POINTS = 0.015  # cost budget of probes per attempt, in points of service
+MAX_PROBE_POINTS = 0.015  # cost budget of probes per attempt, in points
 MIN_PROBE_INTERVAL_NS = NS // 20  # minimum time between two probes of a backend
-REPORT_MAX_AGE_NS = 2 * NS  # age at which a report has no weight left
-# A backend misses its turns if its reported queue exceeds this multiple of the mean plus the
-# offset.
+REPORT_MAX_AGE_NS = 2 * NS  # age from which a report is ignored; its weight falls linearly
+# A backend misses its turns if its reported queue exceeds `LONG_QUEUE_RATIO` times the mean plus
+# `LONG_QUEUE_OFFSET`.
 LONG_QUEUE_RATIO = 0.7
 LONG_QUEUE_OFFSET = 0.5
 MAX_QUEUE = 1e6  # reports of longer queues are ignored
-MAX_SAVED_PROBES = 2.0  # bound of the saved credit, in probes
+MAX_SAVED_PROBES = 2.0  # upper bound of the unused probe budget
 
 
 class LoadProbes:
     """Sends load probes and keeps the queue lengths that they reported.
 
     Attributes:
-        is_on: Probes are allowed, and backends report load only to probes.
+        is_on: Whether probes are allowed and backends report load only to probes.
     """
 
     def __init__(self, context: Context, endpoints: EndpointList, slow_start: SlowStart) -> None:
@@ -44,7 +44,7 @@
         return NOT_MEASURED
 
     def probe_next(self, group: list[Backend], turn: int) -> None:
-        """Probe the backends whose turns come after `turn`, as far as the cost budget allows."""
+        """Probe the backends whose turns come after `turn`, as many as the cost budget allows."""
         fee = max(self._context.settings.probe_fee, MAX_PROBE_POINTS)
         self._credit = min(MAX_SAVED_PROBES, self._credit + MAX_PROBE_POINTS / fee)
         if self._credit < 1.0:
@@ -56,7 +56,10 @@
                 self._context.actions.append(io.ProbeLoad(backend.id))
 
     def _may_probe(self, backend: Backend) -> bool:
-        """Whether to probe; a warming backend without a connection would pay for a handshake."""
+        """Whether to probe a backend; one that is warming up needs a connection first.
+
+        Guards against the load of a handshake at a warming backend.
+        """
         report = backend.queue_report
         if report.is_requested or backend.outlier.ejected_until_ns:
             return False
@@ -65,7 +68,7 @@
         return self._context.now_ns - report.reported_at_ns >= MIN_PROBE_INTERVAL_NS
 
     def probe_ended(self, event: io.LoadProbeEnded) -> None:
-        """Record the result of a probe."""
+        """Record the queue length that a probe returned, if it is valid."""
         backend = self._endpoints.by_id.get(event.backend)
         if backend is None:
             return
@@ -80,7 +83,7 @@
     def has_long_queue(self, backend: Backend) -> bool:
         """Return whether a backend's reported queue, weighted by its age, is well above the mean.
 
-        Guards against congestion caused by other proxies, where probes report it.
+        Guards against sending to a backend that other proxies have congested.
         """
         report = backend.queue_report
         age_ns = self._context.now_ns - report.reported_at_ns
--- a/mothstall/policy/outliers.py
+++ b/mothstall/policy/outliers.py
@@ -11,13 +11,13 @@
 
 EJECTION_SCORE = 2.0  # failure score that ejects; one failed connect reaches it
 FAILURE_SCORE = 1.0  # score of a reset connection or a response cut short
-SHARED_ERROR_FACTOR = 0.7  # score of an error response, which weighs less than a reset
-CLASS_TIMEOUT_SCORE = 0.4  # score of a timeout of a class that gets no response anywhere
+SHARED_ERROR_FACTOR = 0.7  # score of an error response, less than that of a reset
+CLASS_TIMEOUT_SCORE = 0.4  # score of a timeout if only the request's class gets no responses
 SUCCESS_FACTOR = 0.5  # factor of the failure score after a successful response
 NEGLIGIBLE_SCORE = 0.2  # a successful response resets scores up to this to 0
 MAX_HINTED_SCORE = EJECTION_SCORE / 2  # upper bound of the score that health hints alone can reach
 MAX_EJECTION_NS = 8 * NS  # upper bound of the doubling ejection time
-MIN_JITTER = 0.8  # random factor of an ejection: from this to `MIN_JITTER + JITTER_RANGE`
+MIN_JITTER = 0.8  # random factor of an ejection's duration: 0.8 to 1.2
 JITTER_RANGE = 0.4
 
 
@@ -26,7 +26,6 @@
 
     Attributes:
         unhealthy_count: Number of listed backends with a failure score above 0.
-        on_member_ejected: Called when a member is ejected, to choose a replacement.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
             self._on_member_ejected()
 
     def count_hint(self, backend: Backend) -> None:
-        """Record a health hint; hints raise the score to `MAX_HINTED_SCORE`, and no further."""
+        """Record a health hint: raise the failure score to `MAX_HINTED_SCORE` if it is lower."""
         if backend.outlier.failure_score < MAX_HINTED_SCORE:
             self.count_failure(backend, MAX_HINTED_SCORE - backend.outlier.failure_score)
 
--- a/mothstall/policy/polling.py
+++ b/mothstall/policy/polling.py
@@ -1,4 +1,4 @@
-"""Schedules watches at discovery: staggered by proxy at the start and after a failure."""
+"""Schedules the calls that open a watch at discovery, staggered by the proxies' positions."""
 
 from __future__ import annotations
 
@@ -6,18 +6,16 @@
 from mothstall.interface import NS
 from mothstall.policy.context import Context
 
-PROXY_INTERVAL_NS = NS // 10  # between the calls of two proxies with consecutive positions
-MAX_INTERVAL_NS = 11 * NS // 4  # between two calls of one proxy, for any number of proxies
-MAX_RETRY_DELAY_NS = 13 * NS // 4  # from a failed call's start; leaves the retry 2.25 s to respond
+PROXY_INTERVAL_NS = NS // 10  # mean interval between calls of different proxies
+MAX_INTERVAL_NS = 11 * NS // 4  # upper bound of the interval between calls of one proxy
+MAX_RETRY_DELAY_NS = 13 * NS // 4  # from a failed call's start; 2.25 s are left for the retry
 MAX_FIRST_DELAY_NS = 21 * NS // 4  # upper bound from the start to the first call
-MAX_COUNTED_FAILURES = (
-    3  # consecutive failures that count; each doubles the interval, up to its maximum
-)
-_INTERVAL_STEPS = 8  # a call that would be too late moves to an earlier eighth of the interval
+MAX_COUNTED_FAILURES = 3  # consecutive failures, each of which doubles the minimum interval
+_INTERVAL_STEPS = 8  # a call that would be late is brought forward in eighths of the interval
 
 
 class DiscoveryPolling:
-    """Opens watches at discovery, without long gaps and without simultaneous calls of proxies."""
+    """Opens watches at discovery, without long gaps and without simultaneous calls by proxies."""
 
     def __init__(self, context: Context) -> None:
         settings = context.settings
@@ -25,13 +23,13 @@
         self._is_watching = False
         self._failures = 0
         self._due_ns = 0
-        self._turn_ns = 0  # a time at which this proxy may call; later ones follow at the interval
+        self._turn_ns = 0  # time of this proxy's first turn; the later turns follow at the interval
         self._max_interval_ns = min(
             MAX_INTERVAL_NS, max(PROXY_INTERVAL_NS, settings.poll_within_ns // 2)
         )
 
     def begin(self) -> None:
-        """Schedule the first call, if lists are not pushed."""
+        """Schedule the first call, unless discovery pushes lists."""
         settings = self._context.settings
         if settings.discovery_push:
             return
@@ -50,7 +48,7 @@
         self._schedule_in_turn(self._context.now_ns - call_ns + MAX_RETRY_DELAY_NS)
 
     def succeeded(self) -> None:
-        """Record an update on an open watch."""
+        """Record an update, which shows that a watch is open."""
         self._is_watching = True
         self._failures = 0
 
@@ -60,7 +58,7 @@
             self._schedule_in_turn(self._context.now_ns + int(NS * self._context.ring_offset))
 
     def _watch_if_due(self) -> None:
-        """Open a watch if none is open, and check again later in case the call gets no response."""
+        """Open a watch if none is open and a call is due; check later whether it got a response."""
         now_ns = self._context.now_ns
         if now_ns >= self._due_ns and not self._is_watching:
             self._context.actions.append(io.WatchEndpoints(True))
@@ -68,7 +66,7 @@
             self._context.timers.schedule(self._due_ns, self._watch_if_due)
 
     def _schedule_in_turn(self, latest_ns: int) -> None:
-        """Schedule a call at this proxy's next turn, no later than `latest_ns`.
+        """Schedule a call at this proxy's next turn, but not after `latest_ns` unless that is past.
 
         Guards against simultaneous calls when discovery recovers: turns are staggered by position.
         """
--- a/mothstall/policy/priority_groups.py
+++ b/mothstall/policy/priority_groups.py
@@ -2,9 +2,9 @@
 
 "A Predictive-Adaptive Algorithm for a Web Switch": the priority group P serves the profile with
 priority, the best-effort group B all others, each in round robin. At the end of a slot the
-throughput of every backend is predicted from its measurements, (2) and (5) to (8); if the latency
-of one side exceeds its objective, the backend of the largest distance moves to that side, (9) and
-(10). The numbers are the paper's formulas; (3) and (4) are in `slots`.
+throughput of every backend is predicted from its measurements by the paper's equations (2) and (5)
+to (8). If the latency of one side exceeds its objective, the backend of the other side with the
+largest distance moves to it, equations (9) and (10). Equations (3) and (4) are in `slots`.
 
 `docs/design.md` describes the choices that the paper leaves open.
 """
@@ -23,18 +23,18 @@
 from mothstall.policy.traffic_profile import TrafficProfiles
 
 MIN_LATENCY_SAMPLES = 10  # requests that a side needs in a slot for its latency to cause a move
-RETURN_BELOW = 0.5  # ratio of latency to objective of P below which a backend may return to B
+RETURN_BELOW = 0.5  # P's ratio of latency to objective below which a backend may move back to B
 
 
 class Side(IntEnum):
-    """The two groups."""
+    """The paper's two groups, B (best effort) and P (priority)."""
 
     BEST_EFFORT = 0
     PRIORITY = 1
 
 
 class SlotLatency:
-    """Mean ratio of latency to objective of one side in this slot; open requests count by age."""
+    """One side's mean ratio of latency to objective in this slot; open requests count by age."""
 
     def __init__(self) -> None:
         self.total_ratio = 0.0
@@ -64,8 +64,8 @@
     def end_slot(self, now_ns: int) -> float:
         """Return the slot's mean ratio and start the next slot.
 
-        Guards against a move caused by a single late response: with too few requests, returns 0 and
-        carries them over to the next slot.
+        Guards against a move caused by a single late response: if there are too few requests, the
+        result is 0 and they count in the next slot.
         """
         request_count = self.count + self.open_count
         if request_count < MIN_LATENCY_SAMPLES:
@@ -84,7 +84,7 @@
         members: The subset, unordered.
         by_side: The two groups, by `Side`.
         next_turn: By side, the index of the group member whose turn is next.
-        latency: By side, latency of its requests in this slot.
+        latency: By side, latencies of its requests in this slot.
         latency_ratio: By side, mean ratio of latency to objective in the previous slot.
         slots: The clock of the slots.
     """
@@ -126,7 +126,7 @@
         self._randomize_turn(side)
 
     def _join_worse_side(self, joining: list[Backend]) -> None:
-        """Add new members to the side with the higher latency ratio, with its mean estimates."""
+        """Add new members, with the side's mean estimates, to the side with the higher ratio."""
         is_priority_worse = self.latency_ratio[Side.PRIORITY] > self.latency_ratio[Side.BEST_EFFORT]
         side = int(is_priority_worse or self._profiles.is_single)
         peers = [peer.throughput for peer in self.by_side[side] if peer.throughput.filtered >= 0]
@@ -138,7 +138,7 @@
             self._join(backend, side)
 
     def split(self) -> None:
-        """Form the groups: P gets members, by ring position, in proportion to its traffic."""
+        """Split the members by ring position; P gets a fraction in proportion to its traffic."""
         order = sorted(self.members, key=lambda backend: backend.ring_position)
         part = self._profiles.priority_fraction()
         left_to_others = 0 if self._profiles.is_single else 1
@@ -156,7 +156,10 @@
         self._randomize_turn(side)
 
     def _randomize_turn(self, side: int) -> None:
-        """Guards against rotations of many proxies that run in lockstep."""
+        """Continue the rotation of a side at a random turn.
+
+        Guards against many proxies that send to the same backend at the same time.
+        """
         self.next_turn[side] = self._random_turn(self.by_side[side])
 
     def _random_turn(self, group: list[Backend]) -> int:
@@ -179,7 +182,7 @@
         return max(values), min(values)
 
     def rebalance(self) -> None:
-        """Move at most one backend to the side that needs it; split after the first slot."""
+        """Move at most one backend by the latency ratios; after the first slot, split anew."""
         now_ns = self._context.now_ns
         if self.slots.is_first and now_ns - self.slots.started_ns == FIRST_SLOT_NS:
             self.split()
@@ -191,7 +194,7 @@
             self.move_to(Side.BEST_EFFORT)
 
     def move_to(self, side: int) -> None:
-        """(9) and (10): move the backend of the largest distance to this side from the other."""
+        """Move the other side's backend of the largest distance here: equations (9) and (10)."""
         source = self.by_side[1 - side]
         if len(source) < 2:
             return
@@ -202,13 +205,13 @@
 
     @staticmethod
     def _distance(backend: Backend) -> tuple[float, int]:
-        """(10): the distance of the two estimates from zero; the lower id wins a tie."""
+        """Return the distance of the estimates from 0, equation (10); a lower id wins a tie."""
         estimates = backend.throughput
         distance = math.hypot(max(0.0, estimates.filtered), max(0.0, estimates.corrected))
         return distance, -backend.id
 
     def measure(self, backend: Backend, span_ns: int) -> None:
-        """(2) and (5) to (8) for one backend, at the end of a slot of `span_ns`."""
+        """Update one backend by equations (2) and (5) to (8) at the end of a slot of `span_ns`."""
         state = backend.throughput
         burstiness = self._measure_burstiness(backend, span_ns)
         measured = state.completions * NS / span_ns  # the paper's X
@@ -220,15 +223,15 @@
             state.corrected = measured
         else:
             slots = self.slots.slots_per_period
-            weight = (2 * slots - 1) / (2 * slots + 1)  # (6)
+            weight = (2 * slots - 1) / (2 * slots + 1)  # equation (6)
             mean = (measured + state.measured) / 2
-            state.filtered = weight * state.filtered + (1 - weight) * mean  # (5)
-            burst_gain = 0.0  # (7)
+            state.filtered = weight * state.filtered + (1 - weight) * mean  # equation (5)
+            burst_gain = 0.0  # equation (7)
             if burstiness > state.burstiness:
                 burst_gain = (burstiness - state.burstiness) * (measured - state.measured)
             if state.burstiness > 0:
                 change = burst_gain * state.utilization / state.burstiness
-                state.corrected = max(0.0, state.corrected - change)  # (8)
+                state.corrected = max(0.0, state.corrected - change)  # equation (8)
         state.measured = measured
         state.burstiness = burstiness
         state.utilization = state.reported_utilization
@@ -239,7 +242,7 @@
         state.busy_ns = 0
 
     def _measure_burstiness(self, backend: Backend, span_ns: int) -> float:
-        """(2): the fraction of slots in T whose arrival rate was above the mean."""
+        """Return equation (2): the fraction of slots in T whose arrival rate was above the mean."""
         now_ns = self._context.now_ns
         arrivals = backend.throughput.arrivals
         records = backend.throughput.slot_records
--- a/mothstall/policy/request.py
+++ b/mothstall/policy/request.py
@@ -12,10 +12,10 @@
 
     Attributes:
         backend: The backend that it was sent to.
-        sent_ns: When it was sent; with a delayed body, when the last byte was written.
-        is_half_open_probe: Whether it is the single attempt that an ejected backend gets.
+        sent_ns: When it was sent; if its request body was delayed, when the last byte was written.
+        is_half_open_probe: Whether it is a half-open probe of an ejected backend.
         is_open: Whether it has not ended yet.
-        never_ran: Whether it certainly had no effect.
+        never_ran: Whether the backend certainly did not run it.
         was_rejected: Whether the backend rejected it unread.
         awaits_body: Whether part of the request body is still missing, so that the backend has
             not started.
@@ -49,19 +49,19 @@
         class_index: Index of its class in the settings; `request_class` is that class.
         profile: The traffic profile that it belongs to.
         is_priority: Whether the priority group serves it.
-        arrived_ns: When it arrived; with a delayed body, when the body was forwarded.
+        arrived_ns: When it arrived; if its body was delayed, when the body was forwarded.
         deadline_ns: When its client stops waiting.
         objective_ns: The latency objective of its class, at least 1.
         cost_ns: Its expected work as the client declared it; 0: not declared.
         attempts: All its attempts, in order.
         open_attempts: Number of attempts that have not ended.
-        is_done: Whether its final response is decided.
+        is_done: Whether its final response is determined.
         has_response_started: Whether the first bytes of a response have arrived.
         exceeds_quota: Whether it exceeds its tenant's quota or, without tenants, its class has
             less than the greatest priority weight.
         queued_until_ns: When its wait for capacity times out; 0: not queued.
         ran_on: The backend of the first attempt that may have had an effect.
-        ran_at_ns: When that attempt was sent.
+        ran_at_ns: When the attempt at `ran_on` was sent.
     """
 
     __slots__ = (
--- a/mothstall/policy/request_lifecycle.py
+++ b/mothstall/policy/request_lifecycle.py
@@ -22,18 +22,18 @@
 from mothstall.policy.traffic_profile import TrafficProfiles
 from mothstall.policy.zone_weights import ZoneWeights
 
-QUEUE_WAIT_FRACTION = 0.25  # of the latency objective: how long a request may wait for capacity
+QUEUE_WAIT_FRACTION = 0.25  # fraction of the objective that a request may wait for capacity
 RETRY_AFTER_DIVISOR = 4  # Retry-After of a rejection: the latency objective divided by this
-MIN_TIME_FRACTION = 1 / 2  # of the usual latency: no attempt is sent with less time left
+MIN_TIME_FRACTION = 1 / 2  # fraction of the usual latency: minimum time left for an attempt
 HEDGE_AFTER = 3.0  # a request is hedged after this multiple of the usual latency without a response
-HEDGE_UNRESPONSIVE_CLASS_AFTER = 2.0  # the same for a class that gets no response at any backend
-MIN_HEDGE_FRACTION = 1 / 8  # of the latency objective: no request is hedged sooner
+HEDGE_UNRESPONSIVE_CLASS_AFTER = 2.0  # the multiple if only the request's class gets no responses
+MIN_HEDGE_FRACTION = 1 / 8  # fraction of the latency objective: minimum wait before a hedge
 HALF_OPEN_TIMEOUT_RATIO = 4  # timeout of a half-open probe, as a multiple of the usual latency
 QUEUE_CHECK_NS = NS // 100  # interval of capacity checks while requests are queued
 
 
 class RequestLifecycle:
-    """Open requests, from arrival to the end of their last attempts.
+    """Handles open requests from their arrival to the end of their last attempts.
 
     Attributes:
         open: Open requests by their ids.
@@ -122,12 +122,12 @@
         self._context.timers.schedule(until_ns, partial(self._end_wait, request, until_ns))
 
     def _end_wait(self, request: Request, until_ns: int) -> None:
-        """Reject a request whose wait timed out. Guards against the timer of an earlier wait."""
+        """Reject a request whose wait timed out, unless the timer is that of an earlier wait."""
         if request.queued_until_ns == until_ns:
             self._give_up(request)
 
     def serve_queue(self) -> None:
-        """Send queued requests in fair order, as long as there is capacity."""
+        """Send queued requests in the order of the fair queue while there is capacity."""
         while self._queue.count:
             found = self._next_to_serve()
             if found is None:
@@ -135,7 +135,7 @@
             request, backend = found
             self._queue.remove(request)
             self._admit(request, backend)
-        # Guards against timers that multiply: at most one is due, and its call does nothing.
+        # Guards against a growing number of timers: at most one check of the queue is scheduled.
         now_ns = self._context.now_ns
         if self._queue.count and self._next_queue_check_ns <= now_ns:
             self._next_queue_check_ns = now_ns + max(self._context.settings.tick_ns, QUEUE_CHECK_NS)
@@ -218,7 +218,10 @@
             self._send(request, backend)
 
     def _is_suspect(self, attempt: Attempt, request: Request) -> bool:
-        """Whether a missing response points to a fault; one alone may be an expensive request."""
+        """Whether a missing response points to a fault of the backend.
+
+        A single attempt without a response may be an expensive request.
+        """
         backend = attempt.backend
         if backend.outlier.ejected_until_ns:
             return True
@@ -296,7 +299,7 @@
                 self._give_up(request)
 
     def _mark_never_ran(self, attempt: Attempt, request: Request, result: AttemptResult) -> None:
-        """Mark an attempt that never ran; `ran_on` becomes the first other that may have run."""
+        """Mark an attempt that never ran; set `ran_on` by the first attempt that may have run."""
         attempt.never_ran = True
         attempt.was_rejected = result == AttemptResult.REJECTED
         ran = next((row for row in request.attempts if not row.never_ran), None)
@@ -324,18 +327,18 @@
             self._give_up(request)
 
     def _is_retry_denied(self, request: Request) -> bool:
-        """Whether a request gets no retry: it exceeds its tenant's quota, and backends are few."""
+        """Whether a request gets no retry, as it exceeds a tenant's quota and backends are few."""
         has_tenants = bool(self._context.settings.tenants)
         return request.exceeds_quota and has_tenants and self._endpoints.is_sparse
 
     def client_left(self, event: io.ClientLeft) -> None:
-        """Finish a request whose client has disconnected or given up."""
+        """Finish a request whose client has disconnected or stopped waiting."""
         request = self.open.get(event.request)
         if request and not request.is_done:
             self._finish(request, self._context.now_ns - request.arrived_ns)
 
     def _give_up(self, request: Request) -> None:
-        """Reject the request if a client may retry it, else fail it; either counts as late."""
+        """Reject the request if its client may retry it, else fail it; both count as late."""
         settings = self._context.settings
         action: io.Action
         if is_client_retry_safe(request):
@@ -364,4 +367,4 @@
 
 
 def _do_nothing() -> None:
-    """Timer call without effect: every batch of events serves the queue."""
+    """Have no effect: the timer only causes a batch of events, after which the queue is served."""
--- a/mothstall/policy/retries.py
+++ b/mothstall/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: their budget, and the backends where a retry cannot repeat an effect."""
+"""Retries: their token budget, and the check that a retry cannot repeat an effect."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from mothstall.policy.request import Request
 
 TOKENS_PER_RESPONSE = 0.2  # retry tokens per successful response
-MAX_BUDGET = 30.0  # upper bound of saved tokens
-MIN_BUDGET = 2.0  # lower bound of the maximum, for any ratio of backends to proxies
-BUDGET_PER_BACKEND = 10.0  # maximum of all proxies together, per backend
+MAX_BUDGET = 30.0  # upper bound of a proxy's `max_tokens`
+MIN_BUDGET = 2.0  # lower bound of a proxy's `max_tokens`
+BUDGET_PER_BACKEND = 10.0  # sum of `max_tokens` over all proxies, per backend, between the bounds
 
 
 class RetryBudget:
     """Token budget of retries and hedged requests, refilled by successful responses.
 
     Attributes:
-        tokens: Retries that may be sent now.
+        tokens: Tokens of retries that may be sent now.
         max_tokens: Upper bound of `tokens`.
     """
 
@@ -26,7 +26,10 @@
         self.max_tokens = MAX_BUDGET
 
     def begin(self, context: Context, backend_count: int) -> None:
-        """Set the bound by the first list; the first budget is random, so that proxies differ."""
+        """Set the bound by the number of backends, and draw the initial tokens at random.
+
+        Guards against retries of all proxies at the same time.
+        """
         per_proxy = BUDGET_PER_BACKEND * backend_count / context.settings.proxies
         self.max_tokens = max(MIN_BUDGET, min(MAX_BUDGET, per_proxy))
         self.tokens = self.max_tokens * context.rng.random()
@@ -47,9 +50,10 @@
 def may_run_at(request: Request, backend: Backend, now_ns: int) -> bool:
     """Return whether an attempt at this backend cannot repeat an effect.
 
-    It cannot if no earlier attempt may have had an effect, or if the request is idempotent.
-    Otherwise a non-idempotent request gets no further attempt, and a request that is idempotent by
-    its key only within its window, at backends that recognize the key of the first attempt.
+    An effect cannot be repeated if no earlier attempt may have had one, or if the request is
+    idempotent. Otherwise a non-idempotent request gets no further attempt. A request that is
+    idempotent by its key gets one only within the key's window, and only at backends that recognize
+    the key of the attempt that may have run.
     """
     ran_on = request.ran_on
     request_class = request.request_class
--- a/mothstall/policy/rotation.py
+++ b/mothstall/policy/rotation.py
@@ -24,20 +24,21 @@
 from mothstall.policy.slow_start import SlowStart
 from mothstall.policy.zone_weights import ZoneWeights
 
-MAX_IN_FLIGHT_RATIO = (
-    1.0  # of the mean attempts in flight per member, plus the offset: more miss a turn
-)
+# A backend misses its turn if its attempts in flight exceed `MAX_IN_FLIGHT_RATIO` times the mean
+# over the members plus `IN_FLIGHT_OFFSET`.
+MAX_IN_FLIGHT_RATIO = 1.0
 IN_FLIGHT_OFFSET = 0.5
-SLOWNESS_POWER = -6  # a turn is kept with this power of slowness over noise as probability
-BURST_FACTOR = 2.0  # a burst may exceed a small capacity by this multiple of its square root
-CONNECT_TIMEOUT_FRACTION = 1 / 4  # of the connect timeout: added to the stall timeout
+SLOWNESS_POWER = -6  # a slow backend keeps a turn with probability `slowness**SLOWNESS_POWER`
+# With few backends per proxy, a burst may exceed the capacity by its square root times this factor.
+BURST_FACTOR = 2.0
+CONNECT_TIMEOUT_FRACTION = 1 / 4  # part of the connect timeout in the stall timeout
 
 
 class SkipReason(Enum):
     """Why a backend misses its turn."""
 
-    NONE = "none"  # does not miss it
-    FULL = "full"  # no capacity now
+    NONE = "none"  # the backend does not miss its turn
+    FULL = "full"  # the backend has no capacity now
     UNHEALTHY = "unhealthy"
     SLOW = "slow"
 
@@ -85,7 +86,7 @@
         search = _Search(request)
         for side, zones in self._zone_weights.search_order(int(request.is_priority)):
             if search.found_full and not zones and self._zone_weights.follows_plan:
-                break  # the plan's zones are full: do not overflow to other zones
+                break  # the zones of the plan are full: do not use other zones
             turn = self._search_group(request, search, side, zones)
             if turn >= 0:
                 return self._take_turn(side, turn)
@@ -99,7 +100,7 @@
         burst = 0.0
         if self._endpoints.is_sparse:
             # Guards against rounding down a small capacity: the random draw admits its fractional
-            # part on average, and an allowance on top permits random bursts.
+            # part on average. The additional allowance permits random bursts.
             in_flight += self._context.rng.random()
             burst = BURST_FACTOR * math.sqrt(limits.capacity)
         if request.exceeds_quota:
@@ -107,7 +108,10 @@
         return in_flight < limits.capacity + burst
 
     def _search_group(self, request: Request, search: _Search, side: int, zones: set[int]) -> int:
-        """Return the first member with a full turn, or the closest to one, by index; else -1."""
+        """Return the index of the next eligible member with a turn credit of 1; -1: none eligible.
+
+        If no credit reaches 1, the eligible member with the greatest credit is taken.
+        """
         group = self._groups.by_side[side]
         start = self._groups.next_turn[side]
         now_ns = self._context.now_ns
@@ -186,8 +190,8 @@
     def _must_stay_ejected(self, backend: Backend, request: Request) -> bool:
         """Whether an ejected backend must not get this request.
 
-        It gets a single half-open probe at a time, after the ejection time, and only from the
-        classes of the safest effect.
+        After its ejection time the backend gets one half-open probe at a time, and only from
+        classes whose effect is the least harmful of all classes.
         """
         if backend.outlier.is_probing or request.request_class.effect > self._safest_effect:
             return True
@@ -195,7 +199,10 @@
         return self._context.now_ns < until_ns
 
     def _is_stalled(self, backend: Backend, request: Request, warmth: float) -> bool:
-        """Guards against hung backends: attempts in flight, and no response for unusually long."""
+        """Whether a backend with attempts in flight has sent no response for unusually long.
+
+        Guards against hung backends.
+        """
         usual_ns = self._latency.usual_ns
         no_progress_ns = self._context.now_ns - max(backend.last_progress_ns, backend.busy_since_ns)
         stall_timeout_ns = usual_ns * (1 + 2 / backend.in_flight) / warmth
@@ -214,7 +221,10 @@
         return backend.in_flight > MAX_IN_FLIGHT_RATIO * mean_in_flight * warmth + IN_FLIGHT_OFFSET
 
     def _is_slow(self, backend: Backend) -> bool:
-        """Guards against congestion caused by other proxies, where this one has few responses."""
+        """Whether a backend misses its turn at random, with a probability that grows with slowness.
+
+        Guards against backends that other proxies congest, if this one has few responses.
+        """
         slowness = backend.slowness / (1.0 + self._latency.noise)
         return slowness > 1 and self._context.rng.random() > slowness**SLOWNESS_POWER
 
--- a/mothstall/policy/slots.py
+++ b/mothstall/policy/slots.py
@@ -1,6 +1,7 @@
 """Slots: the divisions of the paper's observation time T.
 
-Burstiness determines their number by the paper's equation (4), and thereby their length by (3).
+The burstiness of the members determines the number of slots in T by the paper's equation (4), and
+the number determines their length by equation (3).
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 from mothstall.interface import NS
 
 OBSERVATION_NS = 10 * NS  # the paper's observation time T
-MIN_SLOT_NS = NS // 4  # shorter slots would contain too few requests
-MAX_SLOT_NS = 5 * NS // 2  # longer slots would react too slowly
-FIRST_SLOT_NS = OBSERVATION_NS // 10
+MIN_SLOT_NS = NS // 4  # minimum length: shorter slots would contain too few requests
+MAX_SLOT_NS = 5 * NS // 2  # maximum length: with longer slots the groups would react too slowly
+FIRST_SLOT_NS = OBSERVATION_NS // 10  # length of the first slot
 
 
 class SlotClock:
@@ -33,7 +34,7 @@
 
     @property
     def is_first(self) -> bool:
-        """Whether exactly one slot has ended within T."""
+        """Whether exactly one slot has ended within the last T."""
         return len(self.ended) == 1
 
     def end_slot(self, now_ns: int) -> None:
@@ -50,7 +51,7 @@
         return now_ns + int(OBSERVATION_NS / self.slots_per_period)
 
     def next_slots_per_period(self, highest: float, lowest: float) -> float:
-        """Return the next number of slots in T by equation (4), within the limits of length."""
+        """Return the next number of slots in T by equation (4), within the bounds of length."""
         if not highest:
             factor = 1.0 / max(1, len(self.ended))
         elif highest > self.lowest_burstiness:
--- a/mothstall/policy/subset.py
+++ b/mothstall/policy/subset.py
@@ -1,8 +1,8 @@
-"""Subsetting: the listed backends that this proxy sends to and has enough traffic to measure.
+"""Subsetting: selects so few backends that this proxy has enough traffic to measure each.
 
-Hundreds of proxies with little traffic each would otherwise all hold connections to all backends,
-and each would have to detect every fault by itself. Each proxy uses a contiguous section of the
-hash ring; the sections of all proxies cover the ring evenly.
+Without subsets, hundreds of proxies with little traffic each would hold connections to all
+backends, and each proxy would have to detect every fault by itself. Each proxy uses a contiguous
+section of the hash ring; the sections of all proxies cover the ring evenly.
 """
 
 from __future__ import annotations
@@ -18,19 +18,17 @@
 from mothstall.policy.slow_start import SlowStart
 from mothstall.policy.zone_weights import ZoneWeights
 
-MIN_MEMBERS = 3
-PROXIES_PER_BACKEND = 6.0  # proxies that have a given backend in their subsets
-RATE_PER_MEMBER = 6.0  # requests per second of this proxy for each member
-SHRINK_BELOW = 0.7  # the subset shrinks once its wanted size is below this fraction of its size
-MAX_WIDENING = 2  # upper bound of members over `size`, where some are ejected or warming up
-UNSMOOTHED_RISE_ATTEMPTS = (
-    10  # attempts in a slot from which a higher rate applies without smoothing
-)
-_RATE_GAIN_PER_PERIOD = 3  # time constants of the smoothed request rate per observation time
+MIN_MEMBERS = 3  # minimum size of a subset
+PROXIES_PER_BACKEND = 6.0  # minimum mean number of proxies that have a backend in their subsets
+RATE_PER_MEMBER = 6.0  # attempts per second of this proxy for each member
+SHRINK_BELOW = 0.7  # fraction of `size` below which a newly computed size replaces it
+MAX_WIDENING = 2  # members at most, in multiples of `size`, if some are ejected or warming up
+UNSMOOTHED_RISE_ATTEMPTS = 10  # attempts in a slot from which a rise is not smoothed
+_RATE_GAIN_PER_PERIOD = 3  # time constants of the smoothed rate in one observation time
 
 
 class Subset:
-    """Selects the members of the priority groups.
+    """Selects the members of this proxy's subset.
 
     Attributes:
         size: Wanted number of healthy and warm members.
@@ -56,16 +54,12 @@
         self.sent_in_slot = 0
 
     def refresh(self) -> None:
-        """Select the members again, by the list, the request rate and the health of backends.
-
-        Guards against every proxy holding connections to all backends, and detecting each fault by
-        itself.
-        """
+        """Select the members again, by the list, the request rate and the health of backends."""
         self._resize()
         self._groups.set_members(self._select())
 
     def refresh_if_partial(self) -> None:
-        """Select the members again, if some listed backend is not a member."""
+        """Select the members again if not all listed backends are members."""
         if len(self._groups.members) < len(self._endpoints):
             self.refresh()
 
@@ -96,7 +90,7 @@
         return chosen
 
     def count_attempt(self) -> None:
-        """Count an attempt.
+        """Count an attempt; enlarge the subset within the slot if there are unusually many.
 
         Guards against a sudden rise of traffic that overloads the few members until the slot ends.
         """
--- a/mothstall/policy/timers.py
+++ b/mothstall/policy/timers.py
@@ -1,4 +1,4 @@
-"""Scheduled calls, and the single timer that the adapter has to set for them."""
+"""Scheduled calls, all of which share a single timer of the adapter."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         heapq.heappush(self._queue, (due_ns, self._scheduled, call))
 
     def run_due(self, now_ns: int) -> None:
-        """Run every due call, including due calls that these schedule."""
+        """Run every due call, including those that are scheduled meanwhile."""
         queue = self._queue
         while queue and queue[0][0] <= now_ns:
             heapq.heappop(queue)[2]()
--- a/mothstall/policy/traffic_profile.py
+++ b/mothstall/policy/traffic_profile.py
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from mothstall.policy.request import Request
 
-MIN_WEIGHT = 1e-6  # of a profile in the fair queue; also the lower bound of a quota used as divisor
-MIN_TRAFFIC_FRACTION = 1e-3  # lower bound of a traffic fraction, so that a claim stays finite
-PRIORITY_MARGIN = 1.25  # a new priority profile must claim this multiple of the current one
-PRIOR_REQUESTS = 6.0  # weight of the prior, an even split over the proxies, in requests
+MIN_WEIGHT = 1e-6  # lower bound of a weight in the fair queue, and of a quota used as divisor
+MIN_TRAFFIC_FRACTION = 1e-3  # lower bound of a profile's traffic fraction, a divisor of its claim
+PRIORITY_MARGIN = 1.25  # a new priority profile's claim must exceed this multiple of the current
+PRIOR_REQUESTS = 6.0  # weight, in requests, of the assumption that all proxies get equal traffic
 MANY_PROFILES = 1000  # number of active profiles above which `EARLY_INACTIVE_BELOW` applies
-EARLY_INACTIVE_BELOW = 0.5  # decayed count of an inactive profile, if there are many
-INACTIVE_BELOW = 1e-16  # the same otherwise; both scale with the total while that is below 1
+EARLY_INACTIVE_BELOW = 0.5  # bound of the counts of inactive profiles if many are active
+INACTIVE_BELOW = 1e-16  # that bound otherwise; both bounds scale with a total below 1
 _RATE_GAIN = 0.5  # smoothing factor of a profile's rate, per slot
 
 
@@ -73,14 +73,14 @@
 
 
 class TrafficProfiles:
-    """All profiles; the work per slot depends on the active ones only.
+    """All profiles; the work at the end of a slot depends only on the number of active ones.
 
     Attributes:
-        all: By index.
+        all: All profiles, by index.
         by_quota: Indexes by descending quota; `quota_rank` is each profile's rank in that order.
         active: Profiles with recent requests, by index; all others have rates and counts of 0.
         arrivals: Exponentially decayed count of requests of all profiles.
-        priority: Index of the profile that the priority group serves.
+        priority: Index of the profile with priority, which the priority group serves.
         is_single: Whether there is only one profile, which all members serve.
         traffic_fraction: This proxy's fraction of all traffic, estimated by the median profile.
     """
@@ -88,7 +88,7 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         settings = context.settings
-        # Guards against initial tokens that all proxies use at once: they are drawn at random.
+        # Drawn at random: guards against initial tokens that all proxies use at the same time.
         quota_tokens = context.rng.random()
         rows = [(tenant.share, tenant.quota_per_s) for tenant in settings.tenants]
         if not rows:
@@ -135,7 +135,10 @@
         return profile.weight / self.total_weight
 
     def claim(self, index: int) -> float:
-        """Return quota over traffic fraction; without tenants, the class's priority weight."""
+        """Return a profile's claim to priority.
+
+        The claim is its quota over its traffic fraction; without tenants, its priority weight.
+        """
         profile = self.all[index]
         if not self._context.settings.tenants:
             return profile.quota
@@ -147,8 +150,7 @@
         keep = math.exp(-span_ns / (3 * OBSERVATION_NS))
         threshold = EARLY_INACTIVE_BELOW if len(self.active) > MANY_PROFILES else INACTIVE_BELOW
         threshold *= min(1.0, self.arrivals)
-        # Guards against a slot's end that takes time for each profile, although few of them are
-        # active.
+        # Guards against work for every profile at the end of a slot: only active ones are visited.
         profiles = [self.active[index] for index in sorted(self.active)]
         self.active = {}
         self._inactive_arrivals *= keep
@@ -178,7 +180,7 @@
 
         Guards against priority that alternates between profiles with nearly equal claims.
         """
-        # Of the profiles below `MIN_TRAFFIC_FRACTION`, the one with the greatest quota claims most.
+        # Among profiles below `MIN_TRAFFIC_FRACTION`, the greatest quota has the greatest claim.
         large = {
             index
             for index, profile in self.active.items()
@@ -196,9 +198,11 @@
     def _median_relative_rate(self) -> float:
         """Return the lower median, over all profiles, of completions over expected completions.
 
-        Guards against client retries (only completions count) and against small samples (the prior
-        weighs `PRIOR_REQUESTS`). Takes linear time in the active profiles (and a sort), logarithmic
-        in all: the relative rates of inactive profiles ascend along `by_quota` and are searched.
+        Guards against an estimate inflated by client retries (only completions count) or distorted
+        by few requests (the prior has a weight of `PRIOR_REQUESTS`). Apart from a sort of the
+        active profiles, the time is linear in their number and logarithmic in the number of all
+        profiles: relative rates of inactive profiles ascend along `by_quota`, so that a binary
+        search finds the median.
         """
         prior_divisor = PRIOR_REQUESTS * self._context.settings.proxies
         observed_ns = self._observed_ns
--- a/mothstall/settings.py
+++ b/mothstall/settings.py
@@ -1,7 +1,7 @@
 """Parses the settings of an instance, from the simulator's text or from nested JSON.
 
-Only this module maps the keys of the settings, which are documented for operators, to the
-attributes of `interface.Settings`, and defines the defaults.
+Only this module defines the defaults and maps the keys of the settings, which are documented for
+operators, to the attributes of `interface.Settings`.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 _LOAD_BY_PROBES = {"answers": False, "probe": True, "none": False}
 
 
-MAX_NUMBER = 1e12
-MAX_FEE = 1e6  # points
-MIN_TIMER_NS = 1_000_000  # shorter timers would monopolize the event loop
+MAX_NUMBER = 1e12  # numbers must be less
+MAX_FEE = 1e6  # points; fees must be less
+MIN_TIMER_NS = 1_000_000  # shorter timers would keep the event loop busy
 
 
 def _number(text: str) -> float:
@@ -61,7 +61,7 @@
     """Parse a non-negative integer.
 
     Raises:
-        ValueError: The text is not one.
+        ValueError: The text is not a non-negative integer.
     """
     number = int(text)
     if number < 0:
@@ -77,10 +77,10 @@
 
 
 def timer_ns(text: str) -> int:
-    """Parse a duration in nanoseconds that is long enough for a timer.
+    """Parse a duration in nanoseconds, at least `MIN_TIMER_NS`.
 
     Raises:
-        ValueError: The text is not one.
+        ValueError: The text is not an integer, or the duration is too short.
     """
     duration_ns = count(text)
     if duration_ns < MIN_TIMER_NS:
@@ -119,7 +119,7 @@
 
 
 def from_json(tree: Mapping[str, object]) -> Settings:
-    """Convert settings from nested JSON, which has the names and units of the text format.
+    """Convert settings from nested JSON with the keys and units of the `path=value` lines.
 
     Raises:
         SettingsError: A key is missing or unreadable.
@@ -140,7 +140,7 @@
             _flatten(f"{path}.{i}", item, into)
     elif isinstance(value, list):
         into[path] = ",".join(str(item).replace(",", "_") for item in value)
-        if not value:  # it may stand for an empty list of objects
+        if not value:  # an empty list may be a list of objects, which need a count
             into[f"{path}.count"] = "0"
     elif isinstance(value, bool):
         into[path] = "true" if value else "false"
--- a/mothstall/simhost/host.py
+++ b/mothstall/simhost/host.py
@@ -1,4 +1,4 @@
-"""The host of the instances; each instance receives only its own events."""
+"""Runs the simulator's instances of the policy; each instance receives only its own events."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 
 
 def departures_first(events: list[Event]) -> list[Event]:
-    """Return a batch with the departures of clients first.
+    """Return the events with `ClientLeft` first; drop requests that arrived and left in the batch.
 
     Guards against a retry for a client that left in the batch in which its attempt ended, and
-    against a first attempt for a client that left in the batch of its arrival: both events of such
-    a client are removed.
+    against a first attempt for a client that left in the batch in which its request arrived.
     """
     left = {event.request for event in events if type(event) is ClientLeft}
     if not left:
@@ -32,17 +31,17 @@
 
 
 class Host:
-    """Hosts many instances behind one pair of streams.
+    """Runs many balancers, each an instance of the simulator.
 
     Attributes:
-        instances: Balancers by the instance number of the simulator.
+        instances: Balancers by the simulator's instance numbers.
     """
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
 
     def batch(self, now: int, records: list[codec.Record]) -> bytes:
-        """Return the reply frame for a batch; an instance that fails is reported and dropped."""
+        """Return the reply frame for a batch; a failed instance is reported and removed."""
         faults: list[tuple[int, str]] = []
         pending = self._apply_records(records, faults)
         actions: list[tuple[int, Action]] = []
@@ -60,7 +59,7 @@
     def _apply_records(
         self, records: list[codec.Record], faults: list[tuple[int, str]]
     ) -> dict[int, list[Event]]:
-        """Start and end instances; return the events of each remaining one, in order."""
+        """Start and end instances; return the events of each remaining instance, in order."""
         pending: dict[int, list[Event]] = {}
         for number, event in records:
             if isinstance(event, codec.InstanceEnded):
--- a/mothstall/simwire/codec.py
+++ b/mothstall/simwire/codec.py
@@ -38,11 +38,11 @@
     WatchEndpoints,
 )
 
-MAX_FRAME = 1 << 30  # bytes
+MAX_FRAME = 1 << 30  # upper bound of a frame's body, in bytes
 
 
 class WireError(MothstallError):
-    """The input violates the protocol; the message describes where."""
+    """The input violates the protocol; the message says where or which value is invalid."""
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     """A new instance starts.
 
     Attributes:
-        seed: Its only source of randomness.
+        seed: Seed of its random numbers.
         setup: Its settings, as `path=value` lines.
     """
 
@@ -63,9 +63,9 @@
     """An instance ends, and its state is discarded."""
 
 
-# Content of a record; None: a message from another instance, which is skipped.
+# Event in a record; None: a message from another instance, which is skipped.
 RecordEvent = Event | InstanceStarted | InstanceEnded | None
-# The instance that a record belongs to, and its content.
+# Number of the instance that a record is for, and the record's event.
 Record = tuple[int, RecordEvent]
 
 
@@ -113,7 +113,8 @@
 _HEALTH = {int(h): h for h in Health}
 _SCOPE = {int(s): s for s in UpdateScope}
 
-# Layouts of record fields after the code; strings and lists are preceded by their lengths.
+# Layouts of the fields of event records after their codes; the lengths of strings and lists
+# precede them.
 _U16 = struct.Struct(">H")
 _U32 = struct.Struct(">I")
 _CLOCK = struct.Struct(">Q")
@@ -203,8 +204,8 @@
     return now, records
 
 
-# A decoder takes a body and the offset of a record's fields, and returns the instance, the content
-# of the record, and the offset of the next record.
+# Result of a decoder, which takes a body and the offset of a record's fields: the instance, the
+# event, and the offset of the next record.
 _Decoded = tuple[int, RecordEvent, int]
 
 
@@ -285,7 +286,7 @@
 
 
 def _peer_message(body: bytes, at: int) -> _Decoded:
-    """Skip a message from another instance: instances share nothing."""
+    """Skip a message from another instance, as instances exchange no state."""
     instance, _sender, length = _PEER_MESSAGE.unpack_from(body, at)
     end = at + _PEER_MESSAGE.size + length
     if end > len(body):
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -84,7 +84,7 @@
         return acts
 
     def wait(self, ns: int, step: int = 10 * MS) -> list[io.Action]:
-        """Advance the clock with timer events only."""
+        """Advance the clock by `ns`, in steps, with timer events only; return the actions."""
         acts: list[io.Action] = []
         end = self.now + ns
         while self.now < end:
@@ -102,7 +102,7 @@
     def send(
         self, class_index: int = 0, left: int = 2 * NS, tenant: int = 0, cost: int = 0
     ) -> tuple[int, int]:
-        """Start a request that must be sent immediately; return its id and backend."""
+        """Send a request, which must get a backend immediately; return its id and the backend."""
         rid, acts = self.arrive(class_index, left, tenant, cost)
         sends = [a for a in acts if isinstance(a, io.SendAttempt) and a.request == rid]
         assert len(sends) == 1, acts
--- a/tests/policy/test_costs_and_probes.py
+++ b/tests/policy/test_costs_and_probes.py
@@ -1,4 +1,4 @@
-"""Turns by weight, declared costs, requests that wait on other services, load probes, partial failures."""
+"""Tests of turns by weight, declared costs, load probes, partial failures and inherited state."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     "other_weight", [1.0, 3.0, 0.0, -1.0, math.nan, math.inf, -math.inf, 1e-30, 1e38]
 )
 def test_turns_are_proportional_to_listed_weights(other_weight: float) -> None:
-    # Guards against backends of half the size that get as many requests as the others.
+    # Guards against small backends that get as many requests as large ones.
     driver = Driver(entries=weighted_entries(1, other_weight, 1, other_weight), classes=PURE)
     served = serve_counts(driver, 42)  # within the first slot: no backend moves
     group = driver.balancer.groups.by_side[1]  # the group of the only class
@@ -54,7 +54,7 @@
 
 
 def measured_congestion(declared: bool) -> float:
-    """Return the congestion measured for cheap and expensive requests whose latency equals their cost."""
+    """Return the measured congestion if the latency of each request equals its cost."""
     expensive_class = io.RequestClass(
         200 * MS, 2 * NS, 1.0, 0.3, Effect.IDEMPOTENT, io.KeyScope.ALL, NS, False
     )
@@ -68,7 +68,7 @@
 def test_expensive_requests_with_declared_cost_are_not_congestion() -> None:
     assert measured_congestion(declared=True) < 0.05 < 0.3 < measured_congestion(declared=False)
     driver = Driver(4, classes=PURE)
-    for i in range(100):  # declared costs contrary to latency: the slope stays at 0
+    for i in range(100):  # the expensive requests are faster: the slope stays at 0
         driver.serve(latency=(60, 20)[i % 2] * MS, cost=(20, 60)[i % 2] * MS)
     heavy = driver.balancer.requests.open[driver.arrive(cost=60 * MS)[0]]
     assert driver.balancer.latency.latency_at_mean_cost(heavy, 20 * MS) == 20 * MS
@@ -87,8 +87,8 @@
 
 
 def test_requests_that_wait_on_other_services_are_not_congestion() -> None:
-    # Guards against a shrinking capacity at low load: with more attempts in flight than cores, no
-    # baseline was ever measured.
+    # Guards against a capacity that shrinks at low load: with many attempts in flight, no baseline
+    # was ever measured.
     driver = Driver(4, classes=PURE, proxies=4, tenants=(io.Tenant(1.0, 100.0),))
     driver.balancer.limits.capacity = 12.0
     in_flight = [driver.send(cost=50 * MS) for _ in range(6)]
@@ -151,7 +151,7 @@
 
 
 def test_a_backend_that_fails_two_requests_of_three_is_ejected() -> None:
-    # Guards against a backend with fast errors that stays in rotation: each success reset its score.
+    # Guards against a failing backend that stays in rotation: each success reset its failure score.
     driver = Driver(4, classes=PURE, max_attempts=1)
     requests_to_failing = 0
     while (
@@ -185,14 +185,14 @@
 
 
 def test_a_new_process_rejects_nothing_and_overloads_no_warming_backend() -> None:
-    """State is inherited only where it matches: backends by id and start time, baselines by class."""
+    """Inherited state applies to backends of equal id and start; baselines need equal classes."""
     old = Driver(20, classes=PURE, proxies=20)
     for _ in range(200):
         old.serve()
     for b in old.balancer.endpoints.by_id.values():
         b.outlier.failure_score = 0.5
     state = old.balancer.export_state()
-    state.baselines = [*state.baselines, [1.0, 1.0, 60.0]]  # does not match: one class more
+    state.baselines = [*state.baselines, [1.0, 1.0, 60.0]]  # one class too many: ignored
     rows = [entry(i, started=0) for i in range(1, 11)] + [
         entry(i, started=old.now) for i in range(11, 31)
     ]
@@ -209,7 +209,7 @@
     )
     assert not any(
         new.balancer.endpoints.by_id[i].outlier.failure_score for i in range(11, 21)
-    )  # the same ids, restarted
+    )  # backends that have restarted under the same ids
     sent_to_warming: list[int] = []
     for _ in range(150):  # three seconds
         rid, acts = new.arrive()
@@ -219,7 +219,7 @@
                 sent_to_warming += [act.backend] * (act.backend > 10)
                 new.now += 20 * MS
                 new.end(rid, act.backend)
-    # Below the overload multiple of a warm backend's rate at the warmth of the third second.
+    # At most the overload multiple of a warm backend's rate, times the warmth after three seconds.
     warm = 150 / 3 / len(new.balancer.groups.members)
     assert (
         max((sent_to_warming.count(b) for b in sent_to_warming), default=0)
@@ -228,7 +228,7 @@
 
 
 def test_spare_capacity_grows_fast_after_the_first_fast_responses() -> None:
-    # Guards against an idle fleet that rejects requests counted as beyond a quota for ten seconds.
+    # Guards against an idle fleet that rejects requests beyond quota in its first ten seconds.
     driver = Driver(12, classes=PURE, proxies=12, tenants=(io.Tenant(1.0, 100.0),))
     rid, backend = driver.send()
     driver.balancer.limits.spare_capacity = 1.0
@@ -238,7 +238,8 @@
 
 
 def test_a_slower_machine_kind_keeps_its_turns() -> None:
-    # Guards against uneven turns in a mixed fleet: older machines were treated as slow.
+    # Guards against uneven turns in a mixed fleet: the usual latency of older machines counted as
+    # slowness.
     driver = Driver(
         entries=[io.Endpoint(i, 0, i % 2, 0, io.Health.READY, 1.0, 0) for i in range(1, 9)],
         proxies=8,
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -1,4 +1,4 @@
-"""Tests of single faults that the policy guards against."""
+"""Tests of the policy's guards, each against a single fault."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def unsent_request(driver: Driver, class_index: int = 0, left: int = 2 * NS) -> Request:
-    """Return a request for checking the skip rules, which the balancer has not received."""
+    """Return a request to check skip reasons with; the balancer has not received it."""
     b = driver.balancer
     arrived = io.RequestArrived(0, class_index, 0, 0, left, 0, False)
     return Request(
@@ -151,8 +151,8 @@
 
 
 def test_rejected_half_open_probes_keep_within_slow_start_tokens() -> None:
-    # Guards against overload of a warming backend by half-open probes: after a rejected probe the
-    # next one followed immediately.
+    # Guards against overload of a warming backend by half-open probes: the next probe
+    # immediately followed a rejected one.
     driver = warm_driver(3)
     driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(9, started=driver.now)]))
     eject(driver, 9)
@@ -170,7 +170,7 @@
 
 
 def test_a_rejection_causes_a_backoff() -> None:
-    # Guards against rejected requests that try every backend of the fleet, thirteen attempts each.
+    # Guards against rejected requests that are retried at every backend, up to 13 attempts each.
     driver = warm_driver()
     rid, full = driver.send()
     driver.end(rid, full, AttemptResult.REJECTED)
@@ -188,10 +188,10 @@
 
 
 def test_a_hedge_is_sent_only_if_the_backend_looks_faulty() -> None:
-    # Guards against hedging requests that are merely late: the load made all responses late.
+    # Guards against hedges of late requests, whose additional load made all responses late.
     driver = warm_driver()
     _, slow = driver.send()
-    driver.balancer.endpoints.by_id[slow].last_progress_ns = driver.now + 1  # it serves others
+    driver.balancer.endpoints.by_id[slow].last_progress_ns = driver.now + 1  # it has responded
     assert not sends(driver.wait(NS))
     driver = warm_driver()
     rid, unresponsive_backend = driver.send()
@@ -224,8 +224,8 @@
 
 
 def test_timeouts_reduce_the_capacity() -> None:
-    # Guards against overload that only shows as timeouts: attempts are given up before a late
-    # response arrives.
+    # Guards against overload that shows only as timeouts, as attempts end before a late response
+    # arrives.
     driver = warm_driver()
     in_flight = exhaust_capacity(driver)
     before = driver.balancer.limits.capacity
@@ -238,7 +238,7 @@
 
 
 def test_some_late_responses_at_low_load_do_not_reduce_the_capacity() -> None:
-    # Guards against capacity that drifts down at low load until requests are queued needlessly.
+    # Guards against capacity that slowly falls at low load until requests are queued needlessly.
     driver = warm_driver()
     before = driver.balancer.limits.capacity
     for i in range(200):
@@ -247,8 +247,8 @@
 
 
 def test_late_responses_reduce_a_capacity_that_is_not_used_up() -> None:
-    # Guards against overload after the fleet shrank: no proxy used its full capacity, so that none
-    # reduced it.
+    # Guards against overload after the fleet shrank: no proxy used its full capacity, and so no
+    # proxy reduced it.
     driver = warm_driver()
     before = driver.balancer.limits.capacity
     for _ in range(20):
@@ -257,8 +257,8 @@
 
 
 def test_requests_beyond_quota_are_rejected_first() -> None:
-    # Guards against proxies with little traffic within quota that fill the fleet with requests
-    # beyond quota.
+    # Guards against proxies with little traffic within quota that use up the fleet's capacity for
+    # requests beyond quota.
     tenants = (io.Tenant(0.5, 10.0), io.Tenant(0.5, 10.0))
     driver = warm_driver(3, tenants=tenants)
     driver.balancer.limits.spare_capacity, driver.balancer.profiles.traffic_fraction = 0.0, 0.5
@@ -282,7 +282,7 @@
 
 
 def test_timeouts_reduce_the_capacity_only_if_most_backends_do_not_respond() -> None:
-    # Guards against overload in which no backend responds: it must reduce the capacity.
+    # Guards against an unreduced capacity when an overload leaves all backends without responses.
     for count, is_reduced in ((1, False), (4, True)):
         driver = warm_driver()
         in_flight = exhaust_capacity(driver)
@@ -298,7 +298,7 @@
 
 
 def test_initial_capacity_is_four_attempts_per_backend_over_all_proxies() -> None:
-    # Guards against many proxies that fill every backend before the first late response arrives.
+    # Guards against many proxies that overload the fleet before the first late response arrives.
     assert Driver(10, proxies=10).balancer.limits.capacity == 4.0
 
 
@@ -379,7 +379,7 @@
 
 @pytest.mark.parametrize("proxies", [1, 6, 30, 200, 400])
 def test_calls_during_an_outage_of_discovery_keep_their_interval(proxies: int) -> None:
-    """Guards against changes read too late after discovery recovers; a call may take 2 s."""
+    """Guards against late list changes after discovery recovers: a call may take 2 s."""
     for seed in range(8):
         driver = Driver(discovery_push=False, proxies=proxies, position=proxies - 1, seed=seed)
         call_times: list[int] = []
@@ -405,10 +405,11 @@
 
 
 def test_tight_objectives_do_not_reduce_the_capacity_of_an_idle_fleet() -> None:
-    # Guards against objectives close to the service time: even the fastest responses were late.
+    # Guards against a falling capacity if the objective is close to the service time, so that even
+    # the fastest responses are late.
     driver = warm_driver(backends=4, proxies=2)
     for _ in range(100):
-        driver.serve(latency=300 * MS)  # over 0.45 of the objective of 500 ms, but the baseline
+        driver.serve(latency=300 * MS)  # late by the objective of 500 ms, but equal to the baseline
     idle_capacity = driver.balancer.limits.capacity
     for _ in range(100):
         driver.serve(latency=300 * MS)
@@ -427,8 +428,8 @@
 
 
 def test_an_even_fraction_of_the_quota_is_within_quota() -> None:
-    # Guards against rejections at low load: if all tenants send little, the typical rate is below
-    # any quota.
+    # Guards against rejections at low load: if all tenants send little, the estimated traffic
+    # fraction of a proxy is low.
     tenants = (io.Tenant(0.5, 20.0), io.Tenant(0.5, 20.0))
     driver = warm_driver(3, tenants=tenants, proxies=2)
     driver.balancer.limits.spare_capacity, driver.balancer.profiles.traffic_fraction = 0.0, 0.01
@@ -443,7 +444,7 @@
 
 
 def test_responses_beyond_the_objective_reduce_the_capacity_faster() -> None:
-    # Guards against congested backends that lose efficiency and stay congested for 15 s.
+    # Guards against backends that stay congested for 15 s, as congestion lowers their efficiency.
     lost = {}
     for latency in (400 * MS, 600 * MS):
         driver = warm_driver(30, proxies=2)
@@ -454,7 +455,7 @@
 
 
 def test_loose_objectives_do_not_permit_long_queues() -> None:
-    # Guards against long queues at backends if the objective is many service times.
+    # Guards against long queues at backends if the objective is much longer than the service time.
     driver = warm_driver(4, classes=(request_class(),), proxies=1)
     for _ in range(60):
         driver.serve(latency=20 * MS)
@@ -464,17 +465,18 @@
 
 
 def test_a_single_late_priority_request_moves_no_backend() -> None:
-    # Guards against one late request per slot that grows P and makes turns uneven.
+    # Guards against a priority group that grows with one late request per slot, which makes turns
+    # uneven.
     driver = Driver(6)
     driver.wait(OBSERVATION_NS // 10 + 1)
     before = len(driver.balancer.groups.by_side[1])
-    driver.serve(2, latency=900 * MS)  # the priority class, beyond its objective
+    driver.serve(2, latency=900 * MS)  # class 2 has priority; later than its objective
     driver.wait(OBSERVATION_NS // 4)
     assert len(driver.balancer.groups.by_side[1]) == before
 
 
 def test_queued_requests_do_not_multiply_timers() -> None:
-    # Guards against timers that multiply under overload: each check of the queue scheduled two more.
+    # Guards against a growing number of timers under overload: each queue check scheduled two more.
     driver = warm_driver()
     exhaust_capacity(driver)
     for _ in range(3):
@@ -486,8 +488,8 @@
 
 
 def test_capacity_follows_the_list_and_stays_positive() -> None:
-    # Guards against a fleet that shrank to a third but kept its full capacity, so that late
-    # responses accumulated.
+    # Guards against late responses after the fleet shrank to a third: the proxies kept the capacity
+    # of the whole fleet.
     driver = Driver(8, classes=PURE)
     before = driver.balancer.limits.capacity
     driver.feed(
@@ -513,7 +515,7 @@
 
 
 def hang_first_class(driver: Driver, rounds: int, latency: int = 60 * MS) -> None:
-    """Every second request of class 0 gets no response at any backend; class 1 takes `latency`."""
+    """Leave every second request of class 0 without a response; class 1 takes `latency`."""
     for i in range(rounds):
         rid, acts = driver.arrive(0)
         for sent in sends(acts):
@@ -540,8 +542,8 @@
     hang_first_class(driver, 120)
     assert bal.latency.shared_lateness[0] < MIN_SHARED_FRACTION <= bal.latency.shared_lateness[1]
     assert bal.limits.capacity >= capacity_before
-    # A timeout of an unresponsive class counts as one failure, however long it was: it does not
-    # eject a backend by itself.
+    # A timeout of an unresponsive class has a fixed score, however long it took: it does not eject
+    # a backend by itself.
     b = bal.groups.members[0]
     b.outlier.failure_score, b.outlier.ejected_until_ns = 0.0, 0
     rid, backend = driver.send(0)
@@ -560,7 +562,7 @@
     hang_first_class(driver, 120)
     rid, backend = driver.send(0)
     member = next(b for b in driver.balancer.groups.members if b.id == backend)
-    member.last_progress_ns = driver.now + MS  # it has responded to others since
+    member.last_progress_ns = driver.now + MS  # it has responded to other requests since
     hedges = [a for a in sends(driver.wait(200 * MS)) if a.request == rid]
     assert len(hedges) == 1 and hedges[0].backend != backend
 
@@ -592,12 +594,12 @@
                 driver.now += latency
                 for sent in sends(acts):
                     driver.end(other, sent.backend, latency=latency)
-            member.last_progress_ns = driver.now  # it responds to others meanwhile
+            member.last_progress_ns = driver.now  # it responds to other requests meanwhile
         capacity_before = bal.limits.capacity
         retries = sends(driver.end(rid, backend, AttemptResult.TIMEOUT, latency=500 * MS))
         assert bal.latency.congestion < 0.1
         assert bal.limits.capacity > capacity_before - 0.01
-        for retry in retries:  # without an end it would count as a missing response
+        for retry in retries:  # otherwise the retry would count as a missing response
             driver.end(retry.request, retry.backend, attempt=1, latency=40 * MS)
 
 
--- a/tests/policy/test_many_proxies.py
+++ b/tests/policy/test_many_proxies.py
@@ -1,4 +1,4 @@
-"""Many proxies with little traffic each: subsets, sums over the fleet, start-up, unusual settings."""
+"""Tests of many proxies with little traffic: subsets, total load, start-up, unusual settings."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize(("proxies", "backends"), [(335, 60), (434, 80), (411, 70)])
 def test_subsets_are_small_and_cover_all_backends_evenly(proxies: int, backends: int) -> None:
-    """Guards against too many open connections, and against backends that no proxy uses."""
+    """Guards against proxies connected to too many backends, and backends that no proxy uses."""
     rows = [entry(7919 * i, zone=i % 2) for i in range(1, backends + 1)]
     tier = make_tier(proxies, rows)
     assert max(len(b.groups.members) for b in tier) <= MIN_MEMBERS + 3
@@ -153,7 +153,7 @@
 
 
 def test_with_one_class_the_last_backend_of_the_ring_gets_turns() -> None:
-    """Guards against a backend reserved for a second profile when there is only one."""
+    """Guards against a backend without requests, reserved for a second profile that is absent."""
     tier = make_tier(60, [entry(i) for i in range(1, 18)])
     last = tier[0].endpoints.ring[-1].id
     served: Counter[int] = Counter()
@@ -171,7 +171,7 @@
 
 
 def is_rotation_complete(balancer: Balancer) -> bool:
-    """Whether all members, and no other backends, are in the rotation of the only profile."""
+    """Return whether the rotation of the only profile has exactly the members of the subset."""
     other, own = balancer.groups.by_side
     return (
         not other
@@ -187,13 +187,13 @@
 def test_with_one_profile_all_members_are_in_its_rotation(
     proxies: int, backends: int, tenants: tuple[io.Tenant, ...]
 ) -> None:
-    """Guards against members, old or new, that are reserved for a second profile when there is only one."""
+    """Guards against old or new members reserved for a second profile when there is only one."""
     changes: dict[str, Any] = {"classes": PURE, "tenants": tenants, "may_hedge": False}
     driver = Driver(backends, proxies=proxies, position=7 % proxies, **changes)
     balancer = driver.balancer
 
     def serve_all(latency: int) -> set[int]:
-        # Every request gets a response; with tenants, every second request is from an unknown tenant.
+        # Every request gets a response; with tenants, every second one is from an unknown tenant.
         known, got = members(balancer), set[int]()
         request_count = 8 * len(known)
         open_: list[tuple[int, int, int]] = []
@@ -220,7 +220,7 @@
 
     assert is_rotation_complete(balancer)
     assert not serve_all(20 * MS)
-    for number in range(1, 5):  # a backend that joins, restarts or leaves
+    for number in range(1, 5):  # a new backend joins and restarts, and an old one leaves
         driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2 * number, [entry(900 + number)]))
         assert is_rotation_complete(balancer)
         driver.feed(
@@ -243,7 +243,7 @@
         balancer.subset.request_rate = 6.0 * size
         balancer.subset.refresh()
         assert is_rotation_complete(balancer)
-    serve_all(900 * MS)  # beyond every objective, so that (9) would move; some back off
+    serve_all(900 * MS)  # beyond all objectives: with two groups, one would move; some back off
     for number in sorted(members(balancer))[1:]:
         balancer.outliers.count_failure(balancer.endpoints.by_id[number], 2.0)
         assert is_rotation_complete(balancer)
@@ -253,7 +253,7 @@
 
 
 def test_with_one_class_a_new_backend_gets_turns_at_every_proxy() -> None:
-    """Guards against new members that join the group of a second profile while both ratios are equal."""
+    """Guards against new members in the group of an absent second profile if ratios are equal."""
     tier = make_tier(60, [entry(i) for i in range(1, 18)])
     served: Counter[int] = Counter()
     for k, balancer in enumerate(tier):
@@ -278,7 +278,7 @@
 
 
 def test_first_calls_to_discovery_are_spread_and_in_time() -> None:
-    """Guards against simultaneous calls at the start: discovery serves all proxies one by one."""
+    """Guards against simultaneous calls at the start, as discovery serves calls one at a time."""
     proxies, rows = 300, [entry(i) for i in range(1, 61)]
     tier = make_tier(proxies, rows, discovery_push=False)
     calls_by_second: Counter[int] = Counter()
@@ -304,7 +304,7 @@
 
 
 def test_tenants_with_little_traffic_keep_their_quota() -> None:
-    """Guards against random gaps: one request in ten seconds must not exceed the quota."""
+    """Guards against rejecting rare requests: one in ten seconds must be within the quota."""
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.25, 20.0), io.Tenant(0.25, 20.0))
     rng = random.Random(4)
     beyond = requests = heavy = 0
@@ -350,7 +350,7 @@
 
 
 def test_the_backoff_grows_with_each_rejection_until_a_success() -> None:
-    # Guards against a full fleet that gets retries within one usual latency, forever.
+    # Guards against a full fleet that gets retries within one usual latency without end.
     driver = Driver(4, classes=PURE)
     b = driver.balancer.groups.by_side[1][0]
     for _ in range(20):
@@ -407,8 +407,8 @@
 
 
 def test_a_warming_backend_has_no_minimum_rate_per_proxy() -> None:
-    # Guards against a minimum rate per proxy: half a request per second from each of hundreds
-    # overloaded warming backends.
+    # Guards against a minimum rate per proxy: half a request per second from each of hundreds of
+    # proxies overloaded warming backends.
     driver = Driver(60, classes=PURE, proxies=300)
     driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
     warming = driver.balancer.endpoints.by_id[1]
@@ -424,7 +424,7 @@
 def warming_attempt_times(
     balancer: Balancer, number: int, until: int, step: int = 5 * MS
 ) -> list[int]:
-    """Return when this proxy could send to a warming backend, from its current time until `until`."""
+    """Return the times, up to `until`, at which a proxy has a token for a warming backend."""
     times: list[int] = []
     b = balancer.endpoints.by_id[number]
     while balancer.context.now_ns < until:
@@ -443,8 +443,8 @@
 def test_first_attempts_of_a_fleet_are_evenly_spaced(
     positions: range, tolerance: float, seed: int
 ) -> None:
-    # Guards against clusters of first attempts, as from independent random draws. Consecutive
-    # positions are evenly spaced; missing positions leave gaps.
+    # Guards against simultaneous first attempts, as independent random draws cause. Attempts of
+    # proxies with consecutive positions are evenly spaced; missing positions leave gaps.
     tier = [
         Balancer(settings(classes=PURE, proxies=30, position=k), seed * 1000 + k) for k in positions
     ]
@@ -467,8 +467,8 @@
 
 @pytest.mark.parametrize("restart", [200, 900, 1700, 2600, 4000])
 def test_a_proxy_restart_during_a_slow_start_gets_no_new_tokens(restart: int) -> None:
-    # Guards against a new process with new random tokens, whose attempt followed that of the
-    # previous process immediately.
+    # Guards against new random tokens after a proxy restart: the new process sent an attempt
+    # immediately after that of the previous process.
     for seed in range(40):
         cfg, started_at = settings(classes=PURE, proxies=30, position=seed), START + NS
         rows = [entry(i) for i in range(1, 4)]
@@ -495,8 +495,8 @@
 
 
 def test_repeated_restarts_of_a_backend_get_no_new_random_tokens() -> None:
-    # Guards against new random tokens at every proxy for each restart: the order of the proxies must
-    # stay the same, with another start.
+    # Guards against new random tokens at every proxy for each restart: the order in which proxies
+    # send must stay the same, and only its beginning may change.
     proxies, interval_ns = 30, 400 * MS
     tier = [
         Balancer(settings(classes=PURE, proxies=proxies, position=k), k) for k in range(proxies)
@@ -512,13 +512,13 @@
             )
             b.slow_start.warm_rate = 4.0
             got += len(warming_attempt_times(b, 3, started_at + interval_ns - MS))
-        # Each proxy: 0.45 x 3 x 4 x a warmth of 0.1 or slightly more, 0.54 to 0.6 attempts per second.
+        # Per proxy 0.45 x 3 x 4 x a warmth of 0.1 or slightly more: 0.54 to 0.6 attempts a second.
         assert abs(got - proxies * 0.225) <= 2.5, (i, got)
 
 
 def test_unused_tokens_do_not_accumulate() -> None:
-    # Guards against saved tokens: proxies that added a backend to their subsets after some seconds
-    # all had a full token and used it immediately.
+    # Guards against simultaneous attempts from saved tokens: proxies that added a backend to their
+    # subsets after some seconds all had a full token.
     driver = Driver(60, classes=PURE, proxies=300)
     driver.feed(io.EndpointUpdate(UpdateScope.DELTA, 2, [entry(1, started=START)]))
     warming = driver.balancer.endpoints.by_id[1]
@@ -531,7 +531,8 @@
     )
 
 
-# With one class all four backends get equal traffic, (4) makes slots longer, and two must suffice.
+# With one class all four backends get equal traffic, so that equation (4) makes slots longer and
+# the test contains only two of them.
 @pytest.mark.parametrize(
     ("classes", "slow_responses"),
     [((request_class(), request_class(priority_weight=0.5)), 30), (PURE, 50)],
@@ -539,8 +540,8 @@
 def test_the_warm_rate_follows_a_falling_rate(
     classes: tuple[io.RequestClass, ...], slow_responses: int
 ) -> None:
-    # Guards against overload when many backends restart: each proxy uses more backends and gets less
-    # from each. The 10 s mean lagged behind, and the sum over the fleet was twice the planned rate.
+    # Guards against overload when many backends restart: each proxy uses more backends, and each of
+    # them serves it less. The 10 s mean lagged, so that all proxies sent twice the planned rate.
     driver = Driver(4, classes=classes)
     for _ in range(300):
         driver.serve(latency=10 * MS)
@@ -559,7 +560,7 @@
 
 
 def test_rejections_reduce_the_capacity() -> None:
-    # Guards against a full fleet that rejects immediately, whereupon each proxy retries immediately.
+    # Guards against immediate retries by all proxies when a full fleet rejects immediately.
     driver = Driver(4, classes=PURE)
     for _ in range(20):
         driver.serve()
@@ -581,7 +582,7 @@
 
 
 def test_congestion_from_the_start_sets_no_baseline() -> None:
-    # Guards against a baseline measured during congestion, by which nothing looks congested.
+    # Guards against a baseline measured during congestion, which would hide the congestion.
     driver = Driver(10, classes=PURE, proxies=40)
     first = driver.balancer.limits.capacity
     for _ in range(30):
@@ -590,8 +591,8 @@
 
 
 def test_the_traffic_fraction_is_estimated_by_completions() -> None:
-    # Guards against a traffic fraction that is inflated by client retries, most of all by those of
-    # the heaviest tenant.
+    # Guards against a traffic fraction inflated by client retries, most of all by those of the
+    # tenant with the most traffic.
     tenants = (io.Tenant(0.5, 40.0), io.Tenant(0.5, 40.0))
     driver = Driver(60, classes=PURE, proxies=300, tenants=tenants)
     driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 0.0
@@ -603,8 +604,8 @@
 
 
 def test_a_growing_fleet_does_not_starve_its_warming_backends() -> None:
-    # Guards against a fleet that grows from sixteen to seventy-five backends and divides the rate of
-    # the few warm ones among all of them.
+    # Guards against a low estimate of the warm rate when a fleet grows from 16 to 75 backends: the
+    # rate of the few warm backends was divided by the number of all.
     driver = Driver(4, classes=PURE)
     for _ in range(100):
         driver.serve()
--- a/tests/policy/test_priority_groups.py
+++ b/tests/policy/test_priority_groups.py
@@ -1,4 +1,8 @@
-"""The paper's formulas against values computed by hand, and the two groups."""
+"""Tests of the paper's equations, by values computed by hand, and of its two groups.
+
+Numbers in parentheses are equations of the paper; P is the priority group, B the best-effort group,
+T the observation time, b the burstiness, e the number of slots in T.
+"""
 
 from __future__ import annotations
 
@@ -108,8 +112,8 @@
     [
         (0.6, 0.2, 0.1, 5, 12.0),  # e + low * e
         (0.3, 0.1, 0.4, 5, 13.0),  # e + high * e
-        (0.0, 0.0, 0.0, 2, 5.0),  # e / n
-        (0.0, 0.0, 0.0, 9, OBSERVATION_NS / MAX_SLOT_NS),  # bounded below
+        (0.0, 0.0, 0.0, 2, 5.0),  # e / number of slots that ended in T
+        (0.0, 0.0, 0.0, 9, OBSERVATION_NS / MAX_SLOT_NS),  # the lower bound
         (1.0, 1.0, 0.0, 9, 20.0),
     ],
 )
@@ -212,7 +216,7 @@
 
 def test_split_follows_shares_in_order_of_hashed_id() -> None:
     driver = Driver(10, tenants=(io.Tenant(0.7, 70.0), io.Tenant(0.3, 31.0)))
-    # Before any measurement, quota over share decides: the second tenant, with 0.3 of 10 backends.
+    # Before any measurement, priority is by quota over share: the second tenant gets 0.3 of the 10.
     assert groups(driver)[1] == sorted(sorted(range(1, 11), key=lambda i: (stable_hash(i), i))[:3])
 
 
@@ -249,7 +253,7 @@
         )
     assert groups(driver)[1] == []
     left = groups(driver)[0]
-    _, to = driver.send(2)  # the priority class
+    _, to = driver.send(2)  # class 2 has priority
     assert to in left
 
 
@@ -276,7 +280,7 @@
     assert first.log == second.log
 
 
-# Work that must not grow with the number of backends or tenants
+# Limits of work: it must not grow with the number of all backends or tenants
 
 
 class CountingList(list[Any]):
@@ -308,7 +312,7 @@
 
 
 def test_a_small_change_hashes_only_changed_rows(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against sorting the whole list for each changed row."""
+    """Guards against hashing and sorting the whole list for a few changed rows."""
     driver = Driver(400)
     hashed_ids: list[int] = []
 
@@ -326,7 +330,7 @@
         7,
         900,
         900 + 5,
-    }  # the last: the hash of its start, for its first token
+    }  # the last is id plus start time, hashed for the initial tokens
 
 
 def test_members_are_the_ring_section_from_the_offset_of_the_proxy() -> None:
@@ -339,7 +343,7 @@
 
 
 def test_the_end_of_a_slot_visits_only_active_profiles() -> None:
-    """Guards against work for all tenants, or for their square, at the end of each slot."""
+    """Guards against linear or quadratic work in the number of all tenants at the end of a slot."""
     driver = Driver(4, tenants=tuple(io.Tenant(0.02, 2.0) for _ in range(50)))
     profiles = driver.balancer.profiles.all = CountingList(driver.balancer.profiles.all)
     driver.arrive(tenant=7)
@@ -349,7 +353,7 @@
 
 
 def test_the_end_of_a_slot_is_linear_in_active_tenants() -> None:
-    """Guards against quadratic work at the end of a slot, even if all tenants send requests."""
+    """Guards against quadratic work at the end of a slot if all tenants send requests."""
 
     def lines(count: int) -> int:
         driver = Driver(4, tenants=tuple(io.Tenant(1.0 / count, 2.0) for _ in range(count)))
@@ -383,7 +387,7 @@
 
 
 def test_a_request_visits_only_queued_profiles() -> None:
-    """Guards against work for all tenants per request while a few have queued requests."""
+    """Guards against work for all tenants at each request while only a few have queued requests."""
     driver = Driver(1, tenants=tuple(io.Tenant(0.02, 1e3) for _ in range(50)))
     driver.serve()
     driver.balancer.limits.capacity = 0.0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,8 @@
-"""The four rules, checked on the actions for random valid sequences of events."""
+"""Tests of the rules of the policy on its actions for random valid sequences of events.
+
+The rules: no effect is repeated; a draining backend gets no attempts after its grace time; a
+warming backend is not overloaded; each request gets its final response in time.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +49,7 @@
 
 
 class World:
-    """Simulates backends, clients and discovery for one balancer, and checks all actions by the rules."""
+    """Simulates backends, clients and discovery for one balancer; checks actions by the rules."""
 
     def __init__(self, seed: int, parallel: bool, push: bool, tenants: bool) -> None:
         self.rng = random.Random(seed)
@@ -185,7 +189,7 @@
             return None
         failing = self.failing.get(s.backend)
         if failing == AttemptResult.TIMEOUT:
-            return None  # hung
+            return None  # the backend hangs
         if failing is not None and failing != AttemptResult.CANCELLED and self.rng.random() < 0.8:
             return failing
         return AttemptResult.OK
@@ -196,7 +200,7 @@
         number = self.rng.choice(sorted(self.entries))
         if roll < 0.15:
             return io.EndpointUpdate(UpdateScope.FAILED, self.version, [])
-        if roll < 0.3:  # outdated: it must not restore a backend
+        if roll < 0.3:  # an outdated update must not restore a backend
             return io.EndpointUpdate(UpdateScope.DELTA, 0, [entry(number, started=5)])
         if roll < 0.5:
             row = entry(number, zone=number % 2, cell=number % 3, started=self.now)
@@ -229,13 +233,13 @@
             s.due for a in self.tracked.values() for s in a.sent if s.result is None
         ] + self.timers
         ahead = self.now + rng.choice((5, 5, 10, 20, 100)) * MS
-        self.now = max(self.now + 5 * MS, min([ahead, *ends]))  # a batch never skips a due event
+        self.now = max(self.now + 5 * MS, min([ahead, *ends]))  # do not pass a due event
         events: list[io.Event] = []
         roll = rng.random()
         if roll < 0.1:
             events.append(self.change_list())
         elif roll < 0.12:
-            self.start()  # killed and restarted in one batch; its state is lost
+            self.start()  # the proxy is killed and restarted in one batch; its state is lost
             return
         events += self.end_attempts()
         live = [rid for rid, a in self.tracked.items() if not a.is_finished]
@@ -259,7 +263,7 @@
         self.feed(events)
 
     def drain(self) -> None:
-        """End all open requests, without new arrivals; each must get its final response in time."""
+        """Let all open requests end, without new ones; each must get its final response in time."""
         for _ in range(500):
             self.now += 10 * MS
             events = self.end_attempts()
@@ -303,7 +307,7 @@
 @pytest.mark.parametrize("proxies", [2, 8])
 @pytest.mark.parametrize("rate", [40, 400])
 def test_a_warming_backend_gets_at_most_its_budget(rate: int, proxies: int) -> None:
-    """Each proxy keeps to its fraction of a warming backend's budget, as measured by the warm ones."""
+    """A proxy sends a warming backend at most the overload multiple of a warm one's rate."""
     cfg = settings(classes=(request_class(),), proxies=proxies)
     rows = [entry(i) for i in range(1, 5)]
     balancer, now, rid = Balancer(cfg, 5), START, 0
--- a/tests/policy/test_traffic_profiles.py
+++ b/tests/policy/test_traffic_profiles.py
@@ -1,4 +1,4 @@
-"""Per-tenant statistics at the end of a slot: the incremental version against a plain reference."""
+"""Tests of the statistics by tenant at the end of a slot, against a reference implementation."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 def random_traffic(
     tenants: list[io.Tenant], proxies: int, rng: random.Random, calls: int, max_pause_s: int
 ) -> Iterator[tuple[Balancer, ReferenceProfiles]]:
-    """Random traffic, mostly from a few profiles, with occasional pauses below `max_pause_s`."""
+    """Send random traffic, mostly from a few profiles, with pauses below `max_pause_s`."""
     classes = (
         PURE
         if tenants
@@ -91,7 +91,7 @@
         driver.now += rng.randrange(1, 400) * MS
         if rng.random() < 0.02:
             frequent[rng.randrange(3)] = rng.randrange(count)
-        if rng.random() < 0.02:  # all become idle, or all but one
+        if rng.random() < 0.02:  # a pause: no profile sends requests, or only one
             until, sends_meanwhile = driver.now + rng.randrange(max_pause_s) * NS, rng.randrange(2)
             while driver.now < until:
                 driver.now += 2 * NS
@@ -110,10 +110,10 @@
 def send_request(
     driver: Driver, reference: ReferenceProfiles, index: int, rng: random.Random
 ) -> None:
-    """Send one request, which is usually served."""
+    """Send one request, which gets a successful response with a probability of 0.9."""
     driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 500.0
     by_tenant = bool(driver.balancer.context.settings.tenants)
-    driver.feed(io.TimerFired(driver.now))  # a slot that ends now ends before the request
+    driver.feed(io.TimerFired(driver.now))  # a slot that is due ends before the request arrives
     rid, acts = driver.arrive(0 if by_tenant else index, tenant=index if by_tenant else 0)
     reference.arrivals[index] += 1
     for act in sends(acts):
@@ -134,7 +134,7 @@
 def test_profiles_match_the_reference(
     rows: list[tuple[float, float]], proxies: int, seed: int
 ) -> None:
-    """Rates, counts, traffic fraction and priority while profiles turn idle, inactive and active again."""
+    """Compares all statistics while profiles become idle, inactive and active again."""
     tenants = [io.Tenant(*row) for row in rows]
     for balancer, reference in random_traffic(tenants, proxies, random.Random(seed), 120, 3000):
         assert balancer.profiles.traffic_fraction == approx(reference.traffic_fraction, rel=1e-12)
@@ -188,14 +188,14 @@
 def test_early_deactivation_bounds_the_error_of_the_traffic_fraction(
     seed: int, rows: list[float]
 ) -> None:
-    """Above MANY_PROFILES, profiles below EARLY_INACTIVE_BELOW are inactive; this bounds the error."""
+    """Bounds the error if many profiles make EARLY_INACTIVE_BELOW the bound of inactive ones."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(traffic_profile, "MANY_PROFILES", 4)
         tenants = [io.Tenant(1 / len(rows), quota) for quota in rows]
         for balancer, reference in random_traffic(tenants, 30, random.Random(seed), 150, 120):
             assert balancer.profiles.arrivals == approx(sum(reference.arrivals), rel=1e-9)
             for i, profile in enumerate(balancer.profiles.all):
-                # A profile loses its count when it turns inactive, once per decay time at most.
+                # A profile loses its count when it becomes inactive, at most once per decay time.
                 assert (
                     reference.completions[i] - 2 * EARLY_INACTIVE_BELOW
                     <= profile.completions
@@ -226,7 +226,7 @@
 
 
 def test_the_end_of_a_slot_accesses_only_active_tenants() -> None:
-    """Guards against a loop over all tenants, up to half a million, that delays all requests."""
+    """Guards against a loop over all tenants, up to 500,000, which would delay all requests."""
     rng, accesses = random.Random(5), []
     for count in (2_000, 20_000):
         tenants = tuple(io.Tenant(1 / count, rng.uniform(1.0, 50.0)) for _ in range(count))
--- a/tests/policy/test_zone_weights.py
+++ b/tests/policy/test_zone_weights.py
@@ -1,4 +1,4 @@
-"""Zone weights of the region's plan: when requests follow them, and what overrides them."""
+"""Tests of zone weights: when requests follow them, and which conditions take precedence."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     assert _served(driver, 200) == pytest.approx([0.0, 0.7, 0.3], abs=0.03)
     driver = Driver(entries=ROWS, classes=(request_class(),), cross_zone_fee=fee)
     _set_weights(driver, 0.0, 1.0, 0.0, strength=0.5)
-    found = _served(driver, 300)  # the other half follows the rotation
+    found = _served(driver, 300)  # half of the requests ignore the weights
     assert found[1] == pytest.approx(0.5 if fee else 2 / 3, abs=0.1) and found[0] > 0.2
 
 
@@ -55,7 +55,7 @@
     driver = Driver(entries=ROWS, classes=(request_class(),))
     _served(driver, 30)
     _set_weights(driver, 0.0, 0.5, 0.5)
-    for _ in range(12):  # each backend of zone 1 fails to connect once and is ejected
+    for _ in range(12):  # connects to zone 1 fail, which ejects its backends
         rid, backend = driver.send()
         failed = (backend - 1) % 3 == 1
         acts = driver.end(
