--- a/tests/policy/test_traffic_profiles.py
+++ b/tests/policy/test_traffic_profiles.py
@@ -1,4 +1,4 @@
-"""Per-tenant statistics at the end of a slot: the incremental version against a plain reference."""
+"""Tests of the statistics by tenant at the end of a slot, against a reference implementation."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
                 self.completions[i] * keep,
             )
         self.observed_ns = self.observed_ns * keep + span_ns
-        even = PRIOR_REQUESTS * self.balancer.context.settings.proxies
+        prior_divisor = PRIOR_REQUESTS * self.balancer.context.settings.proxies
         relative_rates = sorted(
             (self.completions[i] + PRIOR_REQUESTS)
-            / (max(profile.quota, 1e-6) * self.observed_ns / NS + even)
+            / (max(profile.quota, 1e-6) * self.observed_ns / NS + prior_divisor)
             for i, profile in enumerate(profiles)
         )
         self.traffic_fraction = relative_rates[(len(relative_rates) - 1) // 2]
@@ -75,7 +75,7 @@
 def random_traffic(
     tenants: list[io.Tenant], proxies: int, rng: random.Random, calls: int, max_pause_s: int
 ) -> Iterator[tuple[Balancer, ReferenceProfiles]]:
-    """Random traffic, mostly from a few profiles, with occasional pauses below `max_pause_s`."""
+    """Send random traffic, mostly from a few profiles, with pauses below `max_pause_s`."""
     classes = (
         PURE
         if tenants
@@ -91,12 +91,12 @@
         driver.now += rng.randrange(1, 400) * MS
         if rng.random() < 0.02:
             frequent[rng.randrange(3)] = rng.randrange(count)
-        if rng.random() < 0.02:  # all become idle, or all but one
-            until, one = driver.now + rng.randrange(max_pause_s) * NS, rng.randrange(2)
+        if rng.random() < 0.02:  # a pause: no profile sends requests, or only one
+            until, sends_meanwhile = driver.now + rng.randrange(max_pause_s) * NS, rng.randrange(2)
             while driver.now < until:
                 driver.now += 2 * NS
                 driver.feed(io.TimerFired(driver.now))
-                if one and rng.random() < 0.3:
+                if sends_meanwhile and rng.random() < 0.3:
                     send_request(driver, reference, frequent[0], rng)
         send_request(
             driver,
@@ -110,10 +110,10 @@
 def send_request(
     driver: Driver, reference: ReferenceProfiles, index: int, rng: random.Random
 ) -> None:
-    """Send one request, which is usually served."""
+    """Send one request, which gets a successful response with a probability of 0.9."""
     driver.balancer.limits.capacity = driver.balancer.limits.spare_capacity = 500.0
     by_tenant = bool(driver.balancer.context.settings.tenants)
-    driver.feed(io.TimerFired(driver.now))  # a slot that ends now ends before the request
+    driver.feed(io.TimerFired(driver.now))  # a slot that is due ends before the request arrives
     rid, acts = driver.arrive(0 if by_tenant else index, tenant=index if by_tenant else 0)
     reference.arrivals[index] += 1
     for act in sends(acts):
@@ -134,7 +134,7 @@
 def test_profiles_match_the_reference(
     rows: list[tuple[float, float]], proxies: int, seed: int
 ) -> None:
-    """Rates, counts, traffic fraction and priority while profiles turn idle, inactive and active again."""
+    """Compares all statistics while profiles become idle, inactive and active again."""
     tenants = [io.Tenant(*row) for row in rows]
     for balancer, reference in random_traffic(tenants, proxies, random.Random(seed), 120, 3000):
         assert balancer.profiles.traffic_fraction == approx(reference.traffic_fraction, rel=1e-12)
@@ -188,14 +188,14 @@
 def test_early_deactivation_bounds_the_error_of_the_traffic_fraction(
     seed: int, rows: list[float]
 ) -> None:
-    """Above MANY_PROFILES, profiles below EARLY_INACTIVE_BELOW are inactive; this bounds the error."""
+    """Bounds the error if many profiles make EARLY_INACTIVE_BELOW the bound of inactive ones."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(traffic_profile, "MANY_PROFILES", 4)
         tenants = [io.Tenant(1 / len(rows), quota) for quota in rows]
         for balancer, reference in random_traffic(tenants, 30, random.Random(seed), 150, 120):
             assert balancer.profiles.arrivals == approx(sum(reference.arrivals), rel=1e-9)
             for i, profile in enumerate(balancer.profiles.all):
-                # A profile loses its count when it turns inactive, once per decay time at most.
+                # A profile loses its count when it becomes inactive, at most once per decay time.
                 assert (
                     reference.completions[i] - 2 * EARLY_INACTIVE_BELOW
                     <= profile.completions
@@ -226,7 +226,7 @@
 
 
 def test_the_end_of_a_slot_accesses_only_active_tenants() -> None:
-    """Guards against a loop over all tenants, up to half a million, that delays all requests."""
+    """Guards against a loop over all tenants, up to 500,000, which would delay all requests."""
     rng, accesses = random.Random(5), []
     for count in (2_000, 20_000):
         tenants = tuple(io.Tenant(1 / count, rng.uniform(1.0, 50.0)) for _ in range(count))
@@ -234,26 +234,26 @@
         balancer.handle(
             START, [io.EndpointUpdate(io.UpdateScope.FULL, 1, [entry(i) for i in range(1, 41)])]
         )
-        kept = [
+        counted = [
             CountingList(balancer.profiles.all),
             CountingList(balancer.profiles.by_quota),
             CountingList(balancer.profiles.quota_rank),
         ]
-        balancer.profiles.all, balancer.profiles.by_quota, balancer.profiles.quota_rank = kept
+        balancer.profiles.all, balancer.profiles.by_quota, balancer.profiles.quota_rank = counted
         now = START
         for number in range(400):
             now += 50 * MS
-            came = io.RequestArrived(number, 0, rng.randrange(count), 0, NS, 0, False)
-            for act in balancer.handle(now, [came]):
+            arrival = io.RequestArrived(number, 0, rng.randrange(count), 0, NS, 0, False)
+            for act in balancer.handle(now, [arrival]):
                 if isinstance(act, io.SendAttempt):
-                    done = io.AttemptEnded(
+                    ended = io.AttemptEnded(
                         number, 0, act.backend, io.AttemptResult.OK, MS, True, ()
                     )
-                    balancer.handle(now, [done])
+                    balancer.handle(now, [ended])
         assert len(balancer.profiles.active) > 300 and len(balancer.groups.slots.ended) > 3
-        for rows in kept:
+        for rows in counted:
             rows.accesses = 0
         balancer.update_rates(NS)
         balancer.groups.split()
-        accesses.append(sum(rows.accesses for rows in kept))
+        accesses.append(sum(rows.accesses for rows in counted))
     assert accesses[1] < 2000 and accesses[1] < 1.5 * accesses[0]
