--- a/mothstall/cli.py
+++ b/mothstall/cli.py
@@ -94,7 +94,8 @@
         print(f"mothstall {__version__}")
         return 0
     if args.command == "serve":
-        # Guards against a SIGHUP before its handler is installed: it stays pending until then.
+        # Guards against a SIGHUP that ends the process before the handler is installed: the signal
+        # stays pending until then.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         operator = _read_operator(args.operator)
@@ -117,7 +118,7 @@
 
 def _check_config(path: str | None, env: Mapping[str, str], operator: OperatorConfig | None) -> int:
     if operator and not (path or env.get("LB_CONFIG")):
-        # A keeper's machine has an operator file and no proxy configuration.
+        # On a keeper's machine there is an operator file, but no proxy configuration.
         print(_fleet_summary(operator))
         return 0
     config = load(path, env)
@@ -172,10 +173,10 @@
 
 
 def _check_observers(operator: OperatorConfig | None) -> None:
-    """Check that, if there are observers, one serves this proxy's zone or region.
+    """Check that, if there are observers, one of them serves this proxy's zone or region.
 
     Raises:
-        ConfigError: No observer serves them.
+        ConfigError: There are observers, but none serves the zone or the region.
     """
     if operator is None or not operator.observers:
         return
--- a/mothstall/config.py
+++ b/mothstall/config.py
@@ -28,7 +28,7 @@
 DEFAULT_MEMORY_MB = 192
 DEFAULT_BODY_MB = 40
 DEFAULT_IDLE_NS = 60 * NS  # time after which backends close idle connections
-DEFAULT_ANSWER_SLACK_NS = NS // 50  # time by which a response to a client may be late
+DEFAULT_ANSWER_SLACK_NS = NS // 50  # a response may exceed its deadline by this time
 MAX_PORT = 65_535
 _LABEL = re.compile(r"[0-9A-Za-z_.-]{0,64}")
 
@@ -48,10 +48,10 @@
         kinds: Names of hardware generations.
         effects: The effect of each class, which its requests have to match.
         deadlines_ns: The deadline of each class.
-        cost_label: Label in `X-Labels` with a request's expected work in nanoseconds; empty if none
-            is read. Not part of the settings.
-        class_index: Index by class name. Guards against a search of all names for each request.
-        tenant_index: Index by tenant name, for the same reason.
+        cost_label: Label in `X-Labels` with a request's expected work in nanoseconds; empty if no
+            label is read. Not part of the settings.
+        class_index: Index of each class by its name; saves a search for each request.
+        tenant_index: Index of each tenant by its name; saves a search for each request.
     """
 
     classes: tuple[str, ...]
@@ -96,11 +96,11 @@
         descriptors: `limits.sockets`: maximum number of file descriptors of the process.
         memory_bytes: `limits.memory_mb`: memory limit of the process.
         max_body_bytes: `limits.body_mb`: maximum size of the body of a request or response.
-        known: A cached endpoint list in discovery's format, which may be old.
+        known: A cached endpoint list in discovery's format, possibly out of date; None without one.
         settings: The settings of the balancer.
         names: The names in the settings.
         idle_ns: Time after which a backend closes an idle connection.
-        answer_slack_ns: Time by which a response to a client may be late.
+        answer_slack_ns: Time by which a response to a client may exceed its deadline.
         log_level: One of `LOG_LEVELS`.
     """
 
@@ -123,7 +123,7 @@
 
     @property
     def cost_label(self) -> str:
-        """Label in `X-Labels` with a request's expected work; empty if none is read."""
+        """Label in `X-Labels` with a request's expected work; empty if no label is read."""
         return self.names.cost_label
 
 
@@ -308,7 +308,7 @@
     )
 
 
-# Keys that need a restart, by field of `Config`; `seed` and `known` are only used at a start.
+# Keys that need a restart, by field of `Config`; `seed` and `known` are read only at the start.
 _RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
--- a/mothstall/net/actor.py
+++ b/mothstall/net/actor.py
@@ -12,7 +12,7 @@
 log = logging.getLogger("mothstall.actor")
 
 M = TypeVar("M")
-MAX_MAILBOX = 65_536  # the descriptor budget bounds waiting messages; more than this is a bug
+MAX_MAILBOX = 65_536  # messages; the descriptor budget bounds their number: more are a bug
 
 
 class Actor(Generic[M]):
--- a/mothstall/net/admin/server.py
+++ b/mothstall/net/admin/server.py
@@ -1,6 +1,7 @@
 """The admin server: a separate listener, one call per connection, a limited number of callers.
 
-It uses plain sockets whose descriptors come from the reserve, so that clients can't exhaust them.
+The descriptors of its sockets come from the reserve, so that clients of the proxy can't exhaust
+them.
 The `handle_call` callback executes the calls; this module only parses them and manages connections.
 """
 
@@ -100,7 +101,7 @@
 @dataclass(slots=True, eq=False)
 class _Caller:
     sock: socket.socket
-    since: float  # on the loop's clock, s: when it connected, or when its response was sent
+    since: float  # on the loop's clock, s: time of the accept, or of the response
     received: bytes = b""
     is_answered: bool = False
 
@@ -166,8 +167,8 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             caller = _Caller(sock, self.loop.time())
             self._callers[caller] = None
-            # A call that has already arrived is answered before later connections can displace its
-            # caller.
+            # A call that has already arrived is answered now, before a later connection can cause
+            # this one to be closed.
             self._read(caller)
             if caller in self._callers or caller in self._lingering:
                 self.loop.add_reader(sock, self._read, caller)
--- a/mothstall/net/backend_side/attempt.py
+++ b/mothstall/net/backend_side/attempt.py
@@ -15,17 +15,18 @@
     """A request that is in flight on a connection, or waits for one to be opened.
 
     Attributes:
-        command: The command that started it; None for a load probe.
-        sent_at_ns: When it began, or when the last byte of its long body was written.
-        due_s: When it times out, on the loop's clock.
+        command: The command that started the attempt; None for a load probe.
+        sent_at_ns: Unix time at which the attempt began, or at which the last byte of its long body
+            was written.
+        due_s: Time at which the attempt times out, on the loop's clock.
         raw_request: The encoded request.
-        connection: The connection that it is written to.
-        connect_task: The task that opens its connection.
-        timeout_timer: Ends it at `due_s`.
+        connection: The connection that the request is written to.
+        connect_task: The task that opens a connection for the attempt.
+        timeout_timer: Ends the attempt at `due_s`.
         write_by_s: No byte may be written after this time, on the loop's clock; None: no limit.
-        retry_window_timer: Cancels it at `write_by_s` unless it is written completely.
-        is_connecting: Its connection is being opened and already counted in the pool.
-        is_over: It has ended, with whatever result.
+        retry_window_timer: Cancels the attempt at `write_by_s` unless it is written completely.
+        is_connecting: A connection is being opened for the attempt, and is counted in the pool.
+        is_over: The attempt has ended, with any result.
     """
 
     __slots__ = (
--- a/mothstall/net/backend_side/backend.py
+++ b/mothstall/net/backend_side/backend.py
@@ -1,8 +1,8 @@
 """One backend: an actor with its address, its connections and the attempts in flight on them.
 
-An attempt is sent once, and ends in exactly one `AttemptEnded`. Its result never claims that an
-attempt did not run if it may have: until the request's last byte is written it cannot have run,
-afterwards it may have.
+An attempt is sent at most once, and ends in exactly one `AttemptEnded`. The backend cannot execute
+a request before its last byte is written: only an attempt that ended before then, or that the
+backend rejected, gets a result which states that it did not run.
 """
 
 from __future__ import annotations
@@ -48,8 +48,8 @@
 PROBE_TIMEOUT_NS = NS  # of a load probe
 # An idle connection is closed after this fraction of the backend's own idle timeout.
 IDLE_TIMEOUT_FRACTION = 0.6
-STALLED_LOOP_S = 0.01  # a timer that is this late shows that the event loop was stalled
-STALLED_LOOP_READ_S = 0.005  # how long pending input is then read before a timeout takes effect
+STALLED_LOOP_S = 0.01  # a timer that fires this late shows that the event loop was stalled
+STALLED_LOOP_READ_S = 0.005  # time to read pending input after a stall, before a timeout applies
 # Connect errors for lack of local descriptors, ports or memory, which are no fault of the backend.
 LOCAL_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
@@ -62,9 +62,9 @@
     Attributes:
         number: The backend's number, the same at every proxy.
         ident: The backend's id.
-        address: Where it listens.
-        started_ns: When its process started, in Unix time; 0: not known.
-        incarnation: Increases when the address or its process changes, and at a drain.
+        address: Address on which the backend listens.
+        started_ns: Unix time at which the backend's process started; 0 if unknown.
+        incarnation: Increases when the address or the process changes, and at a drain.
     """
 
     def __init__(
@@ -88,8 +88,8 @@
         self.ident = ident
         self.address = address
         self.started_ns = started_ns
-        # Guards against requests to a successor at the same address on an old connection: one to an
-        # earlier incarnation is never reused.
+        # A connection to an earlier incarnation is never reused. Guards against using an old
+        # connection after another process took over the address.
         self.incarnation = 0
         self._clock = clock
         self._pool = pool
@@ -97,13 +97,14 @@
         self._load_names = load_names
         self._metrics = metrics
         self._connect_timeout_s = connect_timeout_ns / NS
-        # The last to become idle is reused first, so that the others reach their idle timeout.
+        # Idle connections. The one that became idle last is reused first, so that the others reach
+        # their idle timeout.
         self._idle: list[BackendConnection] = []
         self._in_flight: dict[tuple[int, int], OpenAttempt] = {}
         self._probes: set[OpenAttempt] = set()
 
     def receive(self, batch: list[BackendCommand]) -> None:
-        """Carry out commands, in their order."""
+        """Execute the commands in order."""
         for command in batch:
             if isinstance(command, SendAttempt):
                 self._start_attempt(command)
@@ -137,7 +138,7 @@
         self.started_ns = command.started_ns
 
     def recover(self, batch: list[BackendCommand], error: Exception) -> None:
-        """End the attempts that a failed batch did not start."""
+        """End the attempts that were not started because `receive` raised an exception."""
         for command in batch:
             if (
                 isinstance(command, SendAttempt)
@@ -162,7 +163,7 @@
         return self._pool.max_body_bytes
 
     def on_request_written(self, attempt: OpenAttempt, has_long_body: bool) -> None:
-        """Record that an attempt is written; the timeout of a long request starts only now."""
+        """Record that a request is written; with a long body, its timeout starts only now."""
         command = attempt.command
         if command is None:
             return
@@ -326,7 +327,7 @@
             self.counters.add("faults")
             log.error("connect fault", exc_info=error, extra={"kv": {"backend": self.ident}})
         if not attempt.is_over:
-            # Guards against a lack of local resources that looks like a dead backend.
+            # Guards against treating a lack of local resources as a failure of the backend.
             is_local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
             result = AttemptResult.NOT_SENT if is_local else AttemptResult.CONNECT_FAILED
             self._end_attempt(attempt, result)
@@ -339,7 +340,7 @@
             return
         command = attempt.command
         if command is not None:
-            # Guards against announcing more time than is left: opening the connection took some.
+            # Guards against an X-Remaining that ignores the time spent on opening the connection.
             left_ns = command.due_ns - now_ns
             attempt.raw_request = protocol.encode_request(command.client_request, left_ns)
         attempt.connection = connection
@@ -351,7 +352,7 @@
         command = attempt.command
         if command is None or command.client_request.stream is not None:
             return False
-        return now_ns >= command.due_ns  # its timeout timer may run only after this callback
+        return now_ns >= command.due_ns  # the timeout timer may run only after this callback
 
     def _is_client_waiting(self, attempt: OpenAttempt, now_ns: int) -> bool:
         """Return whether an attempt's client still waits for the response.
@@ -371,7 +372,8 @@
     def _on_retry_window_closed(self, attempt: OpenAttempt) -> None:
         """Cancel an attempt that is not written completely.
 
-        Guards against a retry after backends forgot the first attempt: it would run twice.
+        Guards against executing a request twice: after the retry window, backends no longer
+        recognize a retry.
         """
         if not attempt.is_written():
             self.cancel(attempt, AttemptResult.CANCELLED)
@@ -379,7 +381,8 @@
     def _on_timeout(self, attempt: OpenAttempt) -> None:
         """End an attempt that has timed out.
 
-        Guards against a stalled event loop: a response that arrived meanwhile is read first.
+        Guards against discarding a response that arrived while the event loop was stalled: pending
+        input is read first.
         """
         if self.loop.time() - attempt.due_s > STALLED_LOOP_S:
             attempt.timeout_timer = self.loop.call_later(
@@ -393,7 +396,8 @@
 
         Args:
             attempt: The attempt; nothing happens if it has ended.
-            result: CANCELLED or TIMEOUT; replaced by another result if the attempt cannot have run.
+            result: CANCELLED or TIMEOUT. If the request is not written completely, CANCELLED is
+                reported as NOT_SENT, and TIMEOUT as CONNECT_FAILED.
         """
         if attempt.is_over:
             return
@@ -465,8 +469,8 @@
         self._in_flight.pop((command.request, command.attempt), None)
         self.counters.add("attempts_" + result.name.lower())
         if result in (AttemptResult.RESET, AttemptResult.CONNECT_FAILED):
-            # Guards against idle connections that a network fault, now over, has broken: each of
-            # them would fail a request.
+            # Guards against reusing idle connections that the same network fault may have broken:
+            # each of them would fail a request.
             self._close_idle_connections()
         self._report(
             AttemptEnded(
--- a/mothstall/net/backend_side/connection.py
+++ b/mothstall/net/backend_side/connection.py
@@ -1,8 +1,8 @@
 """A connection to a backend: writes one request at a time, and reads its response.
 
-Connections use aiohttp's client protocol and its parser. Only the calls to discovery use its
-session and connector: a task, a request object and a response object for each attempt made up 40%
-of the cost of an attempt.
+Connections use aiohttp's client protocol and parser, but not its session and connector, which only
+the calls to discovery use: the task, request object and response object that a session creates made
+up 40% of the cost of an attempt.
 """
 
 from __future__ import annotations
@@ -23,19 +23,21 @@
     from mothstall.net.backend_side.backend import Backend
 
 STALL_S = 10.0  # timeout without progress of a long body, in either direction
-STALL_CHECKS = 4  # how often progress is checked within STALL_S
-PARSER_BUFFER_BYTES = 16 * MAX_READ_BYTES  # never filled: input is read out of the parser at once
+STALL_CHECKS = 4  # number of progress checks within STALL_S
+PARSER_BUFFER_BYTES = (
+    16 * MAX_READ_BYTES
+)  # never full: each read is taken out of the parser at once
 
 
 class BackendConnection(ResponseHandler):
     """A connection to one incarnation of a backend, for one request at a time.
 
-    It is the sink of a request's long body, and the source of a response's.
+    The connection is the sink of a long request body, and the source of a long response body.
 
     Attributes:
         owner: The backend's actor, which is notified of responses, errors and closes.
         incarnation: The backend's incarnation when the connection was opened.
-        attempt: The attempt whose response is awaited.
+        attempt: The attempt whose response is awaited; None if there is none.
         is_flushed: Whether all written data was handed to the socket.
     """
 
@@ -50,11 +52,12 @@
         self._upload: Stream | None = None
         self._is_upload_chunked = False
         self._is_upload_cut = False  # the backend waits for the rest of a cut body
-        # The attempt whose long request body has ended, but is still partly in the write buffer.
+        # The attempt whose long request body was received completely, but is still partly in the
+        # transport's write buffer.
         self._flushing_attempt: OpenAttempt | None = None
         self._stream: Stream | None = None  # a long response that is being relayed
         self._last_progress_s = 0.0  # loop time of the last progress of a long body
-        self._progress_mark = 0  # bytes of the upload handed to the socket
+        self._progress_mark = 0  # bytes of the upload handed to the socket at the last progress
         self._stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -69,13 +72,13 @@
         )
 
     def pause_writing(self) -> None:
-        """Block the request's long body: the socket's buffer is full."""
+        """Block the request's long body: the transport's write buffer is not empty."""
         self.is_flushed = False
         if self._upload is not None:
             self._upload.sink_blocked()
 
     def resume_writing(self) -> None:
-        """Continue the request's long body, or note that the request is written."""
+        """Continue the request's long body, or record that the request is written."""
         self.is_flushed = True
         if self._upload is not None:
             self._upload.sink_ready()
@@ -83,7 +86,7 @@
             self._on_flushed(self.attempt)
 
     def _on_flushed(self, attempt: OpenAttempt) -> None:
-        """The attempt's last byte was handed to the socket."""
+        """Report that the attempt's last byte was handed to the socket."""
         has_long_body = self._flushing_attempt is attempt
         self._flushing_attempt = None
         if has_long_body:
@@ -93,15 +96,15 @@
     def resume_reading(self, resume_parser: bool = True) -> None:
         """Resume reading, without aiohttp's callback into the parser.
 
-        Guards against a callback with no data: input is read out at once and never fills the
-        parser's buffer.
+        Guards against a callback into the parser without data: the parser's buffer is never full,
+        because each read is taken out of it at once.
         """
         if self._reading_paused:
             self._reading_paused = False
             self._resume_transport_reading()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the open attempt and streams; a response without length or chunks is complete now."""
+        """End the attempt and the streams; a response without length or chunks is complete now."""
         self._parser = None
         self.transport = None
         if self._reader.is_until_close and exc is None and self._reader.message is not None:
@@ -180,7 +183,7 @@
             self._on_flushed(self.attempt)
 
     def abort_body(self) -> None:
-        """Cancel the attempt, whose request body was cut off: it never runs.
+        """Cancel the attempt whose request body was cut off: the backend cannot execute it.
 
         A long response that has begun continues; the connection is not reused after it.
         """
@@ -192,7 +195,7 @@
     # A response's long body
 
     def pause(self) -> None:
-        """Pause reading: the response's sink is blocked."""
+        """Pause reading the response; called by its stream."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
@@ -227,7 +230,7 @@
     def _watch_progress(self) -> None:
         """Start to check a long body for progress.
 
-        Guards against a peer that stops reading or sending it.
+        Guards against a backend that stops reading or sending the body.
         """
         self._last_progress_s = self.owner.loop.time()
         self._progress_mark = 0
@@ -287,7 +290,8 @@
     def _drop_unsolicited(self) -> None:
         """Close the connection after bytes that were received without an open request.
 
-        Guards against a response without a request: the next request would receive it.
+        Guards against a duplicate or late response that would be taken for the response to the next
+        request.
         """
         if self.transport is not None:
             self.owner.counters.add("unreadable")
--- a/mothstall/net/backend_side/messages.py
+++ b/mothstall/net/backend_side/messages.py
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class DrainBackend:
-    """The backend drains or was removed.
+    """The backend is draining, or is no longer listed.
 
     Attempts in flight continue, but their connections are not pooled afterwards, and connections
     that are still being opened are not used.
@@ -105,8 +105,8 @@
         request: The request's number.
         attempt: Number of the attempt among those of its request, from 0.
         backend: The backend's number.
-        result: Its result, which never claims that an attempt did not run if it may have.
-        latency_ns: Time since it was sent.
+        result: The result; it states that the attempt did not run only if that is certain.
+        latency_ns: Time since the attempt was sent.
         load: The values of the load report, in the settings' order; empty: no report.
         response: The response that is passed on to the client; None unless the result is OK.
     """
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True)
 class LoadProbeEnded:
-    """The end of a load probe, reported exactly once; its fields as in `AttemptEnded`."""
+    """The end of a load probe, reported exactly once; the fields are those of `AttemptEnded`."""
 
     backend: int
     result: AttemptResult
--- a/mothstall/net/backend_side/pool.py
+++ b/mothstall/net/backend_side/pool.py
@@ -1,4 +1,4 @@
-"""The budget of connections to all backends, and the idle ones among them."""
+"""The budget of connections to all backends, and the table of idle connections."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from mothstall.net.backend_side.connection import BackendConnection
 
-REUSE_DELAY_S = 0.02  # idle time before a reuse while backends send unsolicited bytes
-REUSE_DELAY_PERIOD_S = 60.0  # how long reuse is delayed after the last such bytes
+REUSE_DELAY_S = 0.02  # minimum idle time before a reuse while backends send unsolicited bytes
+REUSE_DELAY_PERIOD_S = 60.0  # REUSE_DELAY_S applies for this time after the last unsolicited bytes
 
 
 class ConnectionPool:
     """The budget of connections to all backends.
 
     Attributes:
-        max_connections: The budget.
+        max_connections: Maximum of `open_count`.
         buffer_grants: Permits for relaying long responses.
         max_body_bytes: Limit of one response's body.
         open_count: Number of connections that are open or being opened.
-        connections: Connections that are open.
+        connections: The open connections.
     """
 
     def __init__(
@@ -44,13 +44,13 @@
         self.open_count = 0
         self.connections: set[BackendConnection] = set()
         self._idle_timeout_s = idle_timeout_s
-        # The idle connections, each with the loop time since when it is idle, oldest first.
+        # The idle connections with the loop time at which each became idle, oldest first.
         self._idle: dict[BackendConnection, float] = {}
         self._reuse_delayed_until_s = 0.0
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     def has_capacity(self) -> bool:
-        """Return whether another connection may be opened; may close the oldest idle one."""
+        """Return whether another connection may be opened; may close an idle one to allow it."""
         if self.open_count < self.max_connections:
             return True
         oldest = next(iter(self._idle), None)
@@ -70,12 +70,12 @@
         self._reuse_delayed_until_s = self.loop.time() + REUSE_DELAY_PERIOD_S
 
     def take_idle(self, idle: list[BackendConnection]) -> BackendConnection | None:
-        """Remove the connection to use next from a backend's idle ones, and return it.
+        """Remove a connection from a backend's idle connections and return it; None without one.
 
-        It is the last to become idle; while backends send unsolicited bytes, the last that has been
-        idle for REUSE_DELAY_S.
+        The connection that became idle last is selected. While backends send unsolicited bytes,
+        only those that have been idle for REUSE_DELAY_S are considered.
 
-        Guards against a second response, some milliseconds late, that would be taken for the
+        Guards against a duplicate response, some milliseconds late, that would be taken for the
         response to the next request.
         """
         if not idle:
--- a/mothstall/net/backend_side/response_reader.py
+++ b/mothstall/net/backend_side/response_reader.py
@@ -1,8 +1,8 @@
 """Reads backend responses from the bytes of a connection, one at a time.
 
-The head of a response is passed to aiohttp's parser by itself, so that the framing of the response
-is known before anything after the head is parsed: bytes after a valid response do not invalidate
-it.
+aiohttp's parser receives the head of a response separately. The framing of the response is then
+known before the bytes after the head are parsed, so that bytes after a valid response do not make
+the response invalid.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 class ResponseReader:
-    """The state of one response while it is being received.
+    """Reads one response at a time, and keeps its state while it is being received.
 
     Attributes:
-        message: The final response's head; None until it is complete.
+        message: The head of the final response; None until that head is complete.
         payload: aiohttp's reader of the body, set together with `message`.
         content_length: Length of the body by its Content-Length; 0 without that header.
         received_bytes: Bytes of the body received so far.
@@ -114,7 +114,7 @@
         return self.content_length - self.received_bytes, None
 
     def _find_head_end(self) -> int | None:
-        """Return the length of the buffered head; None if its end was not received yet."""
+        """Return the length of the buffered head with its blank line; None if it is incomplete."""
         if not self._head.startswith(HTTP_VERSION_PREFIX[: len(self._head)]):
             raise protocol.UnreadableMessageError("the response is not HTTP/1")
         position = self._head.find(HEAD_END)
@@ -201,7 +201,7 @@
         return has_more
 
     def _track_chunks(self, data: bytes) -> None:
-        """Track the position in the body, which aiohttp's parser does not expose."""
+        """Track the position in the chunked coding, which aiohttp's parser does not expose."""
         if self._chunked_decoder is None:
             self._chunked_decoder = ChunkedDecoder()
         # aiohttp's parser alone decides whether the body is valid.
--- a/mothstall/net/body_relay.py
+++ b/mothstall/net/body_relay.py
@@ -1,8 +1,8 @@
 """Relays long bodies from one peer to the other with bounded buffers.
 
 A stream connects a source, which can be paused, to a sink, which reports when it is blocked. A
-stream buffers at most its window plus one read of the source. Grants limit the number of concurrent
-streams. Pure: no sockets, no clock.
+stream buffers at most its window plus one read of the source. Permits limit the number of
+concurrent streams. Pure: no sockets, no clock.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
         """Resume reading the body."""
 
     def sink_closed(self) -> None:
-        """The sink no longer accepts data."""
+        """Stop providing the body: the sink no longer accepts data."""
 
 
 class Sink(Protocol):
@@ -96,7 +96,7 @@
         max_buffered_bytes: Maximum of `buffered_bytes` so far.
         received_bytes: Bytes received from the source.
         delivered_bytes: Bytes written to the sink.
-        is_opened: A sink was attached, so the first bytes may no longer be buffered.
+        is_opened: A sink was attached: the first bytes may be delivered, and no longer buffered.
         is_over: The stream has ended, complete or not.
         is_complete: The complete body was written to the sink.
     """
@@ -135,7 +135,7 @@
         self._apply_backpressure()
 
     def end(self) -> None:
-        """Mark the body as completely received; the source is released for other uses."""
+        """Mark the body as completely received, and release the source."""
         if self.is_over or self._ended:
             return
         self._ended = True
@@ -202,12 +202,12 @@
     # Handover to another process
 
     def freeze(self) -> None:
-        """Pause the source and delivery; buffered data is kept."""
+        """Pause the source and the delivery to the sink; buffered data is kept."""
         self._frozen = True
         self._apply_backpressure()
 
     def thaw(self) -> None:
-        """Resume after `freeze`."""
+        """Resume the source and the delivery after `freeze`."""
         self._frozen = False
         self._deliver()
         self._apply_backpressure()
--- a/mothstall/net/chunked_coding.py
+++ b/mothstall/net/chunked_coding.py
@@ -9,7 +9,8 @@
 MAX_LINE_BYTES = 8 * 1024  # of a chunk size with its extensions, or of a trailer
 MAX_SIZE_DIGITS = 15  # of a chunk size, which then fits into a signed 64-bit number
 HEX_DIGITS = b"0123456789abcdefABCDEF"
-# Expected next: a chunk size, chunk data, the line end after it, a trailer, nothing.
+# Phases, by the element expected next: a chunk size, chunk data, the line end after the data, a
+# trailer, or nothing more.
 SIZE, DATA, CHUNK_END, TRAILER, END = range(5)
 
 
--- a/mothstall/net/client_side/acceptor.py
+++ b/mothstall/net/client_side/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, and adopts those that another process hands over."""
+"""Accepts client connections, and adopts connections that another process hands over."""
 
 from __future__ import annotations
 
@@ -143,7 +143,7 @@
             self._loop.add_reader(self._listener, self._accept)
 
     def pause(self) -> None:
-        """Stop accepting: another process that holds the same listener accepts instead."""
+        """Stop accepting: another process that shares the listener accepts instead."""
         if self._listener:
             self._loop.remove_reader(self._listener)
 
@@ -157,8 +157,8 @@
 
         Args:
             sock: The connection's socket, owned by this process from now on.
-            is_new: Whether nothing was received on it yet.
-            age_s: How long it has been idle, or open if it is new.
+            is_new: Whether nothing was received on the connection yet.
+            age_s: Time since the connection became idle, or was opened if it is new.
         """
         self._counters.add("connections")
         sock.setblocking(False)
@@ -167,7 +167,7 @@
     async def close(self) -> None:
         """Stop listening, after accepting the connections in the backlog.
 
-        The backlog of an inherited listener is left to the processes that hold it too.
+        The backlog of an inherited listener is left to the other processes that share it.
         """
         if self._listener:
             self.pause()
--- a/mothstall/net/client_side/connection.py
+++ b/mothstall/net/client_side/connection.py
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.frontend import Frontend
 
-# A first request received this soon after its connection counts as arrived together with it.
+# A first request received within this time counts as having arrived with its connection.
 FIRST_REQUEST_S = 0.1
 
 
@@ -46,9 +46,9 @@
         frontend: State shared by all client connections.
         state: The connection's state; only `enter` changes it.
         state_since_s: When the state was entered or its timeout restarted (loop time, seconds).
-        arrived_ns: Earliest time at which the current input may have arrived (Unix time).
+        arrived_ns: Earliest Unix time at which the current request may have arrived.
         request: The request that is being read or is open.
-        exchange: The open request and what it holds; None in a state without an open request.
+        exchange: The open request with its streams; None in a state without an open request.
         body: The part of the request's body received so far.
         pipelined: Input received while a request was open, not parsed yet.
         is_http11: Whether the open request is HTTP/1.1.
@@ -93,12 +93,12 @@
         self.deferred_error: tuple[int, str] | None = None
         self.discarded_bytes = 0
         self.is_read_blocked = False
-        # The first input may have waited for a long time in the listener's backlog.
+        # Accepting was delayed, so that the first request may have waited long in the backlog.
         self._is_late = False
-        # The last input arrived while a request was being read or open: the parser may hold some of
-        # it.
+        # The last input arrived while a request was being read or open: a part of this input may
+        # still be in the parser.
         self._was_pipelined = False
-        # The parser stopped at its limit of queued messages, and may hold more.
+        # The parser stopped at its limit of queued messages, and may contain further input.
         self._parser_may_hold_more = False
 
     # Transport
@@ -112,17 +112,17 @@
         self.enter(ConnectionState.NEW)
 
     def on_accepted(self, arrived_ns: int, is_late: bool) -> None:
-        """Set when the first request may have arrived.
+        """Set the time at which the first request may have arrived.
 
         Args:
-            arrived_ns: The earliest time; 0 if it is unknown.
-            is_late: Whether accepting was delayed, so that it may have arrived long before.
+            arrived_ns: The earliest possible Unix time; 0 if it is unknown.
+            is_late: Whether accepting was delayed, so that the request may have waited long.
         """
         self.arrived_ns = arrived_ns or self.arrived_ns
         self._is_late = is_late
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Withdraw the open request, and release all that the connection holds."""
+        """Withdraw the open request, and release the connection's buffers and parser."""
         if not self.unregister(exc):
             return
         self.on_client_left()
@@ -134,11 +134,11 @@
         self.body.parts = []
 
     def eof_received(self) -> None:
-        """Treat a half-close as the client's departure, even if a response is still unread."""
+        """Treat a half-close as a close by the client, even if a response is still unread."""
         self.on_client_left()
 
     def on_client_left(self) -> None:
-        """Withdraw the open request, as its client has left."""
+        """Withdraw an unanswered request: its client has closed the connection."""
         if self.state in (ConnectionState.AWAITING_RESPONSE, ConnectionState.UPLOADING):
             self.enter(ConnectionState.LINGERING)
 
@@ -262,8 +262,8 @@
     def _receive(self, data: bytes, arrived_ns: int) -> None:
         state = self.state
         if state == ConnectionState.NEW or state == ConnectionState.IDLE:
-            # The first request may have arrived with its connection, and have waited in the backlog
-            # for as long.
+            # A first request soon after the connection may have waited in the backlog as long as
+            # the connection: `arrived_ns` stays that of the connection.
             if (
                 state == ConnectionState.IDLE
                 or self.frontend.loop.time() - self.state_since_s > FIRST_REQUEST_S
@@ -277,10 +277,10 @@
         self._parse(data)
 
     def _buffer_pipelined(self, data: bytes) -> None:
-        """Buffer input unparsed, so that the client's departure is always noticed."""
+        """Buffer input unparsed: reading continues, so that a close by the client is noticed."""
         self.pipelined.append(data, self.frontend.clock.arrived_after_ns())
         if self.state in DEFERS_INPUT and self.pipelined.exceeds_limit():
-            # Guards against a departure that stays unnoticed behind unread input: reading goes on,
+            # Guards against missing that the client closes behind unread input: reading goes on,
             # and the input is discarded.
             self.discard_pipelined()
             lingering_close.discard_further_input(self, 400, "too much was sent ahead of an answer")
@@ -331,7 +331,7 @@
         message, payload = self._messages.popleft()
         if self._parser is not None:
             self._parser.message_consumed()
-        # A pipelined request waited behind others; its time counts from its arrival, too.
+        # The age of a pipelined request includes its wait for earlier responses.
         is_late = (
             self._is_late or self.frontend.clock.now() - self.arrived_ns > CHECK_CLIENT_AFTER_NS
         )
@@ -347,7 +347,7 @@
             self._parser_may_hold_more = False
             self._parse(b"")
         if self.pipelined.pieces:
-            self._loop.call_soon(self._take_pipelined)  # the rest of this request may be there
+            self._loop.call_soon(self._take_pipelined)  # may contain the rest of this request
 
     def submit_request(self) -> None:
         """Submit a complete request to the decider."""
@@ -362,7 +362,7 @@
         self.enter(state)
 
     def end_exchange(self, end: ExchangeEnd) -> None:
-        """End the open request, if there is one, and release all that it holds."""
+        """End the open request, if there is one, and release its id and its streams."""
         exchange = self.exchange
         if exchange is None:
             return
@@ -388,7 +388,7 @@
             self._resume_transport_reading()
 
     def sink_closed(self) -> None:
-        """Pause reading: the backend reads no more of the body, and its response follows."""
+        """Pause reading: the backend no longer reads the body; the response may still follow."""
         self.pause()
 
     def is_waiting(self, request: protocol.ClientRequest, check_socket: bool) -> bool:
--- a/mothstall/net/client_side/connection_handover.py
+++ b/mothstall/net/client_side/connection_handover.py
@@ -17,19 +17,20 @@
 
 # The position in the chunked coding of the backend's response: see ChunkedDecoder.
 ChunkedPosition = tuple[int, int, bytes] | None
-# Arguments: descriptors of a client and its backend (None: it has sent everything), how many bytes
-# the backend still has to send, its position in the chunked coding, whether the client gets chunks,
-# encoded bytes that are not sent yet, and buffered parts of the body.
+# Arguments: descriptor of the client; descriptor of the backend (None if the backend has sent the
+# whole response); number of bytes that the backend still has to send (None if unknown); position in
+# the backend's chunked coding; whether the client gets chunks; encoded bytes that are not sent to
+# the client yet; buffered parts of the body.
 GiveResponse = Callable[
     [int, int | None, int | None, ChunkedPosition, bool, bytes, list[bytes]], bool
 ]
-# Arguments: descriptor of a client, whether nothing was received on it yet, its age in seconds.
+# Arguments: descriptor of a client, whether no input was received yet, time in its state (seconds).
 GiveConnection = Callable[[int, bool, float], bool]
 
 
 @dataclass(frozen=True)
 class HandoverTarget:
-    """Sends connections to the successor; both functions return whether it accepted them.
+    """Sends connections to the successor; both functions return whether the message was sent.
 
     Attributes:
         give_connection: Sends a connection without an open request.
@@ -116,8 +117,8 @@
         source = stream.source
         position: tuple[int | None, int | None, ChunkedPosition] | None = None
         if stream.has_ended:
-            # The backend has sent the complete response, however much of it the client has still to
-            # read.
+            # The backend has sent the complete response, though the client may not have read all of
+            # it.
             position = (None, 0, None)
         elif isinstance(source, BackendConnection):
             position = source.handover_position()
--- a/mothstall/net/client_side/connection_states.py
+++ b/mothstall/net/client_side/connection_states.py
@@ -9,9 +9,10 @@
 
 
 class ConnectionState(IntEnum):
-    """What a connection is doing.
+    """The state of a client connection.
 
-    From NEW on, a peer has to send or read something in time, or the connection is closed.
+    In NEW and the states after it in this list, a peer has to send or read data in time; otherwise
+    the connection is closed.
     """
 
     IDLE = 0  # between requests
@@ -51,7 +52,7 @@
 # States after the last response: the write side is closed, and input is discarded.
 IS_CLOSING = (ConnectionState.LINGERING, ConnectionState.REJECTED)
 
-# How long each state may last, in seconds; NEW and the READING_HEAD after it share one timeout. A
+# Timeout of each state in seconds; NEW and the READING_HEAD that follows it share one timeout. A
 # client may take 2 s to send a head.
 STATE_TIMEOUT_S = {
     ConnectionState.IDLE: 6.0,
@@ -71,7 +72,7 @@
         source: The state that is left; `None` for a connection that has just been accepted.
         event: What causes the transition.
         target: The state that is entered.
-        owed: What has to happen next, and by whom.
+        owed: The side that has to act next, and what it has to send or do.
     """
 
     source: ConnectionState | None
--- a/mothstall/net/client_side/deadlines.py
+++ b/mothstall/net/client_side/deadlines.py
@@ -13,12 +13,15 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.connection import Connection
 
-UNREAD_RESPONSE_TIMEOUT_S = 5.0  # how long a client may leave the end of a response unread
+UNREAD_RESPONSE_TIMEOUT_S = 5.0  # a client may leave the end of a response unread for this time
 PENALTY_S = 1.0  # delay between a rejected request and the next one of its connection
 
 
 def check(connection: Connection, now: float) -> None:
-    """Guards against clients that never complete a request or never read a response."""
+    """Apply the timeouts of a connection's state.
+
+    Guards against clients that never complete a request or never read a response.
+    """
     state = connection.state
     if state == ConnectionState.AWAITING_RESPONSE:
         return
@@ -39,7 +42,7 @@
     if stream is not None and stream.is_paused:
         connection.state_since_s = now
         if has_peer_hung_up(connection.transport):
-            # Guards against a departure that is not read while the body is blocked.
+            # Guards against missing a close by the client: a blocked body is not read.
             connection.force_close()
     elif now - connection.state_since_s >= request_body.UPLOAD_PROGRESS_TIMEOUT_S:
         connection.frontend.counters.add("connections_overdue")
@@ -80,17 +83,20 @@
 
 
 def check_at_process_end(connection: Connection) -> None:
-    """Reject incomplete requests as the process ends; this is safe, as none of them ran."""
+    """Reject incomplete requests as the process ends; no backend can have executed them."""
     if connection.state == ConnectionState.UPLOADING:
         request_body.abandon(connection, 503, "the proxy ends")
     elif connection.state in (ConnectionState.READING_HEAD, ConnectionState.READING_BODY):
         rejection.reject_and_close(connection, 503, "the proxy ends")
     elif connection.state in (ConnectionState.DISCARDING_BODY, ConnectionState.REJECTED):
-        connection.force_close()  # its response is written
+        connection.force_close()  # the response is written
 
 
 def check_drained(connection: Connection, now: float, is_overdue: bool) -> None:
-    """Guards against connections that outlive a drain, idle or with an incomplete request."""
+    """Close an idle connection of a drained proxy, or any without an open request if overdue.
+
+    Guards against connections that outlive a drain, idle or with an incomplete request.
+    """
     state = connection.state
     is_silent = now - connection.state_since_s >= SILENT_S
     if state == ConnectionState.IDLE or (state == ConnectionState.NEW and is_silent):
--- a/mothstall/net/client_side/frontend.py
+++ b/mothstall/net/client_side/frontend.py
@@ -1,4 +1,4 @@
-"""The client side of the proxy: composes connections, acceptor, load shedding and handover."""
+"""The client side of the proxy: connections, acceptor, timeouts, load shedding and handover."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         loop: The event loop of the connections.
         counters: The proxy's counters.
         clock: The proxy's clock.
-        phases: The proxy's lifecycle: serving, draining or stopping.
+        phases: The proxy's lifecycle: serving, draining, drained or stopping.
         grants: Permits for streaming long request bodies.
         max_body_bytes: The longest request body that is accepted.
         retry_after_head: The Retry-After header line of a rejection (503).
@@ -204,18 +204,19 @@
         return number
 
     def end_exchange(self, exchange: OpenExchange, end: ExchangeEnd) -> None:
-        """Release all that an open request holds, and inform the decider of its end if needed."""
+        """Release the id and the streams of a request, and report its end to the decider."""
         self._open_ids.discard(exchange.request.request_id)
         message = exchange.end_message(end)
         if message is not None:
-            # Before the streams are released, which may end the attempt: it must not be retried.
+            # Sent before the streams are released, which may end the attempt: the decider must not
+            # retry a request that has ended.
             self._decide(message)
         exchange.release_streams()
 
     # Time
 
     def _sweep(self) -> None:
-        """Check all connections; linear in their number."""
+        """Hand over connections, and check the timeouts of all; linear in their number."""
         now = self.loop.time()
         if self.phases.is_handing_over:
             self.handover.hand_over_idle()
--- a/mothstall/net/client_side/lingering_close.py
+++ b/mothstall/net/client_side/lingering_close.py
@@ -25,9 +25,9 @@
 def begin(connection: Connection, state: ConnectionState = ConnectionState.LINGERING) -> None:
     """Half-close after the data written so far; further input is read and discarded.
 
-    Guards against closing a socket with unread input: that resets the connection, and the client
-    loses the response that it has not read yet. Ends when the client closes, or after LINGER_S; at
-    most about LINGER_BYTES are read.
+    The lingering close ends when the client closes, or after LINGER_S; at most about LINGER_BYTES
+    are read. Guards against closing a socket with unread input: that resets the connection, and the
+    client loses the part of the response that it has not read yet.
     """
     transport = connection.transport
     if transport is None:
@@ -46,15 +46,15 @@
 
 
 def discard(connection: Connection, data: bytes) -> None:
-    """Count discarded input, and bound it."""
+    """Count discarded input; above a limit, reject the open request or pause reading."""
     connection.discarded_bytes += len(data)
     if connection.state == ConnectionState.AWAITING_RESPONSE:
-        # Reading is not paused. Guards against an attempt for a client whose departure is hidden
-        # behind unread input.
+        # Reading is not paused. Guards against an attempt for a client that has closed the
+        # connection, which stays unnoticed behind unread input.
         if connection.discarded_bytes > MAX_DISCARDED_BYTES:
             connection.reject_open_request(400, "too much was sent ahead of an answer")
     elif connection.discarded_bytes > LINGER_BYTES:
-        # Guards against reading 60 MB at once only to discard them.
+        # Guards against reading tens of megabytes (60 MB) only to discard them.
         connection._pause_transport_reading()
 
 
--- a/mothstall/net/client_side/load_shedding.py
+++ b/mothstall/net/client_side/load_shedding.py
@@ -14,7 +14,8 @@
 
 # Once this fraction of the budget is used, each response ends its connection.
 KEEP_ALIVE_FRACTION = 0.5
-# This fraction of the budget, and at least MIN_SPARE connections, is free or being closed.
+# Connections are shed until this fraction of the budget, and at least MIN_SPARE connections, is
+# free or being closed.
 SPARE_FRACTION = 1 / 16
 MIN_SPARE = 4
 # Shedding is urgent once new clients have waited this long: connections that have been idle only
@@ -22,7 +23,7 @@
 URGENT_AFTER_S = 0.1
 # Once the budget is used up, a lingering close is aborted after this time.
 LINGER_GRACE_S = 0.05
-URGENT_LINGER_GRACE_S = ACCEPT_PAUSE_S  # the same when shedding is urgent
+URGENT_LINGER_GRACE_S = ACCEPT_PAUSE_S  # LINGER_GRACE_S when shedding is urgent
 # Times in a state after which a connection may be shed.
 SHED_NEW_S = FIRST_REQUEST_S
 SHED_INCOMPLETE_S = 0.5
@@ -36,7 +37,8 @@
     Attributes:
         max_connections: The maximum.
         spare: Number of connections that are kept free or being closed.
-        waiting_since: Since when new clients wait for a free connection (loop time), if any do.
+        waiting_since: Loop time at which new clients began to wait for a free connection; None if
+            no client waits.
         has_aborted: Whether the last call of `has_capacity` aborted a connection.
     """
 
@@ -63,9 +65,8 @@
     def has_capacity(self) -> bool:
         """Return whether one more connection may be accepted; shed others if few are free.
 
-        Guards against running out of descriptors: others are shed, or new clients wait.
-
-        A connection that was just closed still holds its descriptor, and counts until it is lost.
+        A connection that was just closed still has its descriptor, and counts until
+        `connection_lost`. Guards against running out of descriptors.
         """
         open_count = len(self._accepted) + len(self._accepting)
         self.has_aborted = False
@@ -77,8 +78,8 @@
         """Shed connections until the spare ones are free or being closed.
 
         Linear in the number of spare connections. Guards against misbehaving clients that hoard
-        connections, against closing a connection in use, and against a close that crosses a request
-        on its way, which the client would see as a reset.
+        connections, against closing a connection in use, and against closing a connection while a
+        request is in transit, which the client would see as a reset.
         """
         now = self._loop.time()
         is_urgent = self.waiting_since is not None and now - self.waiting_since > URGENT_AFTER_S
@@ -129,7 +130,7 @@
         return list(selected)
 
     def abort_one(self) -> None:
-        """Abort one connection at once, as no descriptor is free in spite of the budget."""
+        """Abort one connection at once: accepting failed, probably for lack of descriptors."""
         for state in (
             ConnectionState.REJECTED,
             ConnectionState.LINGERING,
@@ -146,8 +147,8 @@
     def is_under_pressure(self) -> bool:
         """Return whether each response ends its connection, so that new clients can connect.
 
-        Guards against clients that send one request and hold their connection: they lose it long
-        before the proxy runs out of connections.
+        Guards against clients that send one request and keep their connection open: their
+        connections are closed long before the proxy runs out of connections.
         """
         # Connections in a lingering close can be aborted at once.
         lingering = self._table.by_state[ConnectionState.LINGERING]
--- a/mothstall/net/client_side/open_exchange.py
+++ b/mothstall/net/client_side/open_exchange.py
@@ -45,7 +45,7 @@
     relay: ResponseRelay | None = None
 
     def end_message(self, end: ExchangeEnd) -> ClientLeft | ResponseRelayed | None:
-        """Return the message that informs the decider of the end; None if it needs none."""
+        """Return the message that reports the end to the decider; None if the decider caused it."""
         if self.relay is not None:
             return ResponseRelayed(self.number, _RELAY_OUTCOME[end])
         if end is ExchangeEnd.WITHDRAWN:
--- a/mothstall/net/client_side/pipelined_input.py
+++ b/mothstall/net/client_side/pipelined_input.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-MAX_PIPELINED_BYTES = 1024 * 1024  # of one connection; for all: PipelinedInputBudget.max_bytes
+MAX_PIPELINED_BYTES = 1024 * 1024  # per connection; PipelinedInputBudget.max_bytes limits the sum
 
 
 class PipelinedInputBudget:
--- a/mothstall/net/client_side/request_body.py
+++ b/mothstall/net/client_side/request_body.py
@@ -56,11 +56,13 @@
     if payload.exception() is not None:
         abandon(connection, 400, "the body is unreadable")
         return
-    # Read out at once: aiohttp's reader pauses its parser at a limit of bytes, or of chunks.
+    # All buffered data is taken at once: aiohttp's reader pauses its parser at a limit of bytes or
+    # chunks.
     data = payload.read_nowait()
     is_complete = payload.is_eof()
     if is_complete and body.stream is not None and has_peer_hung_up(connection.transport):
-        # Guards against completing a blocked body whose client has left after the last byte.
+        # Guards against completing a blocked body whose client has closed its connection after the
+        # last byte.
         connection.on_client_left()
         connection.force_close()
         return
@@ -125,7 +127,7 @@
 
 
 def abandon(connection: Connection, status: int, reason: str) -> None:
-    """Give up a body that cannot be accepted; its request is rejected unless it is answered."""
+    """Stop reading a body: reject its request, or close the connection after its response."""
     if connection.state == ConnectionState.DISCARDING_BODY:
         lingering_close.begin(connection)
         return
--- a/mothstall/net/client_side/request_head.py
+++ b/mothstall/net/client_side/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request: answers local pages, rejects invalid requests, starts on the body."""
+"""Handles the head of a request: serves local pages, rejects invalid heads, begins the body."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def handle_head(connection: Connection, message: RawRequestMessage, payload: StreamReader) -> None:
-    """Check the head of a request, and begin to read its body."""
+    """Answer a local page, reject an invalid head, or begin to read the request's body."""
     frontend = connection.frontend
     connection.keeps_alive = not message.should_close
     connection.body.payload = payload
@@ -51,7 +51,7 @@
 
 
 def _begin_body(connection: Connection, message: RawRequestMessage, length: int) -> None:
-    """Begin to read a body that is not complete yet, or is a long one."""
+    """Begin to read a body that is incomplete or long."""
     connection.enter(ConnectionState.READING_BODY)
     expects_continue = message.headers.get("Expect", "").lower() == "100-continue"
     if expects_continue and connection.transport is not None:
--- a/mothstall/net/client_side/response_relay.py
+++ b/mothstall/net/client_side/response_relay.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from mothstall.net.client_side.connection import Connection
 
-STALL_S = 10.0  # how long a client may stop reading a long response
+STALL_S = 10.0  # a client may stop reading a long response for this time
 SEND_BUFFER_BYTES = 128 * 1024  # the kernel's send buffer for a long response
 
 
@@ -74,7 +74,10 @@
             lingering_close.reset(connection)
 
     def check_progress(self, now: float) -> None:
-        """Guards against a client that stops reading a long response."""
+        """Reset the connection if data sent to the client makes no progress for STALL_S.
+
+        Guards against a client that stops reading a long response.
+        """
         connection = self._connection
         transport = connection.transport
         if transport is None:
--- a/mothstall/net/clock.py
+++ b/mothstall/net/clock.py
@@ -5,11 +5,11 @@
 import selectors
 import time
 
-MIN_WAIT_S = 0.0002  # a poll that lasted longer had to wait for the events that it reports
+MIN_WAIT_S = 0.0002  # a poll that lasts longer has waited for the events that it reports
 
 
 class TimedSelector(selectors.DefaultSelector):
-    """A selector for the event loop that records the earliest time when its events may be from.
+    """An event loop selector that records the earliest time at which its events may have occurred.
 
     The loop reads nothing while it runs callbacks: an event that the next poll reports at once may
     be as old as the end of the previous poll. An event that the poll had to wait for is new.
--- a/mothstall/net/counters.py
+++ b/mothstall/net/counters.py
@@ -47,7 +47,7 @@
 
 
 class Counters:
-    """One counter for each name in MEANING; an unknown name raises KeyError.
+    """One counter for each name in MEANING; `add` raises KeyError for any other name.
 
     Attributes:
         values: The counters by name.
--- a/mothstall/net/decider.py
+++ b/mothstall/net/decider.py
@@ -47,11 +47,11 @@
     Attributes:
         arrived: The request.
         deadline_ns: Unix time by which the request has to be answered.
-        backstop: Fails the request after its deadline; None: its body is still being received.
+        backstop: Timer that fails the request after its deadline; None before a long body is sent.
         attempts: The backend actor of each attempt; None for an attempt that was never sent.
         in_flight: Number of attempts that have not ended.
-        is_answered: The final response, or the first bytes of a long one, was sent.
-        has_timed_out: The last attempt that ended had timed out.
+        is_answered: The final response, or its head, was passed on, or the client has left.
+        has_timed_out: The attempt that ended last had timed out.
         is_relaying: A long response is being relayed.
     """
 
@@ -70,7 +70,7 @@
 
     Attributes:
         endpoint_rows_received: Rows of endpoint lists and of deltas received so far.
-        endpoints_known: Set once there is an endpoint list to serve with.
+        endpoints_known: Set once the decider has an endpoint list that it may serve with.
         on_attempt_ended: Called when an attempt ends, with its message and request class index.
     """
 
@@ -115,8 +115,8 @@
     def stop_by(self, latest_ns: int) -> None:
         """Answer all open requests, and those that still arrive, by `latest_ns`.
 
-        Guards against a process that is killed while a request is open that has a longer deadline,
-        or whose long body the backend has stopped reading.
+        Guards against a process that is killed while a request with a longer deadline is open, or
+        one whose long body the backend has stopped reading.
         """
         self._stop_by_ns = latest_ns
         for request, entry in self._pending.items():
@@ -292,7 +292,7 @@
         update = message.update
         if update is None:
             if self._endpoints:
-                self.endpoints_known.set()  # serve with the list from before
+                self.endpoints_known.set()  # serve with the previous list
             return io.EndpointUpdate(message.scope, self._version, [], int(message.took_s * io.NS))
         self.counters.add("list_updates")
         check_invariant(
@@ -306,8 +306,8 @@
                 self._remove_backend(number)
         for member in update.members:
             self._update_backend(member)
-        # Guards against serving with a cached list where discovery pushes: the agent may have a
-        # newer list, whose drains have to be obeyed from the start.
+        # Guards against serving with a cached list where discovery pushes updates: the agent may
+        # have a newer list, whose drains have to be obeyed from the start.
         if message.scope != UpdateScope.CACHED or (
             update.members and not self._config.settings.discovery_push
         ):
@@ -332,7 +332,7 @@
             actor.tell(backend_messages.DrainBackend())
 
     def _remove_backend(self, number: int) -> None:
-        """Drain a backend that left the list; its attempts in flight go on to their end."""
+        """Drain a backend that is no longer listed; its attempts in flight continue."""
         self._endpoints.pop(number, None)
         actor = self._backends.pop(number, None)
         if actor:
--- a/mothstall/net/decider_messages.py
+++ b/mothstall/net/decider_messages.py
@@ -21,7 +21,7 @@
 
     Attributes:
         status: Status code.
-        body: The body, unless it is in `stream`.
+        body: The body; empty if the response has a `stream`.
         head: Further header lines, each with its line end.
         stream: A long body, in place of `body`.
         length: Length of the stream in bytes, if known.
@@ -36,15 +36,15 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request was received: completely, or its head only.
+    """A client's request was received, completely or up to a part of its long body.
 
     Attributes:
         request: The request's number.
         client_request: The parsed request.
-        received_ns: Earliest Unix time at which it may have arrived.
+        received_ns: Earliest Unix time at which the request may have arrived.
         reply: Called once with the final response.
-        latest_ns: Unix time by which the proxy has to answer, even if the client would wait longer;
-            None for no such limit.
+        latest_ns: Unix time by which the proxy has to answer in a drain or shutdown, even if the
+            client would wait longer; None for no such limit.
     """
 
     request: int
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client left before its response."""
+    """A request was withdrawn: its client left, or sent input that cannot be forwarded."""
 
     request: int
 
--- a/mothstall/net/discovery/discovery.py
+++ b/mothstall/net/discovery/discovery.py
@@ -26,18 +26,18 @@
 
 MIN_WAIT_S = 5.0  # minimum time that one watch call waits for an event
 MAX_WAIT_S = 60.0  # maximum time that one watch call waits for an event
-# Timeout of a call that does not wait. Discovery drops a call that has been queued for 2 s: the
-# timeout is longer, so that a call it began to serve just before that is not wasted.
+# Timeout of a call that does not wait for an event. Discovery drops a call that has been queued for
+# 2 s; the timeout is longer, so that a call that it begins to serve just before then can complete.
 CALL_TIMEOUT_S = 2.25
-# Timeout of a call that waits, after its wait: its events count as delivered 2 s after the wait.
+# Added to the wait of a call for its timeout: its events count as delivered 2 s after the wait.
 WAIT_MARGIN_S = 1.2
 CONNECT_TIMEOUT_S = 1.0  # timeout of a connection to discovery
 MAX_LIST = 8 * 1024 * 1024  # bytes of one response
 HTTP_OK = 200
-ADDRESS_CHANGE_RETRY_S = 0.1  # between calls at a new address that fail
-ADDRESS_CHANGE_WINDOW_S = 3.0  # after a change of address: failed calls are retried soon
-# Where the list is pushed, a drain counts from when the agent has it: the two fractions below
-# derive time limits from the grace of a drain.
+ADDRESS_CHANGE_RETRY_S = 0.1  # pause after a failed call soon after a change of address
+ADDRESS_CHANGE_WINDOW_S = 3.0  # after a change of address: ADDRESS_CHANGE_RETRY_S applies
+# Where the list is pushed, the grace of a drain starts when the agent receives the drain: the two
+# fractions below derive time limits from that grace.
 FIRST_CALL_GRACE_FRACTION = 0.5  # of the grace: time of a first call before the next one begins
 PAUSE_GRACE_FRACTION = 0.25  # of the grace: pause between calls from the second failure in a row on
 MIN_FIRST_CALL_S = 0.2  # lower limit of the time of a first call
@@ -154,8 +154,8 @@
 class PollFailed:
     """A call that failed."""
 
-    is_silent: bool  # no byte was received before the timeout
-    missed_since: float  # on the loop's clock, s: later events may have been missed
+    is_silent: bool  # the call timed out before the first byte
+    missed_since: float  # on the loop's clock, s: events after this time may have been missed
 
 
 @dataclass(slots=True)
@@ -164,7 +164,7 @@
 
     scope: UpdateScope
     update: protocol.ParsedUpdate | None
-    took_s: float = 0.0  # of a failed call: time since events may have been missed
+    took_s: float = 0.0  # of a failed call: age of the oldest event that may have been missed
 
 
 @dataclass(slots=True)
@@ -180,7 +180,7 @@
 def call_timing(push: bool, proxies: int, position: int, grace_s: float) -> CallTiming:
     """Return the timing of one proxy's calls; the arguments are those of `Discovery`."""
     return CallTiming(
-        # One discovery serves all proxies: together they end about one wait per second.
+        # One discovery serves all proxies: together their waits end about once per second.
         wait_s=min(MAX_WAIT_S, max(MIN_WAIT_S, float(proxies))),
         first_s=min(CALL_TIMEOUT_S, max(MIN_FIRST_CALL_S, FIRST_CALL_GRACE_FRACTION * grace_s))
         if push
@@ -207,7 +207,7 @@
         counters: Counters,
         report: Callable[[EndpointsUpdated], None],
     ) -> None:
-        """Creates the actor; no call is made before `start` or a message.
+        """Create the actor; no call is made before `start` or a message.
 
         Args:
             address: address of discovery.
@@ -240,7 +240,7 @@
         self._polls: set[asyncio.Task[None]] = set()
 
     def receive(self, batch: list[SetWatching | PollOnce | DiscoveryAddressChanged]) -> None:
-        """Handle the messages in order, without waiting for calls."""
+        """Handle the messages in order; calls run as tasks in the background."""
         for message in batch:
             if isinstance(message, DiscoveryAddressChanged):
                 self._change_address(message.address)
@@ -252,7 +252,7 @@
                 continue
             is_push_watched = self._push and self._watch and not self._watch.done()
             if message.is_on and (self._is_first_call_open or is_push_watched):
-                # The call in flight serves this message too, or the running watch does.
+                # The first call in flight, or the running watch, also serves this message.
                 continue
             self._cancel_watch()
             if message.is_on:
@@ -276,7 +276,7 @@
     def _change_address(self, address: Address) -> None:
         """Call the new address at once; the call in flight at the old one may bring an update.
 
-        Guards against a gap: the old address may end its watches at any time, or stop responding.
+        Guards against missed updates: the old address may end its watches or stop responding.
         """
         if address == self._address:
             return
@@ -288,7 +288,7 @@
         self._previous_watch = self._watch
         if self._watch is None or self._watch.done():
             self._is_first_call_open = True
-        # A running watch goes on with a call that waits: a poll would bring nothing more.
+        # A running watch continues with a call that waits: a poll would return nothing more.
         self._watch = self.loop.create_task(
             self._run_watch(self._epoch, address, is_first=self._is_first_call_open)
         )
@@ -337,8 +337,8 @@
                 await asyncio.sleep(ADDRESS_CHANGE_RETRY_S)
                 continue
             if isinstance(result, PollFailed) and result.is_silent and not is_first:
-                # Guards against a longer pause after a silent watch: missed events count as
-                # delivered 2 s after the wait.
+                # Guards against a longer pause after a watch that timed out silently: missed events
+                # count as delivered 2 s after the wait.
                 is_first = True
                 self._is_first_call_open = True
                 await asyncio.sleep(self._timing.spread_s)
@@ -398,7 +398,7 @@
                 call.cancel()
 
     def _on_slow_call_ended(self, call: asyncio.Task[protocol.ParsedUpdate | PollFailed]) -> None:
-        """Report the update of the slow call now, not after a pause between later calls."""
+        """Report the update of a slow call at once, not after a pause between later calls."""
         if self._slow_call is call:
             self._slow_call = None
         update = _update_of(call)
@@ -429,7 +429,7 @@
         limit = asyncio.timeout(max_s)
 
         def on_first_byte() -> None:
-            # Guards against a slow response that takes as long as the wait for an event may.
+            # Guards against a response that takes as long as the wait: CALL_TIMEOUT_S now applies.
             nonlocal first_byte_at
             first_byte_at = self.loop.time()
             when = limit.when()
@@ -460,11 +460,11 @@
         self, reason: object, silent: bool, waits: bool, began: float, first_byte_at: float | None
     ) -> PollFailed:
         """Count and log the failure of the call that the current task makes."""
-        if asyncio.current_task() is not self._slow_call:  # counted when its time was up
+        if asyncio.current_task() is not self._slow_call:  # counted after `first_s` already
             self.counters.add("discovery_failures")
         log.info("discovery call failed", extra={"kv": {"why": reason}})
         now = self.loop.time()
-        # A wait that fails late was a watch until then; one that fails early may never have begun.
+        # A call that fails late was a watch until then; one that fails early may not have been one.
         watched = waits and not silent and now - began > CALL_TIMEOUT_S + WAIT_MARGIN_S
         watched_until = now if first_byte_at is None else first_byte_at
         return PollFailed(silent, watched_until if watched else began)
--- a/mothstall/net/errors.py
+++ b/mothstall/net/errors.py
@@ -8,4 +8,4 @@
 
 
 class UnreadableMessageError(NetError, ValueError):
-    """A client or a peer sent something unreadable; the error's text names the faulty part."""
+    """A message of a client, a backend or discovery is unreadable; the text names the fault."""
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -1,8 +1,8 @@
-"""Connects the proxy to the fleet's agent: applies operators' drains to endpoint updates.
+"""Connects the proxy to the fleet's agent: drains, health hints, zone weights and statistics.
 
-Only used where an operator file is given. The agent tracks drains by backend name. The decider
-receives discovery's updates with the drains applied, and a delta when the drains change; it never
-waits for the agent.
+Used only where an operator file is given. The agent tracks drains by backend name. The decider
+receives discovery's updates with the drains applied, and a delta when the drains change. The
+decider never waits for the agent.
 """
 
 from __future__ import annotations
@@ -128,10 +128,10 @@
             if name in self._members:  # a hint may name a backend that is not listed
                 self._report(PeerProcessEvent(HealthHint(self._members[name].endpoint.backend)))
 
-    # Interface that the agent's failover reads and controls traffic by
+    # The interface through which the agent's failover observes and shifts traffic
 
     def attempt_ended(self, message: AttemptEnded, cls: int) -> None:
-        """Record the end of an attempt in this proxy's statistics of zones."""
+        """Record the result of an attempt in the failover's statistics by zone."""
         zone = self._zone_by_backend.get(message.backend)
         if zone and self.agent.failover:
             util = (
--- a/mothstall/net/handover/handover.py
+++ b/mothstall/net/handover/handover.py
@@ -2,8 +2,9 @@
 
 The new process sends a request at its start, once it can accept clients. The old process stops
 accepting, sends its state, and hands over the descriptors of client connections as they become
-idle, so that no connection is closed with a request in flight. If the handover fails (no old
-process, a malformed message, a timeout, a process that dies), one process serves on its own.
+idle, so that no connection is closed with a request in flight, and those of long responses in
+progress. If the handover fails (no old process, a malformed message, a timeout, a process that
+dies), one process serves on its own.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 log = logging.getLogger("mothstall.handover")
 
 STATE_TIMEOUT_S = 0.5  # timeout for the old process's state
-MAX_PEERS = 4  # connections of later processes at once
+MAX_PEERS = 4  # maximum number of open connections of later processes
 READ_BATCH = 32  # messages read in one iteration of the event loop
 MAX_DESCRIPTORS = 4  # per message
 MAX_ADDRESS_BYTES = 100  # bytes that the address of a Unix socket holds on every platform
@@ -59,7 +60,7 @@
         loop.add_reader(sock, self._read)
 
     def send(self, raw: bytes, fds: list[int] | None = None) -> bool:
-        """Send a message; False if the kernel rejects it, as when a peer does not read."""
+        """Send a message; False if the connection is closed, or full as the peer does not read."""
         if not self.open:
             return False
         try:
@@ -82,8 +83,8 @@
     def drain_and_close(self) -> None:
         """Receive what the peer has already sent, and close the connection.
 
-        Guards against losing unread descriptors with this end of the connection: after the shutdown
-        the peer's `send` fails, so that the peer keeps the connections it has not handed over.
+        Guards against losing descriptors that were sent but not read yet. After the shutdown the
+        peer's `send` fails, so that the peer keeps the connections it has not handed over.
         """
         if self.open:
             with contextlib.suppress(OSError):
@@ -121,18 +122,18 @@
 
     # A later process takes over: stop accepting, and return the state for it.
     hand_over_listening: Callable[[], HandoverState]
-    resume: Callable[[], None]  # the later process is gone
+    resume: Callable[[], None]  # the later process is gone: accept clients again
     # Takes over a client connection of the previous process.
     adopt_client: Callable[[socket.socket, ClientHandover], None]
     # Takes over a long response: the sockets of its client and of its backend.
     adopt_stream: Callable[[socket.socket, socket.socket | None, StreamHandover], None]
-    on_predecessor_gone: Callable[[], None]
+    on_predecessor_gone: Callable[[], None]  # the connection to the previous process has closed
 
 
 class Handover:
-    """Both roles of a handover: the new process at the start, the old process later.
+    """Both roles of a handover: a process takes over at its start, and hands over later.
 
-    No method raises because of a fault of the other process.
+    No method raises an exception because of a fault of the other process.
     """
 
     def __init__(
@@ -231,7 +232,7 @@
 
     def _accept_message(self, message: Message, fds: list[int]) -> None:
         """Apply a message; the descriptors that it uses are removed from `fds`."""
-        # The first client may arrive before the coroutine that awaits the state has resumed.
+        # A client may be handed over before the coroutine that awaits the state has resumed.
         is_state_received = self._state_received is None or self._state_received.done()
         if isinstance(message, ClientHandover) and len(fds) == 1 and is_state_received:
             self._callbacks.adopt_client(socket.socket(fileno=fds.pop()), message)
@@ -254,10 +255,10 @@
             raise HandoverMessageError("an unexpected message")
 
     def release_predecessor(self) -> None:
-        """Let the previous process, if it still runs, accept clients again: this one is stopping.
+        """Close the connection to the previous process, which then accepts clients again.
 
-        Guards against new connections that no process accepts while this one stops: it no longer
-        accepts, and the previous process waits until their connection is closed.
+        Called when this process stops. Guards against new clients that neither process accepts:
+        this one has stopped accepting, and the previous one resumes only after that close.
         """
         if self._predecessor is not None:
             self._predecessor.drain_and_close()
@@ -365,7 +366,7 @@
                 # A later process may have replaced the file by its own socket.
                 if (self._directory / self._socket_name).stat().st_ino == self._own_inode:
                     (self._directory / self._socket_name).unlink()
-        self._successor = None  # not lost: this process stops, and must not log a lost successor
+        self._successor = None  # so that closing its connection is not logged as a lost successor
         for peer in [*self._peers, self._predecessor]:
             if peer is not None:
                 peer.close()
--- a/mothstall/net/handover/messages.py
+++ b/mothstall/net/handover/messages.py
@@ -17,7 +17,7 @@
 from mothstall.interface import InheritedBackend, InheritedState
 
 VERSION = 1
-MAX_MESSAGE_BYTES = 192 * 1024  # bytes; a long response may include a stream's window and one read
+MAX_MESSAGE_BYTES = 192 * 1024  # a long response may include a stream's window and one read
 MAX_INHERITED_BACKENDS = 600  # backends whose state the new process inherits
 
 
@@ -46,7 +46,7 @@
     """A client connection, whose descriptor is sent with the message."""
 
     is_silent: bool  # nothing was received on the connection yet
-    age_s: float  # how long it has been silent or idle
+    age_s: float  # time for which the connection has been silent or idle
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
     # Bytes not received from the backend; None: unknown, or given by `coding`.
     remaining_bytes: int | None
-    # State of the `ChunkedDecoder` of its body: phase, remaining bytes, partial line.
+    # State of the `ChunkedDecoder` of the backend's body: phase, remaining bytes, partial line.
     coding: tuple[int, int, bytes] | None
     is_chunked: bool  # the client receives the chunked coding
     encoded: bytes  # encoded for the client, but not written to its socket
--- a/mothstall/net/handover/stream_takeover.py
+++ b/mothstall/net/handover/stream_takeover.py
@@ -17,7 +17,7 @@
 log = logging.getLogger("mothstall.stream_takeover")
 
 STALL_S = 10.0  # a response is aborted after this time without progress
-LINGER_S = 1.0  # a lingering close reads and discards input for this time
+LINGER_S = 1.0  # minimum time for which a lingering close reads and discards input
 
 
 class _Side(asyncio.Protocol):
@@ -34,7 +34,7 @@
 
 
 class _ClientSide(_Side):
-    """The connection to the client, a sink; it is closed at the end of the response."""
+    """The connection to the client: the stream's sink, closed at the end of the response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -65,9 +65,10 @@
             self._finish(self.transport)
 
     def abort_body(self) -> None:
-        """Close an incomplete response.
+        """End an incomplete response.
 
-        Guards against a truncated response without framing that looks complete: it ends in a reset.
+        Guards against a truncated response without chunks or length that looks complete: such a
+        response ends in a reset.
         """
         if self.transport is None:
             return
@@ -107,7 +108,7 @@
 
 
 class _BackendSide(_Side):
-    """The connection to the backend, a source."""
+    """The connection to the backend: the stream's source."""
 
     def data_received(self, data: bytes) -> None:
         self._takeover.on_backend_data(data)
@@ -151,7 +152,10 @@
         backend: socket.socket | None,
         on_end: Callable[[StreamTakeover], None],
     ) -> None:
-        """Start to relay; `on_end` is called once, at the end."""
+        """Start to relay between two sockets; `on_end` is called once, at the end.
+
+        `backend` is None if the response was received completely.
+        """
         self._on_end = on_end
         try:
             for sock, side in ((client, self._sink), (backend, self._source)):
@@ -203,18 +207,18 @@
         self._source.sink_closed()
 
     def on_backend_closed(self, is_orderly: bool) -> None:
-        """The backend's connection is closed."""
+        """End the stream: the backend's connection is closed, cleanly if `is_orderly`."""
         if is_orderly and self._remaining_bytes is None and self._decoder is None:
             self.stream.end()
         elif not self.stream.has_ended:
             self.stream.truncate()
 
     def on_client_ready(self) -> None:
-        """The client's connection is ready for more data."""
+        """Continue to relay: the client's connection is ready for more data."""
         self.stream.sink_ready()
 
     def hand_over(self, hand_over_response: Callable[..., bool]) -> None:
-        """Hand the rest over to a later process with `hand_over_response`, as the frontend does."""
+        """Hand over the rest of the response to a later process with `hand_over_response`."""
         client = self._sink.transport
         backend = self._source.transport
         if client is None:
--- a/mothstall/net/lifecycle.py
+++ b/mothstall/net/lifecycle.py
@@ -7,14 +7,14 @@
 
 from enum import Enum
 
-IDLE_DRAIN_S = 1.9  # after the start of a drain: idle connections are kept open for new requests
-SILENT_S = 0.2  # after IDLE_DRAIN_S: connections that have received nothing are kept open
-# After the start of a drain: deadline for requests received after IDLE_DRAIN_S; incomplete ones are
-# closed by then.
+IDLE_DRAIN_S = 1.9  # idle connections stay open for new requests this long after a drain starts
+SILENT_S = 0.2  # in a drain or shutdown, a new connection without input is closed after this time
+# Requests received more than IDLE_DRAIN_S after the start of a drain have to be answered by this
+# time after the start; incomplete requests are rejected then.
 DRAIN_DEADLINE_S = 3.6
-# Before the longest deadline: incomplete requests are rejected from then on.
+# In a shutdown, incomplete requests are rejected from this time before the longest deadline on.
 INCOMPLETE_MARGIN_S = 0.5
-ANSWER_MARGIN_S = 0.2  # after the longest deadline: all accepted requests are answered by then
+ANSWER_MARGIN_S = 0.2  # in a shutdown, the last response is due this long after that deadline
 
 
 class Phase(Enum):
@@ -33,8 +33,8 @@
         self.phase = Phase.SERVING
         self.is_handing_over = False  # idle client connections are handed over, not closed
         self._draining_since_s = 0.0
-        self._complete_by_s = 0.0  # while stopping: incomplete requests are rejected from then on
-        self._answered_by_s = 0.0  # while stopping
+        self._complete_by_s = 0.0  # while stopping: later, incomplete requests are rejected
+        self._answered_by_s = 0.0  # while stopping: deadline for all responses
 
     def evacuate(self, now: float) -> bool:
         """Start a drain, unless one is running. Returns False if the process is stopping."""
@@ -67,11 +67,11 @@
         return self.phase
 
     def hand_over(self) -> None:
-        """Mark that a successor process is taking over the clients."""
+        """Record that a successor process is taking over the clients."""
         self.is_handing_over = True
 
     def resume(self) -> None:
-        """Mark that the successor process is gone."""
+        """Record that the successor process is gone, so that this one accepts clients again."""
         self.is_handing_over = False
 
     @property
--- a/mothstall/net/listener.py
+++ b/mothstall/net/listener.py
@@ -13,7 +13,7 @@
 
 MAX_BIND_ATTEMPTS = 30  # 1.5 s in total: an earlier process may still be exiting
 BIND_RETRY_S = 0.05  # between two attempts
-# A client's socket is checked for a hang-up before a request is served that has waited longer.
+# Before a request that has waited longer is served, its client's socket is checked for a hang-up.
 CHECK_CLIENT_AFTER_NS = 20_000_000
 
 
@@ -22,7 +22,7 @@
 
     Args:
         key: The setting that holds the address, for the error's text.
-        address: Where to listen.
+        address: The address to bind.
         backlog: Number of connections that the kernel queues.
 
     Raises:
@@ -50,7 +50,7 @@
 def inherit_socket(descriptor: int) -> socket.socket:
     """Return a duplicate of an inherited socket.
 
-    Other processes hold the socket too: it must not be shut down.
+    Other processes share the socket, which therefore must not be shut down.
     """
     sock = socket.socket(fileno=os.dup(descriptor))
     sock.setblocking(False)
--- a/mothstall/net/metrics.py
+++ b/mothstall/net/metrics.py
@@ -1,4 +1,4 @@
-"""Outcomes of requests by class, and attempts sent: the source of all reported metrics. Pure.
+"""Counts outcomes of requests by class, and attempts sent, for the reported metrics. Pure.
 
 | count | when |
 | --- | --- |
@@ -6,7 +6,7 @@
 | fulfilled | its 200 response was written completely to the client's connection |
 | throttled | its rejection (503) was written to the client's connection |
 | faulted | its failure (502 or 504) was written, or its response was truncated |
-| left | its client left before any of these |
+| left | its client left before the request was fulfilled, throttled or faulted |
 | relayed | the last byte of an attempt was written to a backend's connection |
 
 A malformed request has no class and is counted in `counters.py` only.
--- a/mothstall/net/protocol/__init__.py
+++ b/mothstall/net/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Translates headers and JSON to the types of `mothstall.interface`, and results to responses.
+"""Parses and encodes the proxy's messages: requests, responses, endpoint lists, load reports.
 
 Pure: no sockets, no clock.
 """
--- a/mothstall/net/protocol/endpoint_list.py
+++ b/mothstall/net/protocol/endpoint_list.py
@@ -12,7 +12,7 @@
 
 _HEALTH = {"SERVING": Health.READY, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
 _NUMBER_BYTES = 6  # size of a backend's number; a collision is improbable in any fleet
-_NO_ADDRESS = "-:0"  # stands for the address of a removed backend
+_NO_ADDRESS = "-:0"  # placeholder for the address of a removed backend
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
     """An endpoint list, or a delta of it.
 
     Attributes:
-        version: Revision of the list.
+        version: The list's revision, which never decreases.
         is_complete: Whether this is a complete list rather than a delta.
         members: The backends in the list, or those that changed.
     """
--- a/mothstall/net/protocol/headers.py
+++ b/mothstall/net/protocol/headers.py
@@ -32,7 +32,7 @@
     )
 )
 
-# Headers of one connection only, and headers that are generated anew for the next one.
+# Headers that apply to one connection only, and headers that the proxy generates anew.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         CONNECTION,
@@ -49,7 +49,7 @@
         REMAINING_HEADER,
     )
 )
-# Headers of a backend's response that are not forwarded: also those addressed to the proxy.
+# Headers of a backend's response that are not forwarded; some are meant for the proxy itself.
 BACKEND_ONLY_HEADERS = HOP_BY_HOP_HEADERS | {b"x-pressure", b"x-turned-away", b"server"}
 
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
--- a/mothstall/net/protocol/requests.py
+++ b/mothstall/net/protocol/requests.py
@@ -33,8 +33,8 @@
     framing_header,
 )
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longer bodies are relayed, not buffered completely
-# A remaining time of more than this multiple of the class's deadline is an error of the client.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longer bodies are streamed, not buffered completely
+# X-Remaining may be at most this multiple of the deadline of the request's class.
 MAX_DEADLINE_FACTOR = 4
 _ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
 _COST = re.compile(rb"\d{1,13}")  # nanoseconds, up to some hours
@@ -57,19 +57,19 @@
     """One client request: the fields that the balancer needs, and the bytes that are forwarded.
 
     Attributes:
-        request_id: The id that the client gave it.
+        request_id: The request's id, chosen by the client.
         head: The request line and the forwarded headers, each with its line end.
-        body: The body, unless it is in `stream`.
-        class_index: Index of its class in the settings.
-        tenant_index: Index of its tenant in the settings; one past the last if unknown.
+        body: The body; empty if the request has a `stream`.
+        class_index: Index of the request's class in the settings.
+        tenant_index: Index of the request's tenant in the settings; one past the last if unknown.
         remaining_ns: How long the client waits, from the arrival of the request.
-        is_retry: Whether the client marked it as a retry.
+        is_retry: Whether the client marked the request as a retry.
         stream: A long body, in place of `body`.
         length: Length of the stream in bytes, if known.
         cost_ns: Expected work as declared by the client; 0 if not declared.
         client: The client that waits for the response; None if that cannot be checked.
-        received_ns: Earliest Unix time at which it may have arrived; no hang-up of the client had
-            been seen by then.
+        received_ns: Earliest Unix time at which the request may have arrived; the client had not
+            hung up by then.
     """
 
     request_id: bytes
@@ -207,7 +207,7 @@
 
     Args:
         request: The client's request.
-        remaining_ns: How long the proxy waits for the response of the attempt.
+        remaining_ns: Time for which the proxy waits for the response to the attempt.
     """
     remaining = format_duration(remaining_ns).encode()
     if request.stream is not None:
--- a/mothstall/net/protocol/responses.py
+++ b/mothstall/net/protocol/responses.py
@@ -32,7 +32,7 @@
     """A backend's 200 response, complete, or with a long body that is still being received.
 
     Attributes:
-        body: The body, unless it is in `stream`.
+        body: The body; empty if the response has a `stream`.
         head: The forwarded headers, each with its line end.
         stream: A long body, in place of `body`.
         length: Length of the stream in bytes, if known.
@@ -45,7 +45,7 @@
 
 
 def attempt_result(status: int, headers: Mapping[str, str]) -> AttemptResult:
-    """Return the result of an attempt by its response; in doubt the request may have executed."""
+    """Return the result of an attempt; REJECTED only if the backend states that it did not run."""
     if status == 200:
         return AttemptResult.OK
     if status in (503, 504) and headers.get(REJECTED_HEADER) == "1":
--- a/mothstall/serving/frame_server.py
+++ b/mothstall/serving/frame_server.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenConfig:
-    """Where a process listens, and which peers it admits.
+    """The address on which a process listens, and the peers that it admits.
 
     Attributes:
         address: `HOST:PORT`; port 0 lets the kernel choose.
@@ -95,7 +95,7 @@
             counts: Counters of the process; the server updates `bytes_in`, `bytes_out`,
                 `frames_unreadable`, and `links_turned_away` if the process has this counter.
             log: Logger of the process.
-            config: Where to listen, and which peers to admit.
+            config: The address to bind, and the limits for admitted peers.
         """
         self.port = 0
         self.clients: set[FrameConnection] = set()
--- a/mothstall/serving/report_subscribers.py
+++ b/mothstall/serving/report_subscribers.py
@@ -11,9 +11,9 @@
 
 
 class ReportSubscribers:
-    """The subscribers of one process.
+    """The connections of one process that subscribed to reports.
 
-    A slow subscriber misses reports; proxies send new ones every second.
+    A slow subscriber misses batches; proxies send new reports every second.
     """
 
     def __init__(self, max_unsent_bytes: int) -> None:
--- a/mothstall/serving/run.py
+++ b/mothstall/serving/run.py
@@ -1,4 +1,4 @@
-"""Runs one service in the foreground until a signal or the service itself stops it."""
+"""Runs one service in the foreground until a signal or the service requests its stop."""
 
 from __future__ import annotations
 
