--- a/mothstall/net/backend_side/connection.py
+++ b/mothstall/net/backend_side/connection.py
@@ -24,9 +24,7 @@
 
 STALL_S = 10.0  # timeout without progress of a long body, in either direction
 STALL_CHECKS = 4  # number of progress checks within STALL_S
-PARSER_BUFFER_BYTES = (
-    16 * MAX_READ_BYTES
-)  # never full: each read is taken out of the parser at once
+PARSER_BUFFER_BYTES = 16 * MAX_READ_BYTES  # never full: each read leaves the parser at once
 
 
 class BackendConnection(ResponseHandler):
