--- a/mothstall/config.py
+++ b/mothstall/config.py
@@ -198,12 +198,12 @@
     try:
         copy = os.dup(number)
         with socket.socket(fileno=copy) as sock:
-            listens = sock.type == socket.SOCK_STREAM and sock.getsockopt(
+            is_listening = sock.type == socket.SOCK_STREAM and sock.getsockopt(
                 socket.SOL_SOCKET, socket.SO_ACCEPTCONN
             )
     except OSError as error:
         raise ConfigError(f"LB_LISTEN_FD: descriptor {number}: {error.strerror}") from error
-    if not listens:
+    if not is_listening:
         raise ConfigError(f"LB_LISTEN_FD: descriptor {number} is not a listening stream socket")
     return number
 
@@ -326,12 +326,12 @@
 
 def keys_that_need_restart(old: Config, new: Config) -> list[str]:
     """Return the changed keys that cannot be applied to a running proxy."""
-    differing = [
+    changed_keys = [
         key
         for attribute, key in _RESTART_KEYS.items()
         if getattr(old, attribute) != getattr(new, attribute)
     ]
-    return list(dict.fromkeys(differing))
+    return list(dict.fromkeys(changed_keys))
 
 
 def _value(
@@ -344,8 +344,8 @@
             raise ConfigError(f"{prefix}{key} is missing")
         return default
     if not isinstance(value, kind) or isinstance(value, bool):
-        shown = {dict: "an object", str: "a string", int: "a whole number"}[kind]
-        raise ConfigError(f"{prefix}{key} must be {shown}, not {json.dumps(value)[:60]}")
+        type_name = {dict: "an object", str: "a string", int: "a whole number"}[kind]
+        raise ConfigError(f"{prefix}{key} must be {type_name}, not {json.dumps(value)[:60]}")
     return value
 
 
--- a/mothstall/net/actor.py
+++ b/mothstall/net/actor.py
@@ -28,21 +28,21 @@
         self.name = name
         self.loop = loop
         self.counters = counters
-        self._mail: list[M] = []
-        self._due = False
+        self._mailbox: list[M] = []
+        self._is_delivery_scheduled = False
 
     def tell(self, message: M) -> None:
         """Queue a message, which is received in a later iteration of the event loop."""
-        check_invariant(len(self._mail) < MAX_MAILBOX, "mailboxes stay short", self.counters)
-        self._mail.append(message)
-        if not self._due:
-            self._due = True
+        check_invariant(len(self._mailbox) < MAX_MAILBOX, "mailboxes stay short", self.counters)
+        self._mailbox.append(message)
+        if not self._is_delivery_scheduled:
+            self._is_delivery_scheduled = True
             self.loop.call_soon(self._drain)
 
     def _drain(self) -> None:
-        batch = self._mail
-        self._mail = []
-        self._due = False
+        batch = self._mailbox
+        self._mailbox = []
+        self._is_delivery_scheduled = False
         try:
             self.receive(batch)
         except Exception as error:  # an exception in one batch must not stop the actor
--- a/mothstall/net/admin/server.py
+++ b/mothstall/net/admin/server.py
@@ -65,11 +65,11 @@
         if len(received) > MAX_CALL_BYTES:
             raise AdminCallError(413, "the call is too long")
         return None
-    rows = head.split(b"\r\n")
-    request_line = rows[0].split(b" ")
+    lines = head.split(b"\r\n")
+    request_line = lines[0].split(b" ")
     if len(request_line) != 3 or request_line[2] not in HTTP_VERSIONS:
         raise AdminCallError(400, "no call of HTTP/1.1")
-    length = _content_length(rows[1:])
+    length = _content_length(lines[1:])
     if length > MAX_CALL_BYTES:
         raise AdminCallError(413, "the call is too long")
     path = request_line[1].decode("ascii", "replace")
@@ -80,11 +80,11 @@
     return path if len(rest) >= length else None
 
 
-def _content_length(rows: list[bytes]) -> int:
-    """Return the value of Content-Length in the header rows; 0 without one."""
+def _content_length(lines: list[bytes]) -> int:
+    """Return the value of Content-Length in the header lines; 0 without one."""
     length: int | None = None
-    for row in rows:
-        name, colon, value = row.partition(b":")
+    for line in lines:
+        name, colon, value = line.partition(b":")
         if not colon or not name or name != name.strip():
             raise AdminCallError(400, "a header is unreadable")
         lower = name.lower()
--- a/mothstall/net/body_relay.py
+++ b/mothstall/net/body_relay.py
@@ -73,10 +73,10 @@
             return
         self._holders.discard(stream)
         if self._waiting:
-            successor = next(iter(self._waiting))
-            del self._waiting[successor]
-            self._holders.add(successor)
-            successor.on_granted()
+            next_stream = next(iter(self._waiting))
+            del self._waiting[next_stream]
+            self._holders.add(next_stream)
+            next_stream.on_granted()
 
 
 def max_streams_for(memory_bytes: int) -> int:
--- a/mothstall/net/discovery/discovery.py
+++ b/mothstall/net/discovery/discovery.py
@@ -48,7 +48,7 @@
 
 
 # Headers that aiohttp adds by default and discovery doesn't need.
-SKIP_AUTO = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 # Called at the first byte of the response; set in the context of the task that makes the call.
@@ -99,7 +99,7 @@
     session = aiohttp.ClientSession(
         connector=Connector(),
         cookie_jar=aiohttp.DummyCookieJar(),
-        skip_auto_headers=SKIP_AUTO,
+        skip_auto_headers=SKIPPED_AUTO_HEADERS,
         auto_decompress=False,
         trust_env=False,
         timeout=aiohttp.ClientTimeout(total=None, connect=None, sock_connect=None, sock_read=None),
@@ -426,19 +426,19 @@
         began = self.loop.time()
         first_byte_at: float | None = None  # on the loop's clock, s
         silent = False
-        limit = asyncio.timeout(max_s)
+        call_timeout = asyncio.timeout(max_s)
 
         def on_first_byte() -> None:
             # Guards against a response that takes as long as the wait: CALL_TIMEOUT_S now applies.
             nonlocal first_byte_at
             first_byte_at = self.loop.time()
-            when = limit.when()
+            when = call_timeout.when()
             if when is not None and when > first_byte_at + CALL_TIMEOUT_S:
-                limit.reschedule(first_byte_at + CALL_TIMEOUT_S)
+                call_timeout.reschedule(first_byte_at + CALL_TIMEOUT_S)
 
         _on_first_byte.set(on_first_byte if waits else None)
         try:
-            async with limit:
+            async with call_timeout:
                 status, body = await self._get(address, query)
                 if status == HTTP_OK:
                     return self._parse_update(body)
@@ -448,7 +448,7 @@
             reason = error
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             reason = f"{type(error).__name__}: {error}"
-            silent = limit.expired() and first_byte_at is None
+            silent = call_timeout.expired() and first_byte_at is None
         except Exception as error:
             # Guards against a watch that ends unnoticed: any exception is a failed call.
             self.counters.add("faults")
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -111,17 +111,17 @@
     def _on_agent_change(self) -> None:
         """Report backends whose drain state has changed, as a delta, and new health hints."""
         drained = self.agent.active_drains()
-        rows = []
+        changed_members = []
         for member in self._members.values():
             health = drained.effective_health(
                 member.id, self._zone_name(member), member.endpoint.health
             )
             if health != self._reported_health.get(member.id):
-                rows.append(self._apply_drains(member))
-        if rows:
+                changed_members.append(self._apply_drains(member))
+        if changed_members:
             self._report(
                 EndpointsUpdated(
-                    UpdateScope.DELTA, protocol.ParsedUpdate(self._version, False, rows)
+                    UpdateScope.DELTA, protocol.ParsedUpdate(self._version, False, changed_members)
                 )
             )
         for name in self.agent.take_unhealthy_backends():
@@ -154,8 +154,8 @@
                 )
                 warmth = min(1.0, age_ns / max(1, settings.slow_start_ns))
                 initial = settings.initial_warmth
-                part = initial + (1 - initial) * warmth if warmth < 1.0 else 1.0
-                weights[self._zone_name(member)] += part * (
+                warm_fraction = initial + (1 - initial) * warmth if warmth < 1.0 else 1.0
+                weights[self._zone_name(member)] += warm_fraction * (
                     entry.weight if entry.weight > 0 else 1.0
                 )
         return weights
@@ -166,8 +166,10 @@
 
     def apply_weights(self, weights: RoutingWeights, lifetime_ms: int) -> None:
         """Pass the zones' weights to the decider; they expire after `lifetime_ms`."""
-        parts = tuple(weights.weights.get(zone, 0.0) for zone in self._names.zones)
-        until = self._clock.now() + lifetime_ms * NS_PER_MS
+        zone_weights = tuple(weights.weights.get(zone, 0.0) for zone in self._names.zones)
+        until_ns = self._clock.now() + lifetime_ms * NS_PER_MS
         self._report(
-            PeerProcessEvent(ZoneWeights(parts, weights.overflow_fraction, weights.strength, until))
+            PeerProcessEvent(
+                ZoneWeights(zone_weights, weights.overflow_fraction, weights.strength, until_ns)
+            )
         )
--- a/mothstall/net/handover/messages.py
+++ b/mothstall/net/handover/messages.py
@@ -109,18 +109,18 @@
 
 
 def _state_tree(message: HandoverState) -> dict[str, Any]:
-    memory = message.inherited_state
+    inherited_state = message.inherited_state
     return {
         "v": VERSION,
         "say": "yours",
         "held": [message.client_connections, message.backend_connections],
         "sums": [
-            memory.usual_latency_ns,
-            memory.capacity,
-            memory.warm_rate,
-            memory.retry_tokens,
+            inherited_state.usual_latency_ns,
+            inherited_state.capacity,
+            inherited_state.warm_rate,
+            inherited_state.retry_tokens,
         ],
-        "calm": memory.baselines,
+        "calm": inherited_state.baselines,
         "known": [
             [
                 backend.backend,
@@ -130,7 +130,7 @@
                 backend.ejected_until_ns,
                 backend.ejection_ns,
             ]
-            for backend in memory.backends[:MAX_INHERITED_BACKENDS]
+            for backend in inherited_state.backends[:MAX_INHERITED_BACKENDS]
         ],
     }
 
@@ -164,15 +164,15 @@
 
 
 def _stream_handover(tree: Any) -> StreamHandover:
-    left = tree["left"]
+    remaining_bytes = tree["left"]
     coding = tree["coding"]
     if coding is not None:
-        phase, owed, line = coding
-        coding = (int(_number(phase)), int(_number(owed)), bytes.fromhex(line))
+        phase, chunk_bytes, line = coding
+        coding = (int(_number(phase)), int(_number(chunk_bytes)), bytes.fromhex(line))
     data = tuple(base64.b64decode(part, validate=True) for part in tree["data"])
     raw = base64.b64decode(tree["raw"], validate=True)
-    left = None if left is None else int(_number(left))
-    return StreamHandover(left, coding, bool(tree["chunks"]), raw, data)
+    remaining_bytes = None if remaining_bytes is None else int(_number(remaining_bytes))
+    return StreamHandover(remaining_bytes, coding, bool(tree["chunks"]), raw, data)
 
 
 def _handover_state(tree: Any) -> HandoverState:
@@ -180,10 +180,10 @@
     usual_latency_ns, capacity, warm_rate, retry_tokens = (_number(n) for n in tree["sums"])
     baselines = [[_number(n) for n in row] for row in tree["calm"]]
     inherited = [InheritedBackend(*(_number(n) for n in row)) for row in tree["known"]]
-    memory = InheritedState(
+    inherited_state = InheritedState(
         usual_latency_ns, capacity, warm_rate, retry_tokens, baselines, inherited
     )
-    return HandoverState(clients, backends, memory)
+    return HandoverState(clients, backends, inherited_state)
 
 
 def _number(value: Any) -> Any:
--- a/mothstall/net/handover/stream_takeover.py
+++ b/mothstall/net/handover/stream_takeover.py
@@ -268,9 +268,9 @@
 
     def _check_progress(self) -> None:
         """Abort the response if it made no progress: a peer has stopped reading or sending."""
-        passed = self.stream.delivered_bytes
-        if passed == self._delivered_at_last_check:
+        delivered_bytes = self.stream.delivered_bytes
+        if delivered_bytes == self._delivered_at_last_check:
             self._sink.abort()
             return
-        self._delivered_at_last_check = passed
+        self._delivered_at_last_check = delivered_bytes
         self._stall_check = self._loop.call_later(STALL_S, self._check_progress)
--- a/mothstall/net/listener.py
+++ b/mothstall/net/listener.py
@@ -32,13 +32,13 @@
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
-    for left in reversed(range(MAX_BIND_ATTEMPTS)):
+    for retries_left in reversed(range(MAX_BIND_ATTEMPTS)):
         try:
             sock.bind((address.host, address.port))
             sock.listen(backlog)
         except OSError as error:
             # Guards against an earlier process that has not released the address yet.
-            if error.errno != errno.EADDRINUSE or not left:
+            if error.errno != errno.EADDRINUSE or not retries_left:
                 sock.close()
                 raise OSError(error.errno, f"{key} {address}: {error.strerror or error}") from error
         else:
@@ -65,7 +65,8 @@
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP)
     return any(
-        what & (select.POLLRDHUP | select.POLLHUP | select.POLLERR) for _, what in poll.poll(0)
+        event_mask & (select.POLLRDHUP | select.POLLHUP | select.POLLERR)
+        for _, event_mask in poll.poll(0)
     )
 
 
--- a/mothstall/net/protocol/requests.py
+++ b/mothstall/net/protocol/requests.py
@@ -102,26 +102,26 @@
         UnreadableMessageError: The request is malformed.
     """
     line = f"{method} {target} HTTP/1.1\r\n".encode("utf-8", "surrogateescape")
-    forwarded, found = _forwarded_headers(headers)
+    forwarded, header_values = _forwarded_headers(headers)
     # Guards against request smuggling: with two framings, another parser may see a further request
     # in the body.
-    if CONTENT_LENGTH in found and TRANSFER_ENCODING in found:
+    if CONTENT_LENGTH in header_values and TRANSFER_ENCODING in header_values:
         raise UnreadableMessageError("two framings")
-    if not _ID.fullmatch(found.get(REQUEST_ID_HEADER, b"")):
+    if not _ID.fullmatch(header_values.get(REQUEST_ID_HEADER, b"")):
         raise UnreadableMessageError("X-Txn is missing or unreadable")
-    class_index = _parse_class(found, target, names)
-    _check_effect(method, class_index, found, body, names)
-    remaining_ns = _parse_remaining_ns(found, class_index, names)
-    tenant = found.get(TENANT_HEADER, b"").decode("utf-8", "replace")
-    labels = found.get(LABELS_HEADER, b"")
+    class_index = _parse_class(header_values, target, names)
+    _check_effect(method, class_index, header_values, body, names)
+    remaining_ns = _parse_remaining_ns(header_values, class_index, names)
+    tenant = header_values.get(TENANT_HEADER, b"").decode("utf-8", "replace")
+    labels = header_values.get(LABELS_HEADER, b"")
     return ClientRequest(
-        request_id=found[REQUEST_ID_HEADER],
+        request_id=header_values[REQUEST_ID_HEADER],
         head=b"".join((line, *forwarded)),
         body=body,
         class_index=class_index,
         tenant_index=names.tenant_index.get(tenant, len(names.tenants)),
         remaining_ns=remaining_ns,
-        is_retry=found.get(RETRY_HEADER, b"") == b"1",
+        is_retry=header_values.get(RETRY_HEADER, b"") == b"1",
         cost_ns=_parse_cost_ns(labels, names.cost_label) if names.cost_label else 0,
     )
 
@@ -131,13 +131,13 @@
 ) -> tuple[list[bytes], dict[bytes, bytes]]:
     """Return the lines that are forwarded, and all headers by lower-case name."""
     lines: list[bytes] = []
-    found: dict[bytes, bytes] = {}
+    header_values: dict[bytes, bytes] = {}
     connection_options: set[bytes] = set()
     for name, value in headers:
         lower = name.lower()
-        if lower in UNIQUE_HEADERS and lower in found:
+        if lower in UNIQUE_HEADERS and lower in header_values:
             raise UnreadableMessageError(f"{lower.decode()} came twice")
-        found[lower] = value
+        header_values[lower] = value
         if lower == CONNECTION:
             connection_options |= connection_headers(value)
         if lower not in HOP_BY_HOP_HEADERS:
@@ -146,12 +146,12 @@
         lines = [
             line for line in lines if line.partition(b":")[0].lower() not in connection_options
         ]
-    return lines, found
+    return lines, header_values
 
 
-def _parse_class(found: dict[bytes, bytes], target: str, names: Names) -> int:
+def _parse_class(header_values: dict[bytes, bytes], target: str, names: Names) -> int:
     """Return the index of the request's class, which must also be the first segment of its path."""
-    name = found.get(CLASS_HEADER, b"").decode("utf-8", "replace")
+    name = header_values.get(CLASS_HEADER, b"").decode("utf-8", "replace")
     class_index = names.class_index.get(name, -1)
     if class_index < 0:
         raise UnreadableMessageError("X-Lane names no class")
@@ -163,7 +163,7 @@
 
 
 def _check_effect(
-    method: str, class_index: int, found: dict[bytes, bytes], body: bytes, names: Names
+    method: str, class_index: int, header_values: dict[bytes, bytes], body: bytes, names: Names
 ) -> None:
     """Check method, idempotency key and body against the effect of the request's class."""
     if class_index >= len(names.effects):
@@ -172,17 +172,21 @@
     is_idempotent = effect == Effect.IDEMPOTENT
     if method != ("GET" if is_idempotent else "POST"):
         raise UnreadableMessageError("the method is not that of X-Lane")
-    if effect == Effect.IDEMPOTENT_WITH_KEY and not found.get(IDEMPOTENCY_KEY_HEADER):
+    if effect == Effect.IDEMPOTENT_WITH_KEY and not header_values.get(IDEMPOTENCY_KEY_HEADER):
         raise UnreadableMessageError("Idempotency-Key is missing")
     if not is_idempotent:
         return
-    if body or TRANSFER_ENCODING in found or found.get(CONTENT_LENGTH, b"0") != b"0":
+    if (
+        body
+        or TRANSFER_ENCODING in header_values
+        or header_values.get(CONTENT_LENGTH, b"0") != b"0"
+    ):
         raise UnreadableMessageError("a GET with a body")
 
 
-def _parse_remaining_ns(found: dict[bytes, bytes], class_index: int, names: Names) -> int:
+def _parse_remaining_ns(header_values: dict[bytes, bytes], class_index: int, names: Names) -> int:
     """Return how long the client waits; raises if that exceeds the limit of its class."""
-    text = found.get(REMAINING_HEADER, b"").decode("utf-8", "replace")
+    text = header_values.get(REMAINING_HEADER, b"").decode("utf-8", "replace")
     remaining_ns = parse_duration_ns(text)
     is_in_bounds = remaining_ns > 0
     if class_index < len(names.deadlines_ns):
