--- a/mothstall/config.py
+++ b/mothstall/config.py
@@ -28,7 +28,7 @@
 DEFAULT_MEMORY_MB = 192
 DEFAULT_BODY_MB = 40
 DEFAULT_IDLE_NS = 60 * NS  # time after which backends close idle connections
-DEFAULT_ANSWER_SLACK_NS = NS // 50  # time by which a response to a client may be late
+DEFAULT_ANSWER_SLACK_NS = NS // 50  # a response may exceed its deadline by this time
 MAX_PORT = 65_535
 _LABEL = re.compile(r"[0-9A-Za-z_.-]{0,64}")
 
@@ -48,10 +48,10 @@
         kinds: Names of hardware generations.
         effects: The effect of each class, which its requests have to match.
         deadlines_ns: The deadline of each class.
-        cost_label: Label in `X-Labels` with a request's expected work in nanoseconds; empty if none
-            is read. Not part of the settings.
-        class_index: Index by class name. Guards against a search of all names for each request.
-        tenant_index: Index by tenant name, for the same reason.
+        cost_label: Label in `X-Labels` with a request's expected work in nanoseconds; empty if no
+            label is read. Not part of the settings.
+        class_index: Index of each class by its name; saves a search for each request.
+        tenant_index: Index of each tenant by its name; saves a search for each request.
     """
 
     classes: tuple[str, ...]
@@ -96,11 +96,11 @@
         descriptors: `limits.sockets`: maximum number of file descriptors of the process.
         memory_bytes: `limits.memory_mb`: memory limit of the process.
         max_body_bytes: `limits.body_mb`: maximum size of the body of a request or response.
-        known: A cached endpoint list in discovery's format, which may be old.
+        known: A cached endpoint list in discovery's format, possibly out of date; None without one.
         settings: The settings of the balancer.
         names: The names in the settings.
         idle_ns: Time after which a backend closes an idle connection.
-        answer_slack_ns: Time by which a response to a client may be late.
+        answer_slack_ns: Time by which a response to a client may exceed its deadline.
         log_level: One of `LOG_LEVELS`.
     """
 
@@ -123,7 +123,7 @@
 
     @property
     def cost_label(self) -> str:
-        """Label in `X-Labels` with a request's expected work; empty if none is read."""
+        """Label in `X-Labels` with a request's expected work; empty if no label is read."""
         return self.names.cost_label
 
 
@@ -198,12 +198,12 @@
     try:
         copy = os.dup(number)
         with socket.socket(fileno=copy) as sock:
-            listens = sock.type == socket.SOCK_STREAM and sock.getsockopt(
+            is_listening = sock.type == socket.SOCK_STREAM and sock.getsockopt(
                 socket.SOL_SOCKET, socket.SO_ACCEPTCONN
             )
     except OSError as error:
         raise ConfigError(f"LB_LISTEN_FD: descriptor {number}: {error.strerror}") from error
-    if not listens:
+    if not is_listening:
         raise ConfigError(f"LB_LISTEN_FD: descriptor {number} is not a listening stream socket")
     return number
 
@@ -308,7 +308,7 @@
     )
 
 
-# Keys that need a restart, by field of `Config`; `seed` and `known` are only used at a start.
+# Keys that need a restart, by field of `Config`; `seed` and `known` are read only at the start.
 _RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -326,12 +326,12 @@
 
 def keys_that_need_restart(old: Config, new: Config) -> list[str]:
     """Return the changed keys that cannot be applied to a running proxy."""
-    differing = [
+    changed_keys = [
         key
         for attribute, key in _RESTART_KEYS.items()
         if getattr(old, attribute) != getattr(new, attribute)
     ]
-    return list(dict.fromkeys(differing))
+    return list(dict.fromkeys(changed_keys))
 
 
 def _value(
@@ -344,8 +344,8 @@
             raise ConfigError(f"{prefix}{key} is missing")
         return default
     if not isinstance(value, kind) or isinstance(value, bool):
-        shown = {dict: "an object", str: "a string", int: "a whole number"}[kind]
-        raise ConfigError(f"{prefix}{key} must be {shown}, not {json.dumps(value)[:60]}")
+        type_name = {dict: "an object", str: "a string", int: "a whole number"}[kind]
+        raise ConfigError(f"{prefix}{key} must be {type_name}, not {json.dumps(value)[:60]}")
     return value
 
 
--- a/mothstall/net/admin/server.py
+++ b/mothstall/net/admin/server.py
@@ -1,6 +1,7 @@
 """The admin server: a separate listener, one call per connection, a limited number of callers.
 
-It uses plain sockets whose descriptors come from the reserve, so that clients can't exhaust them.
+The descriptors of its sockets come from the reserve, so that clients of the proxy can't exhaust
+them.
 The `handle_call` callback executes the calls; this module only parses them and manages connections.
 """
 
@@ -64,11 +65,11 @@
         if len(received) > MAX_CALL_BYTES:
             raise AdminCallError(413, "the call is too long")
         return None
-    rows = head.split(b"\r\n")
-    request_line = rows[0].split(b" ")
+    lines = head.split(b"\r\n")
+    request_line = lines[0].split(b" ")
     if len(request_line) != 3 or request_line[2] not in HTTP_VERSIONS:
         raise AdminCallError(400, "no call of HTTP/1.1")
-    length = _content_length(rows[1:])
+    length = _content_length(lines[1:])
     if length > MAX_CALL_BYTES:
         raise AdminCallError(413, "the call is too long")
     path = request_line[1].decode("ascii", "replace")
@@ -79,11 +80,11 @@
     return path if len(rest) >= length else None
 
 
-def _content_length(rows: list[bytes]) -> int:
-    """Return the value of Content-Length in the header rows; 0 without one."""
+def _content_length(lines: list[bytes]) -> int:
+    """Return the value of Content-Length in the header lines; 0 without one."""
     length: int | None = None
-    for row in rows:
-        name, colon, value = row.partition(b":")
+    for line in lines:
+        name, colon, value = line.partition(b":")
         if not colon or not name or name != name.strip():
             raise AdminCallError(400, "a header is unreadable")
         lower = name.lower()
@@ -100,7 +101,7 @@
 @dataclass(slots=True, eq=False)
 class _Caller:
     sock: socket.socket
-    since: float  # on the loop's clock, s: when it connected, or when its response was sent
+    since: float  # on the loop's clock, s: time of the accept, or of the response
     received: bytes = b""
     is_answered: bool = False
 
@@ -166,8 +167,8 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             caller = _Caller(sock, self.loop.time())
             self._callers[caller] = None
-            # A call that has already arrived is answered before later connections can displace its
-            # caller.
+            # A call that has already arrived is answered now, before a later connection can cause
+            # this one to be closed.
             self._read(caller)
             if caller in self._callers or caller in self._lingering:
                 self.loop.add_reader(sock, self._read, caller)
--- a/mothstall/net/fleet_integration.py
+++ b/mothstall/net/fleet_integration.py
@@ -1,8 +1,8 @@
-"""Connects the proxy to the fleet's agent: applies operators' drains to endpoint updates.
+"""Connects the proxy to the fleet's agent: drains, health hints, zone weights and statistics.
 
-Only used where an operator file is given. The agent tracks drains by backend name. The decider
-receives discovery's updates with the drains applied, and a delta when the drains change; it never
-waits for the agent.
+Used only where an operator file is given. The agent tracks drains by backend name. The decider
+receives discovery's updates with the drains applied, and a delta when the drains change. The
+decider never waits for the agent.
 """
 
 from __future__ import annotations
@@ -111,27 +111,27 @@
     def _on_agent_change(self) -> None:
         """Report backends whose drain state has changed, as a delta, and new health hints."""
         drained = self.agent.active_drains()
-        rows = []
+        changed_members = []
         for member in self._members.values():
             health = drained.effective_health(
                 member.id, self._zone_name(member), member.endpoint.health
             )
             if health != self._reported_health.get(member.id):
-                rows.append(self._apply_drains(member))
-        if rows:
+                changed_members.append(self._apply_drains(member))
+        if changed_members:
             self._report(
                 EndpointsUpdated(
-                    UpdateScope.DELTA, protocol.ParsedUpdate(self._version, False, rows)
+                    UpdateScope.DELTA, protocol.ParsedUpdate(self._version, False, changed_members)
                 )
             )
         for name in self.agent.take_unhealthy_backends():
             if name in self._members:  # a hint may name a backend that is not listed
                 self._report(PeerProcessEvent(HealthHint(self._members[name].endpoint.backend)))
 
-    # Interface that the agent's failover reads and controls traffic by
+    # The interface through which the agent's failover observes and shifts traffic
 
     def attempt_ended(self, message: AttemptEnded, cls: int) -> None:
-        """Record the end of an attempt in this proxy's statistics of zones."""
+        """Record the result of an attempt in the failover's statistics by zone."""
         zone = self._zone_by_backend.get(message.backend)
         if zone and self.agent.failover:
             util = (
@@ -154,8 +154,8 @@
                 )
                 warmth = min(1.0, age_ns / max(1, settings.slow_start_ns))
                 initial = settings.initial_warmth
-                part = initial + (1 - initial) * warmth if warmth < 1.0 else 1.0
-                weights[self._zone_name(member)] += part * (
+                warm_fraction = initial + (1 - initial) * warmth if warmth < 1.0 else 1.0
+                weights[self._zone_name(member)] += warm_fraction * (
                     entry.weight if entry.weight > 0 else 1.0
                 )
         return weights
@@ -166,8 +166,10 @@
 
     def apply_weights(self, weights: RoutingWeights, lifetime_ms: int) -> None:
         """Pass the zones' weights to the decider; they expire after `lifetime_ms`."""
-        parts = tuple(weights.weights.get(zone, 0.0) for zone in self._names.zones)
-        until = self._clock.now() + lifetime_ms * NS_PER_MS
+        zone_weights = tuple(weights.weights.get(zone, 0.0) for zone in self._names.zones)
+        until_ns = self._clock.now() + lifetime_ms * NS_PER_MS
         self._report(
-            PeerProcessEvent(ZoneWeights(parts, weights.overflow_fraction, weights.strength, until))
+            PeerProcessEvent(
+                ZoneWeights(zone_weights, weights.overflow_fraction, weights.strength, until_ns)
+            )
         )
--- a/mothstall/net/handover/messages.py
+++ b/mothstall/net/handover/messages.py
@@ -17,7 +17,7 @@
 from mothstall.interface import InheritedBackend, InheritedState
 
 VERSION = 1
-MAX_MESSAGE_BYTES = 192 * 1024  # bytes; a long response may include a stream's window and one read
+MAX_MESSAGE_BYTES = 192 * 1024  # a long response may include a stream's window and one read
 MAX_INHERITED_BACKENDS = 600  # backends whose state the new process inherits
 
 
@@ -46,7 +46,7 @@
     """A client connection, whose descriptor is sent with the message."""
 
     is_silent: bool  # nothing was received on the connection yet
-    age_s: float  # how long it has been silent or idle
+    age_s: float  # time for which the connection has been silent or idle
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
     # Bytes not received from the backend; None: unknown, or given by `coding`.
     remaining_bytes: int | None
-    # State of the `ChunkedDecoder` of its body: phase, remaining bytes, partial line.
+    # State of the `ChunkedDecoder` of the backend's body: phase, remaining bytes, partial line.
     coding: tuple[int, int, bytes] | None
     is_chunked: bool  # the client receives the chunked coding
     encoded: bytes  # encoded for the client, but not written to its socket
@@ -109,18 +109,18 @@
 
 
 def _state_tree(message: HandoverState) -> dict[str, Any]:
-    memory = message.inherited_state
+    inherited_state = message.inherited_state
     return {
         "v": VERSION,
         "say": "yours",
         "held": [message.client_connections, message.backend_connections],
         "sums": [
-            memory.usual_latency_ns,
-            memory.capacity,
-            memory.warm_rate,
-            memory.retry_tokens,
+            inherited_state.usual_latency_ns,
+            inherited_state.capacity,
+            inherited_state.warm_rate,
+            inherited_state.retry_tokens,
         ],
-        "calm": memory.baselines,
+        "calm": inherited_state.baselines,
         "known": [
             [
                 backend.backend,
@@ -130,7 +130,7 @@
                 backend.ejected_until_ns,
                 backend.ejection_ns,
             ]
-            for backend in memory.backends[:MAX_INHERITED_BACKENDS]
+            for backend in inherited_state.backends[:MAX_INHERITED_BACKENDS]
         ],
     }
 
@@ -164,15 +164,15 @@
 
 
 def _stream_handover(tree: Any) -> StreamHandover:
-    left = tree["left"]
+    remaining_bytes = tree["left"]
     coding = tree["coding"]
     if coding is not None:
-        phase, owed, line = coding
-        coding = (int(_number(phase)), int(_number(owed)), bytes.fromhex(line))
+        phase, chunk_bytes, line = coding
+        coding = (int(_number(phase)), int(_number(chunk_bytes)), bytes.fromhex(line))
     data = tuple(base64.b64decode(part, validate=True) for part in tree["data"])
     raw = base64.b64decode(tree["raw"], validate=True)
-    left = None if left is None else int(_number(left))
-    return StreamHandover(left, coding, bool(tree["chunks"]), raw, data)
+    remaining_bytes = None if remaining_bytes is None else int(_number(remaining_bytes))
+    return StreamHandover(remaining_bytes, coding, bool(tree["chunks"]), raw, data)
 
 
 def _handover_state(tree: Any) -> HandoverState:
@@ -180,10 +180,10 @@
     usual_latency_ns, capacity, warm_rate, retry_tokens = (_number(n) for n in tree["sums"])
     baselines = [[_number(n) for n in row] for row in tree["calm"]]
     inherited = [InheritedBackend(*(_number(n) for n in row)) for row in tree["known"]]
-    memory = InheritedState(
+    inherited_state = InheritedState(
         usual_latency_ns, capacity, warm_rate, retry_tokens, baselines, inherited
     )
-    return HandoverState(clients, backends, memory)
+    return HandoverState(clients, backends, inherited_state)
 
 
 def _number(value: Any) -> Any:
