--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,11 @@
-"""Which tests start processes or real sockets: they run in turn, the others side by side (see Makefile).
+"""Marks the tests that use processes or real sockets, which run serially (see Makefile).
 
-Drawn inputs are the same in every run, and no verdict hangs on how fast a machine draws them: by itself
-hypothesis draws others each time, and fails a test whose first input took a second to make.
+Hypothesis generates the same inputs in every run, and slow generation doesn't fail a test. By
+default it generates different inputs each time, and fails a test whose first input takes a second
+to generate.
 
-Tests that `KNOWN-RED.txt` names run like any other; their failure is printed and does not fail the run.
+Tests listed in `KNOWN-RED.txt` run like any other; their failure is printed but does not fail the
+run.
 """
 
 from __future__ import annotations
@@ -22,8 +24,9 @@
 settings.load_profile("same")
 
 _IN_TURN = ("test_net_", "test_sockets", "test_experiments", "test_processes")
-_IN_TURN_FOLDER = Path(__file__).parent / "net"  # the proxy's own tests, however they are named
-# Of that folder: tests on a given clock, and tests whose waits are for a state under a wide limit.
+_IN_TURN_FOLDER = Path(__file__).parent / "net"  # all tests of the proxy, whatever their file name
+# Exceptions in that folder: tests on a simulated clock, and tests that wait for a state with a
+# long timeout.
 _SIDE_BY_SIDE = ("test_retry_schedule", "test_random_endings")
 
 
@@ -64,7 +67,7 @@
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
     known = config.stash[KNOWN]
-    for outcome in ("passed", "xfailed"):  # of one that failed in any phase the failure counts
+    for outcome in ("passed", "xfailed"):  # a failure in any phase overrides a pass
         for report in terminalreporter.getreports(outcome):
             if report.nodeid in known:
                 config.stash[SEEN][report.nodeid] = outcome
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -20,9 +20,9 @@
 
 @pytest.fixture(autouse=True)
 def state_changes(monkeypatch: pytest.MonkeyPatch) -> Generator[list[Edge], None, None]:
-    """Record each state change of a connection; fail the test if one is not in the table.
+    """Records the state changes of all connections; fails the test if one is not in the table.
 
-    Also fail the test if a change keeps a request open in a state without an open request.
+    Also fails the test if a connection keeps its exchange in a state that allows no open exchange.
     """
     seen: list[Edge] = []
     left_open: list[ConnectionState] = []
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small stand-in peers on 127.0.0.1, port 0: backends and discovery by script, and a client."""
+"""Scripted backends, scripted discovery and a test client, all on 127.0.0.1 and port 0."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class Seen:
-    """A request as a stand-in read it."""
+    """A request as a stand-in backend received it."""
 
     line: bytes
     headers: list[tuple[bytes, bytes]]
@@ -75,7 +75,7 @@
 
 
 def serves_after(go: asyncio.Event) -> Behaviour:
-    """Serves once it is let to."""
+    """Responds to each request only after `go` is set."""
 
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
         await go.wait()
@@ -93,7 +93,7 @@
 
 
 class StandIn:
-    """One backend; `behave` may be changed while it runs."""
+    """A stand-in backend; a test may replace `behave` while the backend runs."""
 
     def __init__(self, behave: Behaviour = serves, ident: str = "s-0") -> None:
         self.behave, self.ident = behave, ident
@@ -143,18 +143,18 @@
 
 
 class Directory:
-    """Discovery: a list with a revision, told on request and to watches."""
+    """A stand-in for discovery: serves a list with a revision, to list calls and to watches."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.revision, self.members = 1, members
         self.changes: dict[int, list[dict[str, Any]]] = {}
         self.calls: list[str] = []
-        self.raw: bytes | None = None  # said instead of any list
+        self.raw: bytes | None = None  # sent as the response instead of a list
         self.indent: int | None = None
-        self.whole = False  # whole lists also on a watch
-        self.piece = 0  # bytes written at once; 0: all
+        self.whole = False  # watches also receive complete lists
+        self.piece = 0  # bytes per write; 0: the response in one write
         self.hangs = False
-        self.held: asyncio.Event | None = None  # answers wait for it
+        self.held: asyncio.Event | None = None  # responses wait until it is set
         self.news = asyncio.Event()
         self.port = 0
         self.place: socket.socket | None = None
@@ -169,7 +169,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Connections are refused from now on. Its port stays bound: nobody else takes it meanwhile."""
+        """Refuses further connections. The port stays bound, so no other socket can take it."""
         if self.server:
             self.server.close()
             self.server, self.place = None, self._bound()
@@ -181,7 +181,7 @@
         return place
 
     def cut(self) -> None:
-        """Closes the connections that are open."""
+        """Aborts all open connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
@@ -292,7 +292,7 @@
 
 
 def tree_of(directory: Directory, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
-    operators = changes.pop("operators", None)  # the operators' address
+    operators = changes.pop("operators", None)  # address of the admin interface
     label = changes.pop("cost_label", None)
     usual = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "body_mb": 40}
     limits = {name: changes.pop(name, value) for name, value in usual.items()}
@@ -330,7 +330,7 @@
             client.close()
 
     async def call(self, path: str, method: str | None = None) -> Reply:
-        """A call of the operators."""
+        """Calls the admin interface of the proxy."""
         return await call(self.proxy.admin_port, path, method)
 
     async def figures(self) -> dict[str, int]:
@@ -381,7 +381,7 @@
 
 
 async def call(port: int, path: str, method: str | None = None) -> Reply:
-    """A call at the operators' door of a proxy on this machine."""
+    """Sends one request to the admin interface of a proxy on this machine."""
     method = method or ("POST" if path in ("/api/evacuate", "/api/rejoin") else "GET")
     client = Client(*await asyncio.open_connection("127.0.0.1", port))
     try:
@@ -428,7 +428,10 @@
 async def rig(
     *behaviours: Behaviour, listed: bool = True, held: asyncio.Event | None = None, **changes: Any
 ) -> AsyncIterator[Rig]:
-    """A proxy in this process, with one backend for each behaviour; discovery answers once `held` is set."""
+    """Runs a proxy in this process, with one stand-in backend for each behaviour.
+
+    Discovery responds to nothing until `held` is set, if it is given.
+    """
     backends = [StandIn(behave, f"s-{i}") for i, behave in enumerate(behaviours)]
     for backend in backends:
         await backend.start()
@@ -448,7 +451,7 @@
 
 
 class Single:
-    """One backend actor of the proxy by itself; its reports in order."""
+    """A single backend actor of the proxy without the proxy; collects its reports in order."""
 
     def __init__(
         self,
@@ -503,7 +506,7 @@
 
 
 class Gate:
-    """Holds back connections to backends: a dial waits until it is let through, or fails as it is told."""
+    """Delays connects to chosen backends until `open` is set; they then run or raise `fails`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, monkeypatch: Any) -> None:
         self.open, self.waiting, self.ports = asyncio.Event(), 0, set[int]()
@@ -528,13 +531,13 @@
 
 
 def raw_client(port: int) -> socket.socket:
-    """A client on a plain socket, whose every system call is the test's own."""
+    """A non-blocking client socket, on which the test itself makes every system call."""
     sock = socket.create_connection(("127.0.0.1", port), timeout=5)
     sock.setblocking(False)
     return sock
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes with a reset."""
+    """Closes the connection with a TCP reset (linger time 0)."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes to listen at that a test has to name before they start."""
+"""Reserves ports for processes whose address a test has to configure before it starts them."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 def free_port() -> int:
-    """A port on 127.0.0.1. It stays bound until the tests end, so that nobody but who listens there gets it.
+    """Reserves a free port on 127.0.0.1 until the tests end.
 
-    A socket that is bound with SO_REUSEADDR and does not listen lets another one listen beside it; a port
-    that was closed again could go to any connection of the machine before the process has started.
+    The port stays bound to a socket with SO_REUSEADDR that doesn't listen, so that the process
+    under test can still listen on it. If that socket were closed, the system could assign the port
+    to any other connection on the machine before the process starts.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
