--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -21,15 +21,15 @@
 from tests.peers import (
     Client,
     Directory,
-    Seen,
+    ReceivedRequest,
     StandIn,
-    answer,
     call,
+    never_respond,
     request_bytes,
+    respond_ok,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    silent,
     tree_of,
 )
 
@@ -114,16 +114,16 @@
 
 def test_metrics_equal_what_clients_and_backends_counted() -> None:
     async def run() -> None:
-        async with rig(serves, operators=ADMIN_ADDRESS, limits__max_attempts=1) as r:
+        async with rig(respond_ok, operators=ADMIN_ADDRESS, limits__max_attempts=1) as r:
             assert (await r.ask("search")).status == 200
             assert (await r.ask("pay", body=b"x" * 60_000)).status == 200
-            r.backends[0].behave = says(answer(b"no", 500))
+            r.backends[0].behave = respond_with(response_bytes(b"no", 500))
             failed = await r.ask("order")
             assert failed.status == 502
-            r.backends[0].behave = silent
+            r.backends[0].behave = never_respond
             client = await r.client()
             client.writer.write(request_bytes("search"))
-            await r.until(lambda: len(r.backends[0].seen) == 4)
+            await r.until(lambda: len(r.backends[0].requests) == 4)
             metrics = await r.figures()
             assert metrics["open_requests"] == 1 and metrics["relayed"] == 4
             client.close()
@@ -143,11 +143,11 @@
 
 def test_an_ejected_backend_is_out_of_rotation_until_it_serves() -> None:
     async def run() -> None:
-        async with rig(serves, serves, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, respond_ok, operators=ADMIN_ADDRESS) as r:
             for _ in range(6):
                 await r.ask()
             assert (await r.figures())["out_of_rotation"] == 0
-            await max(r.backends, key=lambda b: len(b.seen)).stop()
+            await max(r.backends, key=lambda b: len(b.requests)).stop()
             async with asyncio.timeout(5):
                 while (await r.figures())["out_of_rotation"] != 1:
                     assert (await r.ask()).status == 200
@@ -157,7 +157,7 @@
 
 def test_idle_callers_are_closed_and_calls_are_answered() -> None:
     async def run() -> None:
-        async with rig(serves, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, operators=ADMIN_ADDRESS) as r:
             held = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
@@ -185,7 +185,7 @@
     monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 1.2)
 
     async def run() -> None:
-        async with rig(serves, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, operators=ADMIN_ADDRESS) as r:
             asks, idle, half = await r.client(), await r.client(), await r.client()
             for client in (asks, idle):
                 assert (await client.ask()).status == 200
@@ -226,14 +226,14 @@
             client.writer.write(
                 request_bytes("order") + request_bytes("order") + request_bytes("order")
             )
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             await r.call("/api/evacuate")
             reply = await client.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             # The requests behind it were not executed: the client may retry elsewhere.
             assert await client.closed()
             await asyncio.sleep(0.3)
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
             await r.call("/api/rejoin")
             assert (await r.ask("order")).status == 200
 
@@ -242,7 +242,7 @@
 
 def test_operators_are_answered_in_time_under_client_load() -> None:
     async def run() -> None:
-        async with rig(serves, serves, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, respond_ok, operators=ADMIN_ADDRESS) as r:
             stopped = asyncio.Event()
 
             async def send_requests() -> None:
@@ -275,7 +275,7 @@
     monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 0.4)
 
     async def run() -> None:
-        async with rig(silent, operators=ADMIN_ADDRESS) as r:
+        async with rig(never_respond, operators=ADMIN_ADDRESS) as r:
             await r.call("/api/evacuate")
             began = asyncio.get_running_loop().time()
             reply = await r.ask("order", remaining="990m")
@@ -291,12 +291,12 @@
     monkeypatch.setattr(proxy, "MAX_DEADLINE_S", 0.3)
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             loop = asyncio.get_running_loop()
             client, slow = await r.client(), await r.client()
             client.writer.write(request_bytes("order", remaining="3900m"))
             slow.writer.write(request_bytes("order", body=b"x" * 50)[:-10])
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             began = loop.time()
             ending = asyncio.create_task(r.proxy.stop(0.0))
             assert (await client.read()).status in (502, 504)
@@ -344,9 +344,9 @@
     )
 
 
-async def serve_after_200_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serve_after_200_ms(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.2)
-    await serves(seen, writer)
+    await respond_ok(request, writer)
 
 
 class Platform:
@@ -407,7 +407,7 @@
     tmp_path: Path,
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         directory = Directory([stand_in.row()])
         await directory.start()
@@ -433,7 +433,7 @@
             await asyncio.sleep(0.3)
             stopped.set()
             await asyncio.gather(*clients)
-            assert request_count > before and len(stand_in.seen) == request_count
+            assert request_count > before and len(stand_in.requests) == request_count
             assert new.returncode is None
         finally:
             await platform.end()
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -28,16 +28,16 @@
     MS,
     Directory,
     Gate,
+    ReceivedRequest,
     Rig,
-    Seen,
     alone,
-    answer,
+    never_respond,
     raw_client,
     request_bytes,
+    respond_ok,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    silent,
     tree_of,
 )
 from tests.policy import harness as helpers
@@ -174,19 +174,19 @@
     """The same over sockets: response and client hang-up arrive in one loop iteration."""
 
     async def run() -> None:
-        async with rig(silent, silent) as r:
+        async with rig(never_respond, never_respond) as r:
             client = raw_client(r.proxy.port)
             for backend in r.backends:
-                backend.behave = says(b"")
+                backend.behave = respond_with(b"")
             client.send(request_bytes())
-            await r.until(lambda: any(b.seen for b in r.backends))
-            first = next(b for b in r.backends if b.seen)
+            await r.until(lambda: any(b.requests for b in r.backends))
+            first = next(b for b in r.backends if b.requests)
             (writer,) = first.writers
             client.close()
-            writer.write(answer(b"", 503, X_Turned_Away="1"))
+            writer.write(response_bytes(b"", 503, X_Turned_Away="1"))
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
             await settle()
-            assert sum(len(b.seen) for b in r.backends) == 1
+            assert sum(len(b.requests) for b in r.backends) == 1
             assert not r.proxy._decider._pending
 
     asyncio.run(run())
@@ -207,7 +207,7 @@
             "limits--connect_timeout_ns": 5_000 * MS,
             "contract--cold_from": 1.0,
         }
-        async with rig(serves, **changes) as r:
+        async with rig(respond_ok, **changes) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = await r.client()
@@ -220,7 +220,7 @@
             reconnects = gate.waiting  # a successor at the same address may get a new attempt
             gate.open.set()
             reply = await reply_task
-            assert len(r.backends[0].seen) == reconnects <= (how == "replaced")
+            assert len(r.backends[0].requests) == reconnects <= (how == "replaced")
             assert reply.status == (200 if reconnects else 503)
             assert r.count("attempts_not_sent") + r.count("attempts_cancelled") == 1
             client.close()
@@ -230,7 +230,7 @@
 
 def test_connecting_probe_ends_with_its_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, single = await alone(respond_ok, connect_ms=5000)
         gate = Gate(single.loop, monkeypatch)
         gate.hold(stand_in)
         single.actor.tell(backend_messages.SendProbe())
@@ -242,7 +242,7 @@
         assert await single.ended(3) == [AttemptResult.NOT_SENT] * 3
         gate.open.set()
         await settle()
-        assert not stand_in.seen and single.pool.open_count == 0
+        assert not stand_in.requests and single.pool.open_count == 0
         await stand_in.stop()
 
     asyncio.run(run())
@@ -250,13 +250,13 @@
 
 def test_attempt_cancelled_before_its_task_starts_leaves_the_pool_unchanged() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, single = await alone(respond_ok, connect_ms=5000)
         for count in range(1, 4):
             request = single.send()
             single.actor.tell(backend_messages.CancelAttempt(request, 0))
             assert (await single.ended(count))[-1] == AttemptResult.NOT_SENT
         await settle()
-        assert single.pool.open_count == 0 and not stand_in.seen
+        assert single.pool.open_count == 0 and not stand_in.requests
         await stand_in.stop()
 
     asyncio.run(run())
@@ -267,7 +267,7 @@
 ) -> None:
     async def run() -> None:
         async with rig(
-            serves,
+            respond_ok,
             **{"limits--connect_timeout_ns": 5_000 * MS, "classes": SHORT_DEADLINES},  # type: ignore[arg-type]
         ) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
@@ -276,7 +276,7 @@
                 assert (await r.ask(lane, remaining="60m")).status in (502, 503, 504)
             gate.open.set()
             await settle()
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
 
     asyncio.run(run())
 
@@ -304,14 +304,14 @@
 ) -> None:
     async def run() -> None:
         changes: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
-        async with rig(serves, **changes) as r:
+        async with rig(respond_ok, **changes) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             reply_task = asyncio.create_task(r.ask())
             await r.until(lambda: gate.waiting == 1)
             gate.open.set()
             assert (await reply_task).status == 200
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
@@ -323,7 +323,7 @@
     async def run() -> None:
         changes: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
         changes["limits--cancelling"] = cancelling
-        async with rig(serves, **changes) as r:
+        async with rig(respond_ok, **changes) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
@@ -335,7 +335,7 @@
             gate.open.set()
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
             assert (await r.ask()).status == 200
-            assert len(r.backends[0].seen) == 1  # only the later request
+            assert len(r.backends[0].requests) == 1  # only the later request
 
     asyncio.run(run())
 
@@ -348,9 +348,9 @@
     async def run() -> None:
         go = asyncio.Event()
 
-        async def fails(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def fails(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await go.wait()
-            writer.write(answer(b"", 500))
+            writer.write(response_bytes(b"", 500))
 
         changes: dict[str, Any] = {
             "limits--connect_timeout_ns": 5_000 * MS,
@@ -361,9 +361,9 @@
             gate = Gate(r.proxy.loop, monkeypatch)
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
             reply_task = asyncio.create_task(r.ask("pay", remaining="3000m"))
-            await r.until(lambda: any(b.seen for b in r.backends))
+            await r.until(lambda: any(b.requests for b in r.backends))
             started_s = r.proxy.loop.time()
-            gate.hold(*(b for b in r.backends if not b.seen))
+            gate.hold(*(b for b in r.backends if not b.requests))
             go.set()
             await r.until(lambda: gate.waiting == 1)
             reply = await reply_task
@@ -371,7 +371,7 @@
             assert r.proxy.loop.time() - started_s < window_s + 1.5
             gate.open.set()
             await settle()
-            assert sum(len(b.seen) for b in r.backends) == 1
+            assert sum(len(b.requests) for b in r.backends) == 1
             assert reply.status in (502, 503)
 
     asyncio.run(run())
@@ -382,7 +382,7 @@
     monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     async def run() -> None:
-        async with rig(serves, serves) as r:
+        async with rig(respond_ok, respond_ok) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.fails = OSError(error_number, "none left")
             gate.open.set()
@@ -448,12 +448,12 @@
     """Requests that the first backend rejects are retried on the second one."""
 
     async def run() -> None:
-        async def rejects(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"", 503, X_Turned_Away="1"))
+        async def rejects(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(b"", 503, X_Turned_Away="1"))
 
-        async with rig(rejects, serves) as r:
+        async with rig(rejects, respond_ok) as r:
             for _ in range(4):
                 assert (await r.ask()).status == 200
-            assert len(r.backends[1].seen) == 4
+            assert len(r.backends[1].requests) == 4
 
     asyncio.run(run())
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -17,17 +17,17 @@
 from tests.peers import (
     MS,
     Behaviour,
-    Seen,
+    ReceivedRequest,
     Single,
     StandIn,
     alone,
-    answer,
+    never_respond,
     request_bytes,
+    respond_ok,
+    respond_ok_after,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    serves_after,
-    silent,
 )
 
 
@@ -43,7 +43,7 @@
 ) -> Behaviour:
     """Write, then reset once the data was read: an immediate reset would discard it."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(raw)
         await (condition() if condition else asyncio.sleep(0.05))
         reset_connection(writer)
@@ -59,7 +59,7 @@
     "in a body with a length": (HEAD + b"Content-Length: 9\r\n\r\nabc", AttemptResult.RESET),
     "in a chunk": (HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nab", AttemptResult.RESET),
     "in a body with neither": (HEAD + b"\r\nabc", AttemptResult.RESET),
-    "behind a whole answer": (answer(b"whole"), AttemptResult.OK),
+    "behind a whole answer": (response_bytes(b"whole"), AttemptResult.OK),
     "behind an interim answer": (b"HTTP/1.1 102 Processing\r\n\r\n", AttemptResult.RESET),
 }
 
@@ -82,7 +82,9 @@
 
 def test_close_ends_a_response_with_neither_length_nor_chunks() -> None:
     async def run() -> None:
-        stand_in, single = await alone(says(HEAD + b"\r\nabc", then_close=True), connect_ms=5000)
+        stand_in, single = await alone(
+            respond_with(HEAD + b"\r\nabc", then_close=True), connect_ms=5000
+        )
         single.send(within_ms=2000)
         assert await single.ended() == [AttemptResult.OK]
         assert single.reports[0].response.body == b"abc"
@@ -93,7 +95,7 @@
 
 def test_response_until_close_is_incomplete_when_the_proxy_itself_ends() -> None:
     async def run() -> None:
-        stand_in, single = await alone(says(HEAD + b"\r\nabc"), connect_ms=5000)
+        stand_in, single = await alone(respond_with(HEAD + b"\r\nabc"), connect_ms=5000)
         single.send(within_ms=5000)
         while not any(link._reader.received_bytes == 3 for link in single.pool.connections):
             await asyncio.sleep(0.002)
@@ -109,18 +111,20 @@
     """Whether it ran is unknown: it fails if it may not run twice, else it is retried."""
 
     async def run() -> None:
-        async with rig(serves, serves) as r:
+        async with rig(respond_ok, respond_ok) as r:
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
             for _ in range(6):
                 assert (await r.ask()).status == 200
-            before = [len(b.seen) for b in r.backends]
+            before = [len(b.requests) for b in r.backends]
 
-            async def resets_at_once(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            async def resets_at_once(
+                request: ReceivedRequest, writer: asyncio.StreamWriter
+            ) -> None:
                 reset_connection(writer)
 
             r.backends[0].behave = resets_at_once
             replies = [await r.ask(lane) for _ in range(4)]
-            sent = [len(b.seen) - n for b, n in zip(r.backends, before, strict=True)]
+            sent = [len(b.requests) - n for b, n in zip(r.backends, before, strict=True)]
             if lane == "search":
                 assert all(reply.status == 200 for reply in replies)
             else:
@@ -145,7 +149,7 @@
 @pytest.mark.parametrize("part", ENDLESS)
 def test_endless_responses_end_their_attempt_and_their_connection(part: str) -> None:
     async def run() -> None:
-        async def sends_endlessly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def sends_endlessly(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(RESPONSE_STARTS.get(part, b""))
             for _ in range(100_000):
                 writer.write(ENDLESS[part])
@@ -173,15 +177,15 @@
     async def run() -> None:
         written: list[asyncio.StreamWriter] = []
 
-        async def answers(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answers(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             written.append(writer)
-            await serves(seen, writer)
+            await respond_ok(request, writer)
 
         stand_in, single = await alone(answers, connect_ms=5000)
         single.send(within_ms=2000)
         assert await single.ended() == [AttemptResult.OK]
         # No request is open, so that this shows that backends send second responses.
-        written[0].write(answer(b"a second answer"))
+        written[0].write(response_bytes(b"a second answer"))
         async with asyncio.timeout(3):
             while not stand_in.ended:
                 await asyncio.sleep(0.002)
@@ -190,7 +194,7 @@
             request = single.send(within_ms=2000)
             await single.ended(count + 1)
             # A second response is on its way when the next request is sent.
-            written[-1].write(answer(b"a second answer"))
+            written[-1].write(response_bytes(b"a second answer"))
             following = single.send(within_ms=2000)
             await single.ended(count + 2)
             bodies = [r.response.body for r in single.reports[count:]]
@@ -203,7 +207,7 @@
 
 def test_connections_are_reused_at_once_without_unsolicited_bytes() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, single = await alone(respond_ok, connect_ms=5000)
         for count in range(1, 30):
             single.send(within_ms=2000)
             await single.ended(count)
@@ -228,7 +232,7 @@
     """Once the kernel has all of it, it may still run: it fails if it may not run twice."""
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             with unread_listener() as listener:
                 row = {**r.backends[0].row(), "id": "s-9"}
                 row["host_port"] = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -246,7 +250,7 @@
 def test_attempt_that_was_not_completely_written_never_ran() -> None:
     async def run() -> None:
         with unread_listener() as listener:
-            stand_in, single = await alone(silent, connect_ms=5000)
+            stand_in, single = await alone(never_respond, connect_ms=5000)
             single.actor.tell(backend_messages.AddressChanged(Address(*listener.getsockname()), 1))
             single.send("POST", within_ms=300, body=b"x" * 30_000_000)
             assert await single.ended() == [AttemptResult.CONNECT_FAILED]
@@ -257,13 +261,13 @@
 
 def test_response_before_its_request_is_complete_closes_the_connection() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
 
             async def answer_early(
                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter
             ) -> None:
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(answer(b"too early"))
+                writer.write(response_bytes(b"too early"))
                 await writer.drain()
 
             server = await asyncio.start_server(answer_early, "127.0.0.1", 0)
@@ -296,17 +300,17 @@
         from tests.peers import Gate
 
         go = asyncio.Event()
-        serves_after_go = serves_after(go)
+        respond_ok_after_go = respond_ok_after(go)
 
         changes: dict[str, Any] = {
             "limits--connect_timeout_ns": 5_000 * MS,
             "limits--cancelling": False,
         }
-        async with rig(serves, serves, **changes) as r:
+        async with rig(respond_ok, respond_ok, **changes) as r:
             for _ in range(4):
                 assert (await r.ask()).status == 200
             for backend in r.backends:
-                backend.behave = serves_after_go
+                backend.behave = respond_ok_after_go
             for actor in r.proxy._decider._backends.values():
                 actor.tell(backend_messages.CloseIdleConnections())
             balancer = r.proxy._decider._balancer
@@ -314,9 +318,9 @@
             for known in balancer.endpoints.by_id.values():
                 known.outlier.failure_score = 1.0
             reply_task = asyncio.create_task(r.ask(remaining="3900m"))
-            await r.until(lambda: sum(len(b.seen) for b in r.backends) == 5)
+            await r.until(lambda: sum(len(b.requests) for b in r.backends) == 5)
             gate = Gate(r.proxy.loop, monkeypatch)
-            before = [len(b.seen) for b in r.backends]
+            before = [len(b.requests) for b in r.backends]
             gate.hold(*r.backends)
             await r.until(lambda: gate.waiting == 1)  # the hedge
             go.set()
@@ -324,20 +328,20 @@
             await r.until(lambda: gate.waiting == 0)
             gate.open.set()
             await asyncio.sleep(0.02)
-            assert [len(b.seen) for b in r.backends] == before
+            assert [len(b.requests) for b in r.backends] == before
 
     asyncio.run(run())
 
 
 def test_replaced_backend_gets_no_connection_of_an_earlier_incarnation() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, single = await alone(respond_ok, connect_ms=5000)
         single.send(within_ms=2000)
         assert await single.ended() == [AttemptResult.OK]
         single.actor.tell(backend_messages.AddressChanged(single.actor.address, 5))
         single.send(within_ms=2000)
         await single.ended(2)
-        assert [seen.connection for seen in stand_in.seen] == [1, 2]
+        assert [request.connection for request in stand_in.requests] == [1, 2]
         single.pool.close()
         await stand_in.stop()
 
@@ -346,11 +350,11 @@
 
 def test_restarted_backend_is_reached_on_new_connections() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, single = await alone(respond_ok, connect_ms=5000)
         single.send(within_ms=2000)
         await single.ended()
         await stand_in.stop()
-        restarted = StandIn(serves)
+        restarted = StandIn(respond_ok)
         restarted.port = stand_in.port
         async with asyncio.timeout(3):
             while single.pool.open_count:
@@ -375,7 +379,7 @@
     """
 
     async def run() -> None:
-        stand_in, first = await alone(serves, most=1)
+        stand_in, first = await alone(respond_ok, most=1)
         second = Single(Address("127.0.0.1", stand_in.port), pool=first.pool)
         sockets: list[socket.socket] = []
         open_counts: list[int] = []
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -23,12 +23,12 @@
     Client,
     Directory,
     StandIn,
-    answer,
     call,
     raw_client,
     request_bytes,
+    respond_ok,
+    response_bytes,
     rig,
-    serves,
 )
 from tests.ports import free_port
 
@@ -58,7 +58,7 @@
     tmp_path: Path, mode: str
 ) -> None:
     async def run() -> None:
-        old, new = StandIn(serves, "s-old"), StandIn(serves, "s-new")
+        old, new = StandIn(respond_ok, "s-old"), StandIn(respond_ok, "s-new")
         for backend in (old, new):
             await backend.start()
         directory = Directory([old.row()])
@@ -87,9 +87,9 @@
         directory.members = [new.row()]
         await directory.start()
         restarted_at = asyncio.get_running_loop().time()
-        while not new.seen and asyncio.get_running_loop().time() - restarted_at < 6.0:
+        while not new.requests and asyncio.get_running_loop().time() - restarted_at < 6.0:
             await ask_once(port)
-        assert new.seen  # within 6 s of its return, discovery reported the new backend
+        assert new.requests  # within 6 s of its return, discovery reported the new backend
         stop.set()
         await connecting
         for sock in idle_sockets:
@@ -149,7 +149,7 @@
     """Connections closed for new ones hold their descriptors until the next loop iteration."""
 
     async def run() -> None:
-        async with rig(serves, sockets=96) as r:
+        async with rig(respond_ok, sockets=96) as r:
             frontend = r.proxy._frontend
             assert frontend.acceptor._listener is not None
             max_open = [0]
@@ -185,7 +185,7 @@
     """A request that crosses the close is read, so that the client sees an end and no reset."""
 
     async def run() -> None:
-        async with rig(serves, sockets=64) as r:
+        async with rig(respond_ok, sockets=64) as r:
             loop, frontend = r.proxy.loop, r.proxy._frontend
             idle_client = raw_client(r.proxy.port)
             idle_client.send(request_bytes())
@@ -199,10 +199,10 @@
             ]
             await r.until(lambda: connection.state == ConnectionState.LINGERING)
             idle_client.send(request_bytes())  # crosses the close
-            seen = len(r.backends[0].seen)
+            request_count = len(r.backends[0].requests)
             await r.until(lambda: connection.discarded_bytes > 0)
             assert await asyncio.wait_for(loop.sock_recv(idle_client, 65536), 3) == b""
-            assert len(r.backends[0].seen) == seen
+            assert len(r.backends[0].requests) == request_count
             for client in [idle_client, *others]:
                 client.close()
 
@@ -213,8 +213,8 @@
     """They are closed with unread data, and count until their descriptors are free."""
 
     async def run() -> None:
-        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"z" * 60_000))
+        async def long_response(request: Any, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(b"z" * 60_000))
 
         async with rig(long_response, sockets=64) as r:
             frontend = r.proxy._frontend
@@ -244,7 +244,7 @@
 
 def test_answered_and_pending_admin_calls_share_their_descriptors() -> None:
     async def run() -> None:
-        async with rig(serves, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, operators="127.0.0.1:0") as r:
             admin_server = r.proxy._admin_server
             assert admin_server is not None
             callers = []
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -20,104 +20,121 @@
     Behaviour,
     Client,
     Directory,
-    Seen,
+    ReceivedRequest,
     Single,
     StandIn,
+    abort_connection,
     alone,
-    answer,
-    drops,
+    never_respond,
     request_bytes,
+    respond_ok,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    silent,
     tree_of,
 )
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 CASES: dict[str, tuple[Behaviour, AttemptResult]] = {
-    "served": (serves, AttemptResult.OK),
-    "dropped after the send": (drops, AttemptResult.RESET),
-    "closed after the send": (says(b"", then_close=True), AttemptResult.RESET),
+    "served": (respond_ok, AttemptResult.OK),
+    "dropped after the send": (abort_connection, AttemptResult.RESET),
+    "closed after the send": (respond_with(b"", then_close=True), AttemptResult.RESET),
     "cut in the head": (
-        says(b"HTTP/1.1 200 OK\r\nContent-Le", then_close=True),
+        respond_with(b"HTTP/1.1 200 OK\r\nContent-Le", then_close=True),
+        AttemptResult.RESET,
+    ),
+    "cut in the body": (
+        respond_with(response_bytes(b"x" * 100)[:-40], then_close=True),
         AttemptResult.RESET,
     ),
-    "cut in the body": (says(answer(b"x" * 100)[:-40], then_close=True), AttemptResult.RESET),
     "cut in a chunk": (
-        says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", then_close=True),
+        respond_with(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", then_close=True
+        ),
         AttemptResult.RESET,
     ),
     "chunked": (
-        says(CHUNKED + b"2\r\nab\r\n0\r\n\r\n"),
+        respond_with(CHUNKED + b"2\r\nab\r\n0\r\n\r\n"),
+        AttemptResult.OK,
+    ),
+    "ended by a close": (
+        respond_with(b"HTTP/1.1 200 OK\r\n\r\nabc", then_close=True),
         AttemptResult.OK,
     ),
-    "ended by a close": (says(b"HTTP/1.1 200 OK\r\n\r\nabc", then_close=True), AttemptResult.OK),
-    "no end": (says(b"HTTP/1.1 200 OK\r\n\r\nabc"), AttemptResult.TIMEOUT),
+    "no end": (respond_with(b"HTTP/1.1 200 OK\r\n\r\nabc"), AttemptResult.TIMEOUT),
     "an unknown coding": (
-        says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc"),
+        respond_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc"),
         AttemptResult.ERROR,
     ),
     "two lengths": (
-        says(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
+        respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
         AttemptResult.ERROR,
     ),
-    "news first": (says(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + answer()), AttemptResult.OK),
-    "noise behind": (says(answer() + b"\xed\x85 more\r\n\r\n"), AttemptResult.OK),
-    "a second copy behind": (says(answer() + answer()), AttemptResult.OK),
+    "news first": (
+        respond_with(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + response_bytes()),
+        AttemptResult.OK,
+    ),
+    "noise behind": (respond_with(response_bytes() + b"\xed\x85 more\r\n\r\n"), AttemptResult.OK),
+    "a second copy behind": (respond_with(response_bytes() + response_bytes()), AttemptResult.OK),
     "noise behind chunks": (
-        says(CHUNKED + b"2\r\nab\r\n0\r\n\r\nxx"),
+        respond_with(CHUNKED + b"2\r\nab\r\n0\r\n\r\nxx"),
         AttemptResult.OK,
     ),
     "a status that is none": (
-        says(b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok"),
+        respond_with(b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok"),
         AttemptResult.ERROR,
     ),
     "a line that is no header": (
-        says(b"HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"),
+        respond_with(b"HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"),
         AttemptResult.ERROR,
     ),
     "a negative length": (
-        says(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok"),
+        respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok"),
         AttemptResult.ERROR,
     ),
     "a length and chunks": (
-        says(CHUNKED[:-2] + b"Content-Length: 2\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+        respond_with(CHUNKED[:-2] + b"Content-Length: 2\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
         AttemptResult.ERROR,
     ),
     "a chunk of no size": (
-        says(CHUNKED + b"2\r\nab\r\nzz\r\nab\r\n0\r\n\r\n"),
+        respond_with(CHUNKED + b"2\r\nab\r\nzz\r\nab\r\n0\r\n\r\n"),
         AttemptResult.ERROR,
     ),
     "a head without end": (
-        says(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppp\r\n" * 2000),
+        respond_with(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppp\r\n" * 2000),
         AttemptResult.ERROR,
     ),
-    "noise": (says(b"\xed\x85\xd79G\xd0d"), AttemptResult.ERROR),
-    "news without end": (says(b"HTTP/1.1 102 Wait\r\n\r\n" * 20), AttemptResult.ERROR),
+    "noise": (respond_with(b"\xed\x85\xd79G\xd0d"), AttemptResult.ERROR),
+    "news without end": (respond_with(b"HTTP/1.1 102 Wait\r\n\r\n" * 20), AttemptResult.ERROR),
     "3 GB": (
-        says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"),
+        respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"),
         AttemptResult.ERROR,
     ),
     "chunks without end": (
-        says(CHUNKED + (b"2000\r\n" + b"x" * 8192 + b"\r\n") * 12),
+        respond_with(CHUNKED + (b"2000\r\n" + b"x" * 8192 + b"\r\n") * 12),
         AttemptResult.ERROR,
     ),
-    "no body": (says(b"HTTP/1.1 204 No\r\n\r\n"), AttemptResult.ERROR),
+    "no body": (respond_with(b"HTTP/1.1 204 No\r\n\r\n"), AttemptResult.ERROR),
     "another protocol": (
-        says(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
+        respond_with(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
         AttemptResult.ERROR,
     ),
-    "too long": (says(answer(b"x" * (64 * 1024 + 1))), AttemptResult.ERROR),
-    "nonsense": (says(b"\x16\x03\x01 hello\r\n\r\n", then_close=True), AttemptResult.ERROR),
-    "error": (says(answer(b"", 500)), AttemptResult.ERROR),
-    "not found": (says(answer(b"", 404)), AttemptResult.ERROR),
-    "turned away": (says(answer(b"", 503, X_Turned_Away="1")), AttemptResult.REJECTED),
-    "too late there": (says(answer(b"", 504, X_Turned_Away="1")), AttemptResult.REJECTED),
-    "503 that may have run": (says(answer(b"", 503)), AttemptResult.ERROR),
-    "504 that may have run": (says(answer(b"", 504)), AttemptResult.ERROR),
-    "silent": (silent, AttemptResult.TIMEOUT),
+    "too long": (respond_with(response_bytes(b"x" * (64 * 1024 + 1))), AttemptResult.ERROR),
+    "nonsense": (respond_with(b"\x16\x03\x01 hello\r\n\r\n", then_close=True), AttemptResult.ERROR),
+    "error": (respond_with(response_bytes(b"", 500)), AttemptResult.ERROR),
+    "not found": (respond_with(response_bytes(b"", 404)), AttemptResult.ERROR),
+    "turned away": (
+        respond_with(response_bytes(b"", 503, X_Turned_Away="1")),
+        AttemptResult.REJECTED,
+    ),
+    "too late there": (
+        respond_with(response_bytes(b"", 504, X_Turned_Away="1")),
+        AttemptResult.REJECTED,
+    ),
+    "503 that may have run": (respond_with(response_bytes(b"", 503)), AttemptResult.ERROR),
+    "504 that may have run": (respond_with(response_bytes(b"", 504)), AttemptResult.ERROR),
+    "silent": (never_respond, AttemptResult.TIMEOUT),
 }
 
 
@@ -129,7 +146,7 @@
         single.send()
         assert await single.ended() == [result]
         await asyncio.sleep(0.02)
-        assert len(single.reports) == len(stand_in.seen) == 1
+        assert len(single.reports) == len(stand_in.requests) == 1
         if result != AttemptResult.OK:
             assert single.reports[0].load == ()
         if result in (AttemptResult.TIMEOUT, AttemptResult.RESET):
@@ -143,14 +160,14 @@
 @pytest.mark.parametrize("method", ["GET", "PUT", "POST"])
 def test_reused_connection_that_drops_is_one_attempt_ending_in_reset(method: str) -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves)
+        stand_in, single = await alone(respond_ok)
         single.send(method)
         assert await single.ended(1) == [AttemptResult.OK]
-        stand_in.behave = drops
+        stand_in.behave = abort_connection
         single.send(method)
         assert await single.ended(2) == [AttemptResult.OK, AttemptResult.RESET]
         await asyncio.sleep(0.05)
-        assert [s.connection for s in stand_in.seen] == [1, 1]  # on the kept connection only
+        assert [s.connection for s in stand_in.requests] == [1, 1]  # on the kept connection only
         single.pool.close()
         await stand_in.stop()
 
@@ -161,24 +178,26 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def respond_ok_after_gate(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(response_bytes())
 
-        stand_in, single = await alone(serves_after_gate)
+        stand_in, single = await alone(respond_ok_after_gate)
         for _ in range(3):
             single.send()
-        while len(stand_in.seen) < 3:
+        while len(stand_in.requests) < 3:
             await asyncio.sleep(0.002)
         gate.set()
         await single.ended(3)
-        stand_in.behave = drops
+        stand_in.behave = abort_connection
         single.send()
         await single.ended(4)
-        stand_in.behave = serves
+        stand_in.behave = respond_ok
         single.send()
         assert (await single.ended(5))[3:] == [AttemptResult.RESET, AttemptResult.OK]
-        assert stand_in.seen[-1].connection == 4
+        assert stand_in.requests[-1].connection == 4
         assert stand_in.ended == 3
         single.pool.close()
         await stand_in.stop()
@@ -188,10 +207,12 @@
 
 def test_unsolicited_response_reaches_no_client() -> None:
     async def run() -> None:
-        async def sends_second_response(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"for " + (seen.header(b"X-Txn") or b"")))
+        async def sends_second_response(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(response_bytes(b"for " + (request.header(b"X-Txn") or b"")))
             await asyncio.sleep(0.01)
-            writer.write(answer(b"stray"))
+            writer.write(response_bytes(b"stray"))
 
         stand_in, single = await alone(sends_second_response)
         for i in (1, 2, 3):
@@ -204,7 +225,7 @@
             if isinstance(r, backend_messages.AttemptEnded) and r.response
         ]
         assert bodies == [b"for 1", b"for 2", b"for 3"]
-        assert [s.connection for s in stand_in.seen] == [1, 2, 3]
+        assert [s.connection for s in stand_in.requests] == [1, 2, 3]
         assert single.counters.values["unreadable"] == 3
         single.pool.close()
         await stand_in.stop()
@@ -250,9 +271,9 @@
 
 def test_cancelled_attempt_closes_its_connection_and_reports_once() -> None:
     async def run() -> None:
-        stand_in, single = await alone(silent)
+        stand_in, single = await alone(never_respond)
         request = single.send(within_ms=5000)
-        while not stand_in.seen:
+        while not stand_in.requests:
             await asyncio.sleep(0.002)
         single.actor.tell(backend_messages.CancelAttempt(request, 0))
         single.actor.tell(backend_messages.CancelAttempt(request, 0))
@@ -268,11 +289,11 @@
 
 def test_attempt_cancelled_before_its_first_step_still_reports() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves)
+        stand_in, single = await alone(respond_ok)
         request = single.send()
         single.actor.tell(backend_messages.CancelAttempt(request, 0))
         assert await single.ended() == [AttemptResult.NOT_SENT]
-        assert not stand_in.seen and not single.actor.in_flight
+        assert not stand_in.requests and not single.actor.in_flight
         single.pool.close()
         await stand_in.stop()
 
@@ -281,7 +302,7 @@
 
 def test_truncated_response_never_reaches_the_client_as_success() -> None:
     async def run() -> None:
-        async with rig(says(answer(b"x" * 100)[:-40], then_close=True)) as r:
+        async with rig(respond_with(response_bytes(b"x" * 100)[:-40], then_close=True)) as r:
             reply = await r.ask("order")
             assert reply.status == 502 and reply.body != b"x" * 60
             assert r.count("attempts_reset") == 1 and r.count("attempts") == 1
@@ -300,8 +321,8 @@
         ]
         load_texts = iter(reports)
 
-        async def reporting(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(X_Pressure=next(load_texts)))
+        async def reporting(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(X_Pressure=next(load_texts)))
 
         stand_in, single = await alone(reporting)
         for i in range(len(reports)):
@@ -317,11 +338,11 @@
 
 def test_load_probe_requests_the_load_report_and_reads_its_body() -> None:
     async def run() -> None:
-        stand_in, single = await alone(says(answer(b"util=0.25,queue=3\n")))
+        stand_in, single = await alone(respond_with(response_bytes(b"util=0.25,queue=3\n")))
         single.actor.tell(backend_messages.SendProbe())
         assert await single.ended() == [AttemptResult.OK]
         assert single.reports[0].load == (0.25, 3.0)
-        assert stand_in.seen[0].line == b"GET /status/load HTTP/1.1"
+        assert stand_in.requests[0].line == b"GET /status/load HTTP/1.1"
         single.pool.close()
         await stand_in.stop()
 
@@ -332,13 +353,15 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def serves_after_gate(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def respond_ok_after_gate(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await gate.wait()
-            if seen.connection == 1:  # ends last, so it is the last to become idle
+            if request.connection == 1:  # ends last, so it is the last to become idle
                 await asyncio.sleep(0.03)
-            writer.write(answer())
+            writer.write(response_bytes())
 
-        stand_in, single = await alone(serves_after_gate)
+        stand_in, single = await alone(respond_ok_after_gate)
         for _ in range(3):
             single.send()
             await asyncio.sleep(0.01)
@@ -347,7 +370,7 @@
         for i in range(4, 7):
             single.send()
             await single.ended(i)
-        assert {s.connection for s in stand_in.seen[3:]} == {1}
+        assert {s.connection for s in stand_in.requests[3:]} == {1}
         single.pool.close()
         await stand_in.stop()
 
@@ -356,7 +379,7 @@
 
 def test_idle_backend_connections_close_by_the_proxys_clock_and_on_request() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, idle_s=0.1)
+        stand_in, single = await alone(respond_ok, idle_s=0.1)
         single.send()
         await single.ended(1)
         async with asyncio.timeout(3):
@@ -376,8 +399,8 @@
 
 def test_full_pool_closes_an_idle_connection_or_sends_nothing() -> None:
     async def run() -> None:
-        first, single = await alone(serves, most=2)
-        second = StandIn(silent)
+        first, single = await alone(respond_ok, most=2)
+        second = StandIn(never_respond)
         await second.start()
         single.send()
         await single.ended(1)
@@ -391,7 +414,7 @@
             AttemptResult.TIMEOUT,
             AttemptResult.TIMEOUT,
         ]
-        assert len(second.seen) == 2
+        assert len(second.requests) == 2
         single.pool.close()
         await first.stop()
         await second.stop()
@@ -401,11 +424,11 @@
 
 def test_dead_backend_fails_no_request_while_another_is_up() -> None:
     async def run() -> None:
-        async with rig(serves, serves) as r:
+        async with rig(respond_ok, respond_ok) as r:
             await r.backends[0].stop()
             for lane in ("search", "pay", "order") * 4:
                 assert (await r.ask(lane)).status == 200
-            assert len(r.backends[1].seen) == 12
+            assert len(r.backends[1].requests) == 12
             assert r.count("attempts_connect_failed") >= 1
 
     asyncio.run(run())
@@ -413,7 +436,7 @@
 
 def test_every_request_gets_one_response_in_time_from_silent_backends() -> None:
     async def run() -> None:
-        async with rig(silent, silent) as r:
+        async with rig(never_respond, never_respond) as r:
             loop = asyncio.get_running_loop()
 
             async def ask_timed(lane: str) -> tuple[int, float]:
@@ -436,18 +459,18 @@
 
 def test_non_idempotent_request_that_may_have_run_is_not_retried() -> None:
     async def run() -> None:
-        async with rig(drops, drops, drops) as r:
+        async with rig(abort_connection, abort_connection, abort_connection) as r:
             reply = await r.ask("order")
             assert reply.status == 502
-            assert sum(len(b.seen) for b in r.backends) == 1
+            assert sum(len(b.requests) for b in r.backends) == 1
 
     asyncio.run(run())
 
 
 def test_request_rejected_by_a_backend_is_retried_on_another() -> None:
     async def run() -> None:
-        rejects = says(answer(b"", 503, X_Turned_Away="1"))
-        async with rig(rejects, rejects, serves) as r:
+        rejects = respond_with(response_bytes(b"", 503, X_Turned_Away="1"))
+        async with rig(rejects, rejects, respond_ok) as r:
             for _ in range(6):
                 assert (await r.ask("order")).status == 200
             assert r.count("attempts_rejected") >= 1
@@ -463,7 +486,7 @@
         peer_socket.recv(65536)
         received.set()
         time.sleep(0.03)
-        peer_socket.sendall(answer())
+        peer_socket.sendall(response_bytes())
 
     async def run() -> None:
         with socket.socket() as listener:
@@ -488,7 +511,7 @@
 
 def test_idle_connections_are_shed_for_new_ones_at_the_connection_budget() -> None:
     async def run() -> None:
-        async with rig(serves, sockets=64) as r:
+        async with rig(respond_ok, sockets=64) as r:
             clients = [await r.client() for _ in range(40)]
             assert (await asyncio.wait_for(r.ask(), 2)).status == 200
             assert r.count("connections_shed") >= 15
@@ -500,21 +523,21 @@
 
 def test_connections_with_an_incomplete_body_are_shed_too() -> None:
     async def run() -> None:
-        async with rig(serves, sockets=64) as r:
+        async with rig(respond_ok, sockets=64) as r:
             clients = [await r.client() for _ in range(40)]
             for client in clients:
                 client.writer.write(request_bytes("pay", body=b"x" * 50)[:-10])
             assert (await asyncio.wait_for(r.ask(), 2)).status == 200
-            assert not r.backends[0].seen[1:]
+            assert not r.backends[0].requests[1:]
 
     asyncio.run(run())
 
 
 def test_burst_of_connections_beyond_the_budget_is_answered_in_time() -> None:
     async def longest_response_time() -> float:
-        async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def slow(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.05)
-            writer.write(answer())
+            writer.write(response_bytes())
 
         async with rig(slow, slow, sockets=96) as r:
             loop = asyncio.get_running_loop()
@@ -542,9 +565,9 @@
 
 def test_exception_in_the_balancer_fails_its_open_requests_and_the_proxy_continues() -> None:
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             pending = asyncio.create_task(r.ask("order", remaining="3000m"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             balancer = r.proxy._decider._balancer
             handle = balancer.handle
 
@@ -558,7 +581,7 @@
             assert (await r.ask("search")).status == 502
             assert (await asyncio.wait_for(pending, 1)).status in (502, 504)
             assert r.count("faults") == 1
-            r.backends[0].behave = serves
+            r.backends[0].behave = respond_ok
             assert (await r.ask("search")).status == 200
 
     asyncio.run(run())
@@ -566,7 +589,7 @@
 
 def test_request_that_the_balancer_loses_still_gets_a_response() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: r.proxy._decider.endpoints_known.is_set())
             r.proxy._decider._balancer.handle = lambda now, events: []  # type: ignore[method-assign]
             started_s = asyncio.get_running_loop().time()
@@ -596,9 +619,9 @@
 # Clients that send incomplete or malformed requests
 
 
-async def serves_slowly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_slowly(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.1)
-    await serves(seen, writer)
+    await respond_ok(request, writer)
 
 
 def shorten_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -624,7 +647,7 @@
     shorten_timeouts(monkeypatch)
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client, loop = await r.client(), asyncio.get_running_loop()
             start = loop.time()
             client.writer.write(raw_input)
@@ -632,7 +655,7 @@
                 assert (await client.read(1.0)).status == 408
             assert await client.closed(1.0)
             assert 0.25 < loop.time() - start < 1.0
-            assert not r.backends[0].seen and r.count("connections_overdue") >= 1
+            assert not r.backends[0].requests and r.count("connections_overdue") >= 1
 
     asyncio.run(run())
 
@@ -643,7 +666,7 @@
     shorten_timeouts(monkeypatch)
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             assert (await client.ask()).status == 200
             await asyncio.sleep(0.35)  # longer than a new connection may be silent
@@ -678,38 +701,38 @@
 )
 def test_malformed_request_gets_400_and_a_close(raw: bytes) -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client, other = await r.client(), await r.client()
             smuggled = b"GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
             client.writer.write(raw + smuggled)
             assert (await client.read()).status in (400, 413)
             assert await client.closed()
             assert (await other.ask()).status == 200
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
 
 def test_id_of_an_open_request_is_rejected_from_another_client() -> None:
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             first, second = await r.client(), await r.client()
             first.writer.write(request_bytes("order", X_Txn="5", remaining="400m"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             assert (await second.ask("order", X_Txn="5")).status == 400
             assert (await first.read()).status == 504
-            r.backends[0].behave = serves
+            r.backends[0].behave = respond_ok
             third = await r.client()
             # The id is not open any more.
             assert (await third.ask("order", X_Txn="5")).status == 200
-            assert len(r.backends[0].seen) == 2
+            assert len(r.backends[0].requests) == 2
 
     asyncio.run(run())
 
 
 def test_client_with_60_mb_to_send_gets_its_error_and_is_not_read_to_the_end() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             head = request_bytes("pay", drop=("Content-Length",), Content_length="60000000")
             client.writer.write(head)
@@ -728,22 +751,22 @@
             with contextlib.suppress(ConnectionError):
                 await asyncio.wait_for(sending, 3.0)
             assert sent < 30_000_000
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
 
     asyncio.run(run())
 
 
 def test_pipelined_requests_are_answered_in_order_and_malformed_input_behind_them_last() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             ids = [f"id-{i}" for i in range(60)]  # more than the parser queues
             client.writer.write(b"".join(request_bytes("search", X_Txn=i) for i in ids))
             for i in ids:
                 assert (await client.read()).body == b"served " + i.encode()
-            r.backends[0].behave = serves_slowly
+            r.backends[0].behave = respond_slowly
             client.writer.write(request_bytes("search", X_Txn="last"))
-            await r.until(lambda: len(r.backends[0].seen) == 61)
+            await r.until(lambda: len(r.backends[0].requests) == 61)
             client.writer.write(b"\x00nonsense\r\n")
             reply = await client.read()
             assert (reply.status, reply.body) == (200, b"served last")
@@ -755,7 +778,7 @@
 
 def test_response_ends_its_connection_when_half_of_the_connection_budget_is_used() -> None:
     async def run() -> None:
-        async with rig(serves, sockets=64) as r:
+        async with rig(respond_ok, sockets=64) as r:
             clients = [await r.client() for _ in range(18)]
             endings = [(await client.ask()).headers.get("connection") for client in clients]
             assert endings[0] == "close"  # 18 of a budget of 23 connections are open
@@ -767,7 +790,7 @@
 
 def test_new_silent_connections_are_shed_before_one_that_was_served() -> None:
     async def run() -> None:
-        async with rig(serves, sockets=64) as r:
+        async with rig(respond_ok, sockets=64) as r:
             served_client = await r.client()
             assert (await served_client.ask()).status == 200
             silent_ones = [await r.client() for _ in range(40)]
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -35,14 +35,14 @@
     Rig,
     Single,
     alone,
-    answer,
+    never_respond,
     raw_client,
     request_bytes,
+    respond_ok,
+    respond_ok_after,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    serves_after,
-    silent,
 )
 
 LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
@@ -82,7 +82,7 @@
     monkeypatch: pytest.MonkeyPatch, cancelling: bool, end: Callable[[socket.socket], None]
 ) -> None:
     async def run() -> None:
-        async with rig(serves, limits__cancelling=cancelling, **LONG_CONNECT_TIMEOUT) as r:
+        async with rig(respond_ok, limits__cancelling=cancelling, **LONG_CONNECT_TIMEOUT) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
@@ -93,7 +93,7 @@
             await wait_past_socket_check(r)
             gate.open.set()
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and not r.backends[0].seen
+            assert resources_released(r) and not r.backends[0].requests
             assert r.proxy._pool.open_count == 1  # open, and reusable for the next request
 
     asyncio.run(run())
@@ -104,20 +104,20 @@
     end: Callable[[socket.socket], None],
 ) -> None:
     async def run() -> None:
-        async with rig(silent, silent) as r:
+        async with rig(never_respond, never_respond) as r:
             for backend in r.backends:
-                backend.behave = says(b"")
+                backend.behave = respond_with(b"")
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: any(b.seen for b in r.backends))
-            first = next(b for b in r.backends if b.seen)
+            await r.until(lambda: any(b.requests for b in r.backends))
+            first = next(b for b in r.backends if b.requests)
             leave_unread(r, client, end)
             await hang_ups_pending(r)
             await wait_past_socket_check(r)
             (writer,) = first.writers
-            writer.write(answer(b"", 503, X_Turned_Away="1"))
+            writer.write(response_bytes(b"", 503, X_Turned_Away="1"))
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and sum(len(b.seen) for b in r.backends) == 1
+            assert resources_released(r) and sum(len(b.requests) for b in r.backends) == 1
 
     asyncio.run(run())
 
@@ -128,7 +128,7 @@
 ) -> None:
     async def run() -> None:
         go = asyncio.Event()
-        async with rig(serves_after(go), classes=LONG_OBJECTIVE) as r:
+        async with rig(respond_ok_after(go), classes=LONG_OBJECTIVE) as r:
             balancer = r.proxy._decider._balancer
             clients = []
             while not balancer.queue.count:
@@ -137,7 +137,7 @@
                 sent = len(clients)
                 await r.until(lambda sent=sent: len(balancer.requests.open) == sent)  # type: ignore[misc]
             served = len(clients) - 1
-            await r.until(lambda: len(r.backends[0].seen) == served)
+            await r.until(lambda: len(r.backends[0].requests) == served)
             leave_unread(r, clients[-1], end)
             await r.until(lambda: any(has_peer_hung_up(c.transport) for c in connections(r)))
             await wait_past_socket_check(r)
@@ -145,7 +145,7 @@
             go.set()
             await r.until(lambda: r.count("answers_ok") >= served)
             await r.until(lambda: resources_released(r))
-            assert len(r.backends[0].seen) == served
+            assert len(r.backends[0].requests) == served
             for client in clients[:-1]:
                 client.close()
 
@@ -170,11 +170,11 @@
     """First attempts, retries, hedges and queued attempts all pass through the backend's actor."""
 
     async def run() -> None:
-        stand_in, single = await alone(serves)
+        stand_in, single = await alone(respond_ok)
         if is_reused:
             single.send()
             await single.ended()
-        before = len(stand_in.seen)
+        before = len(stand_in.requests)
         departed = DepartedClient()
         tell = single.actor.tell
 
@@ -186,7 +186,7 @@
         single.send()
         assert (await single.ended(before + 1))[-1] == AttemptResult.NOT_SENT
         # The socket is checked, as the request arrived long ago.
-        assert len(stand_in.seen) == before and departed.socket_checks == [True]
+        assert len(stand_in.requests) == before and departed.socket_checks == [True]
         assert single.pool.open_count == int(is_reused)
         single.pool.close()
         await stand_in.stop()
@@ -201,7 +201,7 @@
     """The command is in the backend's mailbox when the hang-up is read."""
 
     async def run() -> None:
-        async with rig(serves, limits__cancelling=cancelling) as r:
+        async with rig(respond_ok, limits__cancelling=cancelling) as r:
             assert (await r.ask()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             tell = Backend.tell
@@ -216,7 +216,7 @@
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: r.count("attempts") == 2 and resources_released(r))
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
             client.close()
 
     asyncio.run(run())
@@ -256,17 +256,17 @@
     monkeypatch.setattr(frontend, "SWEEP_S", 1_000.0)  # no periodic checks
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             raw = (
                 request_bytes("order", body=b"x" * 200, remaining=LONG_REMAINING) + b"x" * body_size
             )
             await asyncio.wait_for(r.proxy.loop.sock_sendall(client, raw), 3)
             end(client)
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and len(r.backends[0].seen) == 1
+            assert resources_released(r) and len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
@@ -278,15 +278,15 @@
     monkeypatch.setattr(lingering_close, "MAX_DISCARDED_BYTES", 2_000_000)
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = await r.client()
             client.writer.write(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             sending = asyncio.create_task(_send_endlessly(client.writer))
             rejected = await client.read()
             assert (rejected.status, rejected.headers["connection"]) == (400, "close")
             await r.until(lambda: resources_released(r))
-            assert len(r.backends[0].seen) == 1 and r.count("attempts_cancelled") == 1
+            assert len(r.backends[0].requests) == 1 and r.count("attempts_cancelled") == 1
             sending.cancel()
             client.writer.transport.abort()
 
@@ -352,7 +352,7 @@
     """A delay under 0.1 s counts, too: the first request's age starts with its connection."""
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             assert (await r.ask()).status == 200
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             client = raw_client(r.proxy.port)
@@ -363,7 +363,7 @@
             client.send(b"\r\n")
             client.close()
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
-            assert len(r.backends[0].seen) == 1 and resources_released(r)
+            assert len(r.backends[0].requests) == 1 and resources_released(r)
 
     asyncio.run(run())
 
@@ -377,7 +377,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> None:
-        async with rig(serves, **LONG_CONNECT_TIMEOUT) as r:
+        async with rig(respond_ok, **LONG_CONNECT_TIMEOUT) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             reply_task = asyncio.create_task(r.ask(remaining="2900m"))
@@ -387,8 +387,8 @@
             held_ms = 1000 * (time.monotonic() - began)
             gate.open.set()
             assert (await reply_task).status == 200
-            (seen,) = r.backends[0].seen
-            assert 0 < remaining_ms(seen.header(b"X-Remaining")) <= 2900 - held_ms
+            (request,) = r.backends[0].requests
+            assert 0 < remaining_ms(request.header(b"X-Remaining")) <= 2900 - held_ms
 
     asyncio.run(run())
 
@@ -396,10 +396,10 @@
 def test_deadline_of_a_pipelined_request_counts_from_its_arrival() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        async with rig(serves_after(go)) as r:
+        async with rig(respond_ok_after(go)) as r:
             client = await r.client()
             client.writer.write(request_bytes(remaining="2900m"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             client.writer.write(request_bytes(remaining="2900m") + request_bytes(remaining="2900m"))
             await r.until(lambda: connections(r)[0].has_pipelined_input())
             sent = time.monotonic()
@@ -408,8 +408,8 @@
             go.set()
             for _ in range(3):
                 assert (await client.read()).status == 200
-            for seen in r.backends[0].seen[1:]:
-                assert remaining_ms(seen.header(b"X-Remaining")) <= 2900 - held_ms
+            for request in r.backends[0].requests[1:]:
+                assert remaining_ms(request.header(b"X-Remaining")) <= 2900 - held_ms
             client.close()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -21,14 +21,14 @@
     Directory,
     Rig,
     StandIn,
-    answer,
+    never_respond,
     raw_client,
     request_bytes,
     reset,
+    respond_ok,
+    respond_ok_after,
+    response_bytes,
     rig,
-    serves,
-    serves_after,
-    silent,
     tree_of,
 )
 from tests.policy import harness as helpers
@@ -64,13 +64,13 @@
     end: Callable[[socket.socket], None],
 ) -> None:
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = raw_client(r.proxy.port)
             client.send(b"".join(request_bytes(remaining=LONG_REMAINING) for _ in range(100)))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             end(client)
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and len(r.backends[0].seen) == 1
+            assert resources_released(r) and len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
@@ -81,17 +81,17 @@
     body_size: int, end: Callable[[socket.socket], None]
 ) -> None:
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             pipelined = (
                 request_bytes("order", body=b"x" * 200, remaining=LONG_REMAINING) + b"x" * body_size
             )
             assert client.send(pipelined) >= 100_000
             end(client)
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and len(r.backends[0].seen) == 1
+            assert resources_released(r) and len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
@@ -99,19 +99,19 @@
 def test_pipelined_input_over_the_limit_is_rejected_after_the_open_requests_response() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        serves_after_go = serves_after(go)
+        respond_ok_after_go = respond_ok_after(go)
 
-        async with rig(serves_after_go) as r:
+        async with rig(respond_ok_after_go) as r:
             client = await r.client()
             client.writer.write(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             client.writer.write(request_bytes() * (2 * MAX_PIPELINED_BYTES // 150))
             await r.until(lambda: any(c.deferred_error for c in connections(r)))
             go.set()
             assert (await client.read()).status == 200
             rejected = await client.read()
             assert (rejected.status, rejected.headers["connection"]) == (400, "close")
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
             client.close()
 
     asyncio.run(run())
@@ -119,12 +119,12 @@
 
 def test_pipelined_requests_within_the_limit_are_served_in_order() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             bodies = [b"%d" % i * 1000 for i in range(100)]
             client.writer.write(b"".join(request_bytes("order", body=b) for b in bodies))
             assert [(await client.read()).status for _ in bodies] == [200] * 100
-            assert [seen.body for seen in r.backends[0].seen] == bodies
+            assert [request.body for request in r.backends[0].requests] == bodies
             client.close()
 
     asyncio.run(run())
@@ -134,10 +134,10 @@
     """A half-close counts as a departure: the client gets no response after it."""
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             client.shutdown(socket.SHUT_WR)
             await r.until(lambda: no_open_requests_or_clients(r))
             assert resources_released(r) and r.count("attempts_cancelled") == 1
@@ -153,7 +153,7 @@
     """
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             with socket.socket() as listener:
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
@@ -195,14 +195,14 @@
     monkeypatch.setattr(deadlines, "PENALTY_S", 0.3)
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(drop=("X-Txn",)))
             await r.until(lambda: r.count("requests_bad") == 1)
             client.send(request_bytes())
             end(client)
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert not r.backends[0].seen and not r.count("requests")
+            assert not r.backends[0].requests and not r.count("requests")
 
     asyncio.run(run())
 
@@ -212,7 +212,7 @@
     """The process was suspended meanwhile: the request and the hang-up are read together."""
 
     async def run(poll: TimedSelector) -> None:
-        backend = StandIn(serves)
+        backend = StandIn(respond_ok)
         await backend.start()
         directory = Directory([backend.row()])
         await directory.start()
@@ -223,7 +223,7 @@
         # Both at once, so that two connections to the backend stay idle.
         for client in (leaving, staying):
             client.send(request_bytes())
-        await r.until(lambda: len(backend.seen) == 2 and r.count("answers_ok") == 2)
+        await r.until(lambda: len(backend.requests) == 2 and r.count("answers_ok") == 2)
         if not is_reused:
             leaving.close()
             await r.until(lambda: proxy._frontend.connection_count == 1)
@@ -233,7 +233,7 @@
         staying.send(request_bytes())
         time.sleep(0.25)
         await r.until(lambda: proxy._frontend.connection_count == 1 and r.count("answers_ok") == 3)
-        assert len(backend.seen) == 3 and resources_released(r)
+        assert len(backend.requests) == 3 and resources_released(r)
         staying.close()
         await proxy.stop(0.0)
         await directory.stop()
@@ -250,7 +250,7 @@
     """Accepting is delayed for lack of descriptors until the client has left."""
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             frontend = r.proxy._frontend
             assert (await r.ask()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: frontend.connection_count == 0)
@@ -262,7 +262,7 @@
                 staying.send(request_bytes())
                 await r.until(lambda: frontend.budget.waiting_since is not None)
             await r.until(lambda: r.count("answers_ok") == 2 and frontend.connection_count == 1)
-            assert len(r.backends[0].seen) == 2 and resources_released(r)
+            assert len(r.backends[0].requests) == 2 and resources_released(r)
             staying.close()
 
     asyncio.run(run())
@@ -273,8 +273,8 @@
     monkeypatch.setitem(STATE_TIMEOUT_S, ConnectionState.IDLE, 0.2)
 
     async def run() -> None:
-        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"z" * 60_000))
+        async def long_response(request: Any, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(b"z" * 60_000))
 
         async with rig(long_response) as r:
             client = socket.socket()
@@ -284,7 +284,7 @@
             client.send(b"".join(request_bytes(remaining=LONG_REMAINING) for _ in range(200)))
             await r.until(lambda: r.count("connections_overdue") == 1, 8.0)
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and len(r.backends[0].seen) < 200
+            assert resources_released(r) and len(r.backends[0].requests) < 200
             client.close()
 
     asyncio.run(run())
@@ -292,7 +292,7 @@
 
 def test_clients_that_leave_in_a_burst_leave_no_state_behind() -> None:
     async def run() -> None:
-        async with rig(silent, silent, silent) as r:
+        async with rig(never_respond, never_respond, never_respond) as r:
             clients = [raw_client(r.proxy.port) for _ in range(60)]
             for client in clients:
                 client.send(request_bytes(remaining=LONG_REMAINING))
@@ -301,25 +301,25 @@
                 DEPARTURES[i % 2](client)
             await r.until(lambda: no_open_requests_or_clients(r))
             assert resources_released(r)
-            sent = sum(len(b.seen) for b in r.backends)
+            sent = sum(len(b.requests) for b in r.backends)
             for backend in r.backends:
-                backend.behave = serves
+                backend.behave = respond_ok
             assert (await r.ask()).status == 200
-            assert sum(len(b.seen) for b in r.backends) == sent + 1
+            assert sum(len(b.requests) for b in r.backends) == sent + 1
 
     asyncio.run(run())
 
 
 def test_id_of_a_request_whose_client_left_can_be_reused() -> None:
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             raw = request_bytes("pay", remaining=LONG_REMAINING, body=b"x")
             client = raw_client(r.proxy.port)
             client.send(raw)
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             client.close()
             await r.until(lambda: no_open_requests_or_clients(r))
-            r.backends[0].behave = serves
+            r.backends[0].behave = respond_ok
             again = await r.client()
             again.writer.write(raw)
             assert (await again.read()).status == 200
@@ -350,7 +350,7 @@
     """The connection closes after the first response, before the second request is started."""
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             unpatched_after_response = Connection.after_response
 
             def close_after_response(self: Connection, transport: asyncio.Transport) -> None:
@@ -367,7 +367,7 @@
             assert (await client.read()).status == 200
             assert await client.closed()
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert len(r.backends[0].seen) == 1 and r.count("requests") == 1
+            assert len(r.backends[0].requests) == 1 and r.count("requests") == 1
             client.close()
 
     asyncio.run(run())
@@ -375,8 +375,8 @@
 
 def test_pipelined_body_of_a_slow_reader_is_read_completely() -> None:
     async def run() -> None:
-        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"z" * 60_000))
+        async def long_response(request: Any, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(b"z" * 60_000))
 
         async with rig(long_response) as r:
             client = socket.socket()
@@ -395,7 +395,7 @@
                     received_bytes += len(await r.proxy.loop.sock_recv(client, 65536))
             await sending
             await r.until(lambda: r.count("answers_ok") == count)
-            assert [s.body for s in r.backends[0].seen] == bodies
+            assert [s.body for s in r.backends[0].requests] == bodies
             client.close()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -9,7 +9,15 @@
 import pytest
 
 from tests.net.discovery.test_watch_recovery import MODES, wait_until_watching
-from tests.peers import Client, Seen, answer, request_bytes, rig, serves, serves_after
+from tests.peers import (
+    Client,
+    ReceivedRequest,
+    request_bytes,
+    respond_ok,
+    respond_ok_after,
+    response_bytes,
+    rig,
+)
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -18,13 +26,13 @@
 ) -> None:
     async def run() -> None:
         go = asyncio.Event()
-        async with rig(serves_after(go), serves, discovery=mode) as r:
+        async with rig(respond_ok_after(go), respond_ok, discovery=mode) as r:
             removed, kept = r.backends
             await wait_until_watching(r)
             client, reply_task = await r.client(), None
-            while not removed.seen:  # until an attempt is in flight there
+            while not removed.requests:  # until an attempt is in flight there
                 reply_task = asyncio.create_task(client.ask(remaining="3900m"))
-                await r.until(lambda: bool(removed.seen) or reply_task.done())  # noqa: B023
+                await r.until(lambda: bool(removed.requests) or reply_task.done())  # noqa: B023
             r.directory.members, r.directory.whole = [kept.row()], True
             r.directory.tell()
             await r.until(lambda: r.proxy._decider.listed_count() == 1)
@@ -32,9 +40,9 @@
             # The attempt in flight continues.
             assert reply_task is not None and (await reply_task).status == 200
             await r.until(lambda: removed.ended == removed.opened)  # no connection stays open
-            seen = len(removed.seen)
+            request_count = len(removed.requests)
             assert [(await client.ask()).status for _ in range(20)] == [200] * 20
-            assert len(removed.seen) == seen
+            assert len(removed.requests) == request_count
             client.close()
 
     asyncio.run(run())
@@ -86,11 +94,13 @@
                     await asyncio.sleep(0)
                 reply = await client.read()
                 assert reply.status == 200, (name, reply)
-            assert [s.body for s in r.backends[0].seen] == [body for _, _, body in request_forms()]
+            assert [s.body for s in r.backends[0].requests] == [
+                body for _, _, body in request_forms()
+            ]
             client.close()
 
-    async def reads(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer())
+    async def reads(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(response_bytes())
 
     asyncio.run(run())
 
@@ -102,7 +112,7 @@
     mode: str, piece: int, form: str
 ) -> None:
     async def run() -> None:
-        async with rig(serves, serves, discovery=mode) as r:
+        async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
             unframed_list = r.directory._list
 
@@ -123,10 +133,10 @@
             r.directory.piece = piece
             r.directory.tell(r.backends[0].row("DRAINING"))
             await r.until(lambda: r.proxy._decider.out_of_rotation_count() == 1, 8.0)
-            seen = len(r.backends[0].seen)
+            request_count = len(r.backends[0].requests)
             for _ in range(10):
                 assert (await r.ask()).status == 200
-            assert len(r.backends[0].seen) == seen
+            assert len(r.backends[0].requests) == request_count
 
     asyncio.run(run())
 
@@ -136,7 +146,7 @@
 )
 def test_partial_line_on_an_idle_backend_connection_reaches_no_client(partial_input: bytes) -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             backend = r.backends[0]
             client: Client = await r.client()
             assert (await client.ask()).status == 200
@@ -144,7 +154,7 @@
             writer.write(partial_input)
             await r.until(lambda: backend.ended == 1)
             assert (await client.ask()).status == 200
-            assert [s.connection for s in backend.seen] == [1, 2]
+            assert [s.connection for s in backend.requests] == [1, 2]
             client.close()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_requests.py
+++ b/tests/net/client_side/test_net_requests.py
@@ -7,29 +7,36 @@
 import pytest
 
 from mothstall.net.client_side import deadlines
-from tests.peers import Seen, answer, request_bytes, rig, says, serves
+from tests.peers import (
+    ReceivedRequest,
+    request_bytes,
+    respond_ok,
+    respond_with,
+    response_bytes,
+    rig,
+)
 
 
 def test_method_target_query_body_and_ids_are_forwarded_unchanged() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             target = "/pay//a/../%2f%zz;x?b=+%20&c[]=1&d=%C3%A9?"
             body = bytes(range(256)) * 8
             reply = await r.ask(
                 "pay", target=target + "e", body=body, X_Txn="9b1F03aa", X_Odd="a, b"
             )
             assert reply.status == 200 and reply.body == b"served 9b1F03aa"
-            (seen,) = r.backends[0].seen
-            assert seen.line == b"POST " + target.encode() + b"e HTTP/1.1"
-            assert seen.body == body
-            assert seen.header(b"X-Txn") == b"9b1F03aa"
-            assert seen.header(b"Idempotency-Key") == b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-            assert seen.header(b"Host") == b"service.internal"
-            assert seen.header(b"X-Odd") == b"a, b"
-            names = [n.lower() for n, _ in seen.headers]
+            (request,) = r.backends[0].requests
+            assert request.line == b"POST " + target.encode() + b"e HTTP/1.1"
+            assert request.body == body
+            assert request.header(b"X-Txn") == b"9b1F03aa"
+            assert request.header(b"Idempotency-Key") == b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+            assert request.header(b"Host") == b"service.internal"
+            assert request.header(b"X-Odd") == b"a, b"
+            names = [n.lower() for n, _ in request.headers]
             assert names.count(b"x-remaining") == names.count(b"content-length") == 1
             assert b"user-agent" not in names and b"accept-encoding" not in names
-            left = seen.header(b"X-Remaining") or b""
+            left = request.header(b"X-Remaining") or b""
             assert left.endswith(b"u") and 700_000 < int(left[:-1]) <= 800_000
 
     asyncio.run(run())
@@ -38,10 +45,10 @@
 def test_response_of_the_backend_is_relayed_unchanged() -> None:
     async def run() -> None:
         load = "util=1,queue=2"
-        raw = answer(
+        raw = response_bytes(
             b"\x1f\x8b\x00raw", Content_Type="x/y", Content_Encoding="gzip", X_Pressure=load
         )
-        async with rig(says(raw)) as r:
+        async with rig(respond_with(raw)) as r:
             reply = await r.ask("order")
             assert (reply.status, reply.body) == (200, b"\x1f\x8b\x00raw")
             assert (
@@ -55,20 +62,20 @@
 
 def test_redirects_and_cookies_are_left_to_the_client() -> None:
     async def run() -> None:
-        raw = answer(b"", 302, Location="/elsewhere", Set_Cookie="a=b")
-        async with rig(says(raw)) as r:
+        raw = response_bytes(b"", 302, Location="/elsewhere", Set_Cookie="a=b")
+        async with rig(respond_with(raw)) as r:
             assert (await r.ask("order")).status == 502
-            r.backends[0].behave = serves
+            r.backends[0].behave = respond_ok
             await r.ask("order")
-            assert [s.line for s in r.backends[0].seen] == [b"POST /order HTTP/1.1"] * 2
-            assert r.backends[0].seen[1].header(b"Cookie") is None
+            assert [s.line for s in r.backends[0].requests] == [b"POST /order HTTP/1.1"] * 2
+            assert r.backends[0].requests[1].header(b"Cookie") is None
 
     asyncio.run(run())
 
 
 def test_invalid_requests_get_400_and_reach_no_backend() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             rejected_count = 0
             for changes in (
                 {"drop": ("X-Txn",), "lane": "pay"},
@@ -104,7 +111,7 @@
                 client = await r.client()
                 reply = await client.ask(**{"lane": "search", **changes})  # type: ignore[arg-type]
                 assert reply.status == 400, changes
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
             assert r.count("requests_bad") + r.count("requests_malformed") == rejected_count
 
     asyncio.run(run())
@@ -116,7 +123,7 @@
     monkeypatch.setattr(deadlines, "PENALTY_S", 0.3)
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             loop = asyncio.get_running_loop()
             client, other, start = await r.client(), await r.client(), loop.time()
             assert (await client.ask("search", remaining="soon")).status == 400
@@ -125,14 +132,14 @@
             assert (await other.ask("search")).status == 200
             assert (await client.read()).status == 200
             assert loop.time() - start >= 0.3
-            assert len(r.backends[0].seen) == 2 and r.count("requests_bad") == 1
+            assert len(r.backends[0].requests) == 2 and r.count("requests_bad") == 1
 
     asyncio.run(run())
 
 
 def test_hop_by_hop_headers_are_not_forwarded() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             headers = {
                 "Connection": "X-Mine, X-Txn",
                 "X_Mine": "1",
@@ -140,19 +147,19 @@
                 "TE": "trailers",
             }
             assert (await r.ask("search", X_Yours="2", **headers)).status == 200
-            seen = r.backends[0].seen[0]
+            request = r.backends[0].requests[0]
             for name in (b"X-Mine", b"Keep-Alive", b"TE", b"Connection"):
-                assert seen.header(name) is None, name
-            assert seen.header(b"X-Yours") == b"2" and seen.header(b"X-Txn")
+                assert request.header(name) is None, name
+            assert request.header(b"X-Yours") == b"2" and request.header(b"X-Txn")
 
     asyncio.run(run())
 
 
 def test_body_over_the_maximum_gets_an_error_and_reaches_no_backend() -> None:
     async def run() -> None:
-        async with rig(serves, body_mb=1) as r:
+        async with rig(respond_ok, body_mb=1) as r:
             assert (await r.ask("pay", body=b"x" * ((1 << 20) + 1))).status == 413
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
             assert (await r.ask("pay", body=b"x" * (64 * 1024))).status == 200
 
     asyncio.run(run())
@@ -160,7 +167,7 @@
 
 def test_malformed_http_ends_only_its_own_connection(caplog: pytest.LogCaptureFixture) -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             other, malformed = await r.client(), await r.client()
             assert (await other.ask()).status == 200
             malformed.writer.write(b"\x00\x01 nonsense\r\n\r\n")
@@ -175,28 +182,28 @@
 
 def test_chunked_request_is_forwarded_completely() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             head = request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked")
             client.writer.write(head + b"3\r\nabc\r\n")
             await asyncio.sleep(0.02)
             client.writer.write(b"2\r\nde\r\n0\r\n\r\n")
             assert (await client.read()).status == 200
-            assert r.backends[0].seen[0].body == b"abcde"
+            assert r.backends[0].requests[0].body == b"abcde"
 
     asyncio.run(run())
 
 
 def test_expect_100_continue_is_answered() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             request = request_bytes("pay", body=b"abc", Expect="100-continue")
             client.writer.write(request[:-3])
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
             client.writer.write(b"abc")
             assert (await client.read()).status == 200
-            assert r.backends[0].seen[0].header(b"Expect") is None
+            assert r.backends[0].requests[0].header(b"Expect") is None
 
     asyncio.run(run())
 
@@ -216,19 +223,19 @@
 
 def test_client_that_leaves_cancels_its_attempt() -> None:
     async def run() -> None:
-        async def never_answers(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def never_answers(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.3)
 
         async with rig(never_answers) as r:
             client = await r.client()
             client.writer.write(request_bytes("order"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             client.close()
             await r.until(lambda: r.count("attempts_cancelled") == 1)
             await r.until(lambda: r.backends[0].ended == 1)
             assert r.count("requests_left") == 1
             assert r.count("answers_ok") == r.count("answers_failed") == 0
-            r.backends[0].behave = serves
+            r.backends[0].behave = respond_ok
             assert (await r.ask("order")).status == 200
 
     asyncio.run(run())
@@ -236,7 +243,7 @@
 
 def test_readiness_and_counters_are_served_on_the_clients_address() -> None:
     async def run() -> None:
-        async with rig(serves, listed=False) as r:
+        async with rig(respond_ok, listed=False) as r:
             r.directory.hangs = True
             client = await r.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -248,6 +255,6 @@
             client.writer.write(b"GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")
             text = (await client.read()).body.decode()
             assert "requests 0\n" in text and "connections 1\n" in text
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_shutdown.py
+++ b/tests/net/client_side/test_net_shutdown.py
@@ -26,15 +26,15 @@
 from tests.net.test_process import MAIN, ROOT
 from tests.peers import (
     Directory,
+    ReceivedRequest,
     Rig,
-    Seen,
+    never_respond,
     raw_client,
     request_bytes,
     reset,
+    respond_ok,
+    respond_ok_after,
     rig,
-    serves,
-    serves_after,
-    silent,
     tree_of,
 )
 from tests.ports import free_port
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("ahead", ["half a request", "a request"])
 def test_input_on_an_idle_connection_that_is_being_closed_is_discarded(ahead: str) -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes())
             assert response_count(await receive(r, client)) == 1
@@ -84,7 +84,7 @@
             client.shutdown(socket.SHUT_WR)
             await stopping
             assert await receive(r, client, until_end=True) == b""
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
             client.close()
 
     asyncio.run(run())
@@ -93,18 +93,18 @@
 def test_last_response_is_not_reset_by_input_behind_its_request() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        serves_after_go = serves_after(go)
+        respond_ok_after_go = respond_ok_after(go)
 
-        async with rig(serves_after_go) as r:
+        async with rig(respond_ok_after_go) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(Connection="close"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             stop_reading(r, idle=1)
             client.send(request_bytes())
             go.set()
             received = await receive(r, client, until_end=True)
             assert response_count(received) == 1 and b"served" in received
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
             client.close()
 
     asyncio.run(run())
@@ -115,7 +115,7 @@
         monkeypatch.setitem(STATE_TIMEOUT_S, state, 0.2)
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             idle_client, flooding = raw_client(r.proxy.port), raw_client(r.proxy.port)
             for client in (idle_client, flooding):
                 client.send(request_bytes(Connection="close"))
@@ -138,7 +138,7 @@
 
 def test_connections_in_the_backlog_at_shutdown_are_served() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             # None is accepted before the loop runs.
             clients = [raw_client(r.proxy.port) for _ in range(3)]
             for client in clients:
@@ -162,7 +162,7 @@
     monkeypatch.setattr(frontend, "SILENT_S", 2.0)
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = raw_client(r.proxy.port)
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             await r.until(
@@ -183,12 +183,12 @@
 def test_pipelined_request_is_not_forwarded_during_shutdown() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        serves_after_go = serves_after(go)
+        respond_ok_after_go = respond_ok_after(go)
 
-        async with rig(serves_after_go) as r:
+        async with rig(respond_ok_after_go) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes() + request_bytes())
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             await r.until(lambda: not r.proxy._frontend.acceptor._listener)
             client.send(request_bytes())
@@ -197,14 +197,14 @@
             assert response_count(received) == 1 and b"connection: close" in received.lower()
             client.close()
             await stopping
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
 
 def test_request_completed_as_the_shutdown_begins_is_served() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             idle_client, incomplete = await r.client(), await r.client()
             assert (await idle_client.ask()).status == 200
             raw = request_bytes("order", body=b"whole")
@@ -226,14 +226,14 @@
 def test_drain_undone_at_once_closes_nothing_and_leaves_nothing_open() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        serves_after_go = serves_after(go)
+        respond_ok_after_go = respond_ok_after(go)
 
-        async with rig(serves, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, operators="127.0.0.1:0") as r:
             idle_client, busy = await r.client(), await r.client()
             assert (await idle_client.ask()).status == 200
-            r.backends[0].behave = serves_after_go
+            r.backends[0].behave = respond_ok_after_go
             busy.writer.write(request_bytes())
-            await r.until(lambda: len(r.backends[0].seen) == 2)
+            await r.until(lambda: len(r.backends[0].requests) == 2)
             for path in (
                 "/api/evacuate",
                 "/api/rejoin",
@@ -261,7 +261,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             listener = r.proxy._frontend.acceptor._listener
             assert listener is not None
             accept = listener.accept
@@ -288,7 +288,7 @@
 
 def test_every_client_gets_a_response_after_a_start_with_half_of_the_backends_hanging() -> None:
     async def run() -> None:
-        async with rig(silent, serves, silent, serves) as r:
+        async with rig(never_respond, respond_ok, never_respond, respond_ok) as r:
 
             async def ask_until_served() -> int:
                 for _ in range(40):
@@ -309,7 +309,7 @@
     async def run() -> None:
         body = b"z" * 60_000
 
-        async def long_response(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def long_response(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + body)
 
         async with rig(long_response) as r:
@@ -330,10 +330,10 @@
 
 def test_hanging_attempt_does_not_delay_shutdown_past_the_longest_deadline() -> None:
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = await r.client()
             client.writer.write(request_bytes("order", remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             started_s = r.proxy.loop.time()
             stopping = asyncio.create_task(r.proxy.stop(0.0))
             assert (await client.read()).status in (502, 504)  # it may have run, so no 503
@@ -408,7 +408,7 @@
     """The admin server closes connections in the same way, and writes responses at once."""
 
     async def run() -> None:
-        async with rig(serves, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, operators="127.0.0.1:0") as r:
             for path, method in CALLS.items():
                 caller = raw_client(r.proxy.admin_port)
                 caller.send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode() + b"x" * 20_000)
@@ -433,7 +433,7 @@
 
 def test_small_writes_are_not_delayed_by_nagles_algorithm(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        async with rig(serves, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, operators="127.0.0.1:0") as r:
             client = await r.client()
             assert (await client.ask()).status == 200
             backend_transports = [link.transport for link in r.proxy._pool.connections]
@@ -501,7 +501,7 @@
 
     async def run() -> None:
         for allowed in (True, False):
-            async with rig(serves, limits__retry_after=allowed) as r:
+            async with rig(respond_ok, limits__retry_after=allowed) as r:
                 client = await r.client()
                 client.writer.write(request_bytes("order", body=b"whole")[:-3])
                 by_state = r.proxy._frontend.table.by_state
--- a/tests/net/client_side/test_net_states.py
+++ b/tests/net/client_side/test_net_states.py
@@ -13,7 +13,7 @@
     ConnectionState,
 )
 from tests.net.conftest import Edge
-from tests.peers import request_bytes, rig, serves
+from tests.peers import request_bytes, respond_ok, rig
 
 SOURCES = sorted(Path(client_side.__path__[0]).glob("*.py"))
 S = ConnectionState
@@ -68,7 +68,7 @@
 
 def test_request_passes_through_the_states_in_order(state_changes: list[Edge]) -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             client.writer.write(request_bytes("order", body=b"x" * 9)[:-3])
             by_state = r.proxy._frontend.table.by_state
@@ -91,7 +91,7 @@
     edges = {(row.source, row.target) for row in TRANSITIONS if row.target is not S.PENALIZED}
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             client.writer.write(request_bytes(drop=("X-Txn",)))
             assert (await client.read()).status == 400
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -24,7 +24,7 @@
 from mothstall.net.client_side import connection_states, deadlines, request_body, response_relay
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.proxy import Proxy
-from tests.peers import Directory, StandIn, answer, request_bytes, reset, tree_of
+from tests.peers import Directory, StandIn, request_bytes, reset, response_bytes, tree_of
 
 SEEDS = range(40)
 CLIENTS = 12
@@ -89,9 +89,9 @@
         elif kind == "bad":
             writer.write(b"no response at all\r\n\r\n")
         elif kind == "busy":
-            writer.write(answer(b"busy", 503))
+            writer.write(response_bytes(b"busy", 503))
         elif kind == "short":
-            writer.write(answer(b"short"))
+            writer.write(response_bytes(b"short"))
         elif kind == "chunked":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (LONG_BYTES, b"c" * LONG_BYTES))
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -10,7 +10,7 @@
 from mothstall.interface import UpdateScope
 from mothstall.net.discovery import discovery
 from mothstall.net.discovery.discovery import EndpointsUpdated
-from tests.peers import MS, Rig, answer, rig, serves
+from tests.peers import MS, Rig, respond_ok, response_bytes, rig
 
 MODES = ["ask", "push"]
 
@@ -46,7 +46,7 @@
     monkeypatch.setattr(discovery, "WAIT_MARGIN_S", 0.3)
 
     async def run() -> None:
-        async with rig(serves, serves, discovery=mode) as r:
+        async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
             release = r.directory.held = asyncio.Event()  # the next watch call is never answered
             calls = len(r.directory.calls)
@@ -66,7 +66,7 @@
     monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
     async def run() -> None:
-        async with rig(serves, serves, discovery=mode) as r:
+        async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
             if mode == "push":
                 # The drain counts even without a watch: the watch has to be reopened without a pause,
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize(
-    "first_bytes", [b"H", b"HTTP/1.1 200 OK\r\nContent-", answer(b"{" * 90)[:-80]]
+    "first_bytes", [b"H", b"HTTP/1.1 200 OK\r\nContent-", response_bytes(b"{" * 90)[:-80]]
 )
 def test_a_slowly_sent_response_is_retried_long_before_the_wait_is_over(
     monkeypatch: pytest.MonkeyPatch, mode: str, first_bytes: bytes
@@ -92,7 +92,7 @@
     monkeypatch.setattr(discovery, "MIN_WAIT_S", 60.0)
 
     async def run() -> None:
-        async with rig(serves, serves, discovery=mode) as r:
+        async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
             r.directory.revision += 1
             r.directory.changes[r.directory.revision] = [r.backends[0].row("DRAINING")]
@@ -111,7 +111,7 @@
     monkeypatch.setattr(discovery, "CALL_TIMEOUT_S", 60.0)
 
     async def run() -> None:
-        async with rig(serves, serves, discovery="push") as r:
+        async with rig(respond_ok, respond_ok, discovery="push") as r:
             await wait_until_watching(r)
             release = r.directory.held = asyncio.Event()
             r.directory.cut()
@@ -131,7 +131,7 @@
             "discovery": "push",
             "contract--stop_sending_within_ns": 20_000 * MS,
         }
-        async with rig(serves, serves, held=release, **changes) as r:
+        async with rig(respond_ok, respond_ok, held=release, **changes) as r:
             await r.until(lambda: len(r.directory.calls) == 1)
             client = await r.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -141,7 +141,7 @@
             await r.until(r.proxy._frontend.accepts_new_clients)
             for _ in range(6):
                 assert (await r.ask()).status == 200
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
             client.close()
 
     asyncio.run(run())
@@ -150,7 +150,7 @@
 def test_a_start_with_a_silent_agent_uses_the_cached_list_after_a_bounded_time() -> None:
     async def run() -> None:
         release = asyncio.Event()
-        async with rig(serves, held=release, discovery="push") as r:
+        async with rig(respond_ok, held=release, discovery="push") as r:
             await r.until(r.proxy._frontend.accepts_new_clients, 4.0)
             assert r.count("discovery_failures") >= 1
             assert (await r.ask()).status == 200
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("mode", MODES)
 def test_a_drain_during_an_outage_of_discovery_is_delivered_after_it(mode: str) -> None:
     async def run() -> None:
-        async with rig(serves, serves, discovery=mode) as r:
+        async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
             await r.directory.stop()
             r.directory.cut()
@@ -178,12 +178,14 @@
 @pytest.mark.parametrize("how", ["cut short", "an older revision", "no end"])
 def test_an_unusable_response_changes_nothing_and_the_next_one_counts(how: str) -> None:
     async def run() -> None:
-        async with rig(serves, serves) as r:
+        async with rig(respond_ok, respond_ok) as r:
             await wait_until_watching(r)
             old = b'{"revision": 0, "complete": true, "members": []}'
             r.directory.raw = {
-                "cut short": answer(b'{"revision": 9, "complete": true, "members": []}')[:-9],
-                "an older revision": answer(old),
+                "cut short": response_bytes(b'{"revision": 9, "complete": true, "members": []}')[
+                    :-9
+                ],
+                "an older revision": response_bytes(old),
                 "no end": b"HTTP/1.1 200 OK\r\n\r\n" + old.replace(b"0", b"9", 1),
             }[how]
             r.directory.cut()
@@ -204,7 +206,7 @@
 @pytest.mark.parametrize("mode", MODES)
 def test_an_indented_endpoint_list_is_parsed(mode: str) -> None:
     async def run() -> None:
-        async with rig(serves, serves, discovery=mode) as r:
+        async with rig(respond_ok, respond_ok, discovery=mode) as r:
             r.directory.indent = 4
             await wait_until_watching(r)
             r.directory.tell(r.backends[0].row("DRAINING"))
@@ -217,7 +219,7 @@
     """The agent takes longer to respond than a first call lasts, which a drain's grace limits."""
 
     async def run() -> None:
-        async with rig(serves, serves, listed=False, discovery="push") as r:
+        async with rig(respond_ok, respond_ok, listed=False, discovery="push") as r:
             reply = r.directory._reply
 
             async def late(target: str) -> bytes:
@@ -234,7 +236,7 @@
 def test_a_grace_of_zero_causes_no_busy_loop() -> None:
     async def run() -> None:
         changes: dict[str, Any] = {"discovery": "push", "contract--stop_sending_within_ns": 0}
-        async with rig(serves, **changes) as r:
+        async with rig(respond_ok, **changes) as r:
             await wait_until_watching(r)
             await r.directory.stop()
             r.directory.cut()
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -9,17 +9,17 @@
 from mothstall.interface import UpdateScope
 from mothstall.net.discovery.discovery import EndpointsUpdated, SetWatching
 from mothstall.net.proxy import Proxy
-from tests.peers import Directory, StandIn, answer, rig, serves, tree_of
+from tests.peers import Directory, StandIn, respond_ok, response_bytes, rig, tree_of
 
 
 def test_a_watch_delivers_drains_and_new_backends_at_once() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             old = r.backends[0]
             assert (await r.ask()).status == 200
             # The first call polls missed changes, the second one watches.
             await r.until(lambda: len(r.directory.calls) >= 2)
-            new = StandIn(serves, "s-new")
+            new = StandIn(respond_ok, "s-new")
             await new.start()
             r.backends.append(new)
             updates_before = r.count("list_updates")
@@ -29,7 +29,7 @@
             assert old.ended == old.opened == 1  # its idle connection is closed
             for lane in ("search", "pay", "order"):
                 assert (await r.ask(lane)).status == 200
-            assert len(old.seen) == 1 and len(new.seen) == 3
+            assert len(old.requests) == 1 and len(new.requests) == 3
 
     asyncio.run(run())
 
@@ -38,14 +38,14 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def respond_after_gate(seen: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond_after_gate(request: Any, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer(b"done"))
+            writer.write(response_bytes(b"done"))
 
         async with rig(respond_after_gate) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             request = asyncio.create_task(r.ask("order"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             r.directory.tell({"id": "s-0", "phase": "DELETED"})
             await asyncio.sleep(0.05)
             gate.set()
@@ -58,7 +58,7 @@
 
 def test_the_next_watch_follows_within_200_ms_and_from_the_received_version() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             for _ in range(3):
                 before = len(r.directory.calls)
@@ -71,10 +71,10 @@
 
 def test_a_restarted_backend_at_a_new_address_warms_up_as_a_new_one() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.ask()
             await r.until(lambda: len(r.directory.calls) >= 2)
-            restarted = StandIn(serves, "s-0")
+            restarted = StandIn(respond_ok, "s-0")
             await restarted.start()
             r.backends.append(restarted)
             now_ms = r.proxy._clock.now() // 1_000_000
@@ -85,18 +85,18 @@
             assert balanced.started_ns == now_ms * 1_000_000
             assert r.proxy._decider._balancer.slow_start.warmth(balanced) < 0.3
             await r.ask(remaining="900m")
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
 
 def test_versions_never_go_backward() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             r.directory.tell(r.backends[0].row())
             await r.until(lambda: r.count("list_updates") >= 3)
-            r.directory.raw = answer(b'{"revision":1,"complete":true,"members":[]}')
+            r.directory.raw = response_bytes(b'{"revision":1,"complete":true,"members":[]}')
             news, r.directory.news = r.directory.news, asyncio.Event()
             news.set()
             await r.until(lambda: r.count("discovery_failures") >= 1)
@@ -108,17 +108,19 @@
 def test_malformed_and_rejected_polls_leave_the_list_unchanged_and_are_retried() -> None:
     async def run() -> None:
         for raw in (
-            answer(b"{", 200),
-            answer(b'{"revision":"x","complete":true,"members":[]}'),
-            answer(b'{"revision":9,"complete":true,"members":[{"id":"s-0","phase":"SERVING"}]}'),
-            answer(
+            response_bytes(b"{", 200),
+            response_bytes(b'{"revision":"x","complete":true,"members":[]}'),
+            response_bytes(
+                b'{"revision":9,"complete":true,"members":[{"id":"s-0","phase":"SERVING"}]}'
+            ),
+            response_bytes(
                 b'{"revision":9,"complete":true,"members":[{"id":"s-0","phase":"LOST","host_port":"a:1"}]}'
             ),
-            answer(b"[]"),
-            answer(b"", 503),
+            response_bytes(b"[]"),
+            response_bytes(b"", 503),
             b"\x00\x01\r\n\r\n",
         ):
-            async with rig(serves) as r:
+            async with rig(respond_ok) as r:
                 r.directory.raw = raw
                 await r.until(lambda r=r: r.count("discovery_failures") >= 1)  # type: ignore[misc]
                 assert (await r.ask()).status == 200
@@ -130,12 +132,12 @@
 
 def test_a_discovery_that_hangs_or_is_down_does_not_delay_the_proxy() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             r.directory.hangs = True
             assert (await r.ask()).status == 200
             await r.until(lambda: r.count("discovery_failures") >= 1, 4.0)
 
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         directory = Directory([])
         await directory.start()
@@ -157,7 +159,7 @@
 
 def test_a_silent_watch_is_cancelled_before_its_events_count_as_delivered() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             r.directory.hangs, silent_since = True, asyncio.get_running_loop().time()
             r.directory.news.set()
@@ -176,7 +178,7 @@
 
 def test_watch_requests_during_a_call_in_flight_share_its_response() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             updates: list[EndpointsUpdated] = []
             r.proxy._discovery._report = updates.append
@@ -194,7 +196,7 @@
 
 def test_the_proxy_watches_from_the_start_where_the_list_is_pushed() -> None:
     async def run() -> None:
-        async with rig(serves, listed=False, discovery="push") as r:
+        async with rig(respond_ok, listed=False, discovery="push") as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             r.directory.tell(r.backends[0].row())
             await r.until(lambda: r.count("list_updates") >= 3, 0.2)
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -42,7 +42,15 @@
 from tests.net.admin.test_admin_server import Platform
 from tests.net.test_net_body_relay import BODY, long_response, read_long
 from tests.peers import Client as Reader
-from tests.peers import Directory, Seen, StandIn, answer, call, request_bytes, serves
+from tests.peers import (
+    Directory,
+    ReceivedRequest,
+    StandIn,
+    call,
+    request_bytes,
+    respond_ok,
+    response_bytes,
+)
 from tests.policy.harness import settings
 
 MEMORY = InheritedState(
@@ -203,14 +211,14 @@
         await stand_in.stop()
 
 
-async def respond_after_300_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_after_300_ms(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.3)
-    writer.write(answer(b"late"))
+    writer.write(response_bytes(b"late"))
 
 
 def test_idle_connections_survive_an_upgrade_without_closing_on_a_request(tmp_path: Path) -> None:
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
             old, _ = await p.start()
             clients = [await p.client() for _ in range(8)]
             silent = await p.client()
@@ -219,9 +227,9 @@
             p.stand_in.behave = respond_after_300_ms
             # This request stays open during the whole handover.
             clients[0].writer.write(request_bytes("order", remaining="990m"))
-            while not any(b"order" in s.line and s.connection for s in p.stand_in.seen[8:]):
+            while not any(b"order" in s.line and s.connection for s in p.stand_in.requests[8:]):
                 await asyncio.sleep(0.01)
-            p.stand_in.behave = serves
+            p.stand_in.behave = respond_ok
             stopped = asyncio.Event()
 
             async def send_requests(client: object) -> int:
@@ -246,7 +254,7 @@
             assert (await clients[0].ask("order")).status == 200
             assert (await silent.ask("order")).status == 200  # its first request on this connection
             # No request is lost or sent twice.
-            assert len(p.stand_in.seen) == 8 + 1 + 1 + 1 + request_count
+            assert len(p.stand_in.requests) == 8 + 1 + 1 + 1 + request_count
             counters = await p.counters()
             assert counters["handovers"] == 1 and counters["clients_adopted"] >= 8
             assert (await call(admin_port, "/api/ready")).status == 200 and new.returncode is None
@@ -266,15 +274,15 @@
     """
 
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
             old, _ = await p.start()
             new, _ = await p.start()
             p.stand_in.behave = respond_after_800_ms
             busy = await p.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
-            while not p.stand_in.seen:
+            while not p.stand_in.requests:
                 await asyncio.sleep(0.01)
-            p.stand_in.behave = serves
+            p.stand_in.behave = respond_ok
             new.terminate()
             await asyncio.sleep(0.1)
             late = await p.client()
@@ -288,14 +296,14 @@
     asyncio.run(run())
 
 
-async def respond_after_800_ms(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_after_800_ms(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.8)
-    writer.write(answer(b"late"))
+    writer.write(response_bytes(b"late"))
 
 
 @pytest.mark.parametrize("how", ["length", "chunked", "close"])
 def test_a_long_response_outlives_the_process_that_began_it(tmp_path: Path, how: str) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         raw = long_response(how)
         for at in range(0, len(raw), 50_000):
             writer.write(raw[at : at + 50_000])
@@ -317,7 +325,7 @@
                 old = new
             client.reader._buffer[:0] = head + first  # type: ignore[attr-defined]
             _, body = await asyncio.wait_for(read_long(client, 0.01), 10)
-            assert body == BODY and len(p.stand_in.seen) == 1
+            assert body == BODY and len(p.stand_in.requests) == 1
             assert (await p.counters())["answers_adopted"] == 1
 
     asyncio.run(run())
@@ -330,13 +338,13 @@
 ) -> None:
     """At some of these sizes the old process still buffers a part when the backend has sent all."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         body = BODY[:size]
         if chunked:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (size, body))
         else:
-            writer.write(answer(body))
+            writer.write(response_bytes(body))
 
     async def run() -> None:
         async with start_platform(tmp_path, StandIn(behave)) as p:
@@ -347,7 +355,7 @@
             sock.setblocking(False)
             client = Reader(*await asyncio.open_connection(sock=sock, limit=2048))
             client.writer.write(request_bytes("search"))
-            while not p.stand_in.seen:
+            while not p.stand_in.requests:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
             await p.start()
@@ -388,7 +396,7 @@
 
 def test_the_old_process_accepts_clients_again_if_the_new_one_dies(tmp_path: Path) -> None:
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
             _, admin_port = await p.start()
             new, _ = await p.start()
             assert (await call(admin_port, "/api/ready")).status == 503
@@ -405,7 +413,7 @@
 
 def test_a_hung_or_killed_old_process_does_not_delay_the_new_one(tmp_path: Path) -> None:
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(serves)) as p:
+        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
             hung, _ = await p.start()
             hung.send_signal(signal.SIGSTOP)
             second, _ = await asyncio.wait_for(p.start(), 5)
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -26,7 +26,16 @@
 )
 from mothstall.net.client_side import response_relay
 from tests.net.test_process import start_proxy
-from tests.peers import Client, Rig, Seen, StandIn, answer, request_bytes, rig, serves
+from tests.peers import (
+    Client,
+    ReceivedRequest,
+    Rig,
+    StandIn,
+    request_bytes,
+    respond_ok,
+    response_bytes,
+    rig,
+)
 
 MB = 1 << 20
 
@@ -174,7 +183,7 @@
 
 def long_response(framing: str) -> bytes:
     if framing == "length":
-        return answer(BODY)
+        return response_bytes(BODY)
     if framing == "close":
         return HEAD + b"Connection: close\r\n\r\n" + BODY
     rows = [HEAD, b"Transfer-Encoding: chunked\r\nTrailer: x-sum\r\n\r\n"]
@@ -189,7 +198,7 @@
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("piece", [1_300, 400_000])
 def test_long_response_is_forwarded_unchanged_in_any_framing(framing: str, piece: int) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         raw = b"HTTP/1.1 103 Early\r\n\r\n" + long_response(framing)
         for at in range(0, len(raw), piece):
             writer.write(raw[at : at + piece])
@@ -223,7 +232,7 @@
 ) -> None:
     size, readers = 32 * MB, 10
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
             writer.write(b"y" * 65536)
@@ -265,7 +274,7 @@
 def test_response_truncated_by_the_backend_is_truncated_for_the_client_and_counted(
     framing: str,
 ) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         raw = long_response(framing)
         writer.write(raw[: len(raw) // 2])
         await writer.drain()
@@ -297,8 +306,8 @@
 def test_received_part_of_a_truncated_response_reaches_the_client(
     sent_bytes: int,
 ) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(BODY)[:sent_bytes])
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(response_bytes(BODY)[:sent_bytes])
         await writer.drain()
         writer.close()
 
@@ -317,14 +326,14 @@
             while data := await client.reader.read(20_000):
                 received += data
                 await asyncio.sleep(0.001)
-            body = answer(BODY)[:sent_bytes].partition(b"\r\n\r\n")[2]
+            body = response_bytes(BODY)[:sent_bytes].partition(b"\r\n\r\n")[2]
             assert received == body and b"Content-Length: %d" % len(BODY) in head
 
     asyncio.run(run())
 
 
 def test_client_that_leaves_during_a_response_ends_it_at_the_backend() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (30 * MB))
         while not writer.is_closing():
             writer.write(b"z" * 65536)
@@ -347,7 +356,7 @@
 def test_client_that_stops_reading_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(response_relay, "STALL_S", 0.4)
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (30 * MB))
         while not writer.is_closing():
             writer.write(b"z" * 65536)
@@ -367,7 +376,7 @@
     """A backend that reads long requests by their framing and records a digest of each."""
 
     def __init__(self) -> None:
-        super().__init__(serves)
+        super().__init__(respond_ok)
         self.digests: list[tuple[int, str]] = []
         self.is_stalled = False
         self.framings: list[bytes] = []
@@ -394,7 +403,7 @@
                     digest.update(data)
                     size = len(data)
                 self.digests.append((size, digest.hexdigest()))
-                writer.write(answer(b"swallowed"))
+                writer.write(response_bytes(b"swallowed"))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -512,14 +521,14 @@
 
 def test_body_of_64_kib_in_chunks_of_one_byte_is_accepted() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             client.writer.write(
                 request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked")
             )
             client.writer.write(b"1\r\nx\r\n" * 65536 + b"0\r\n\r\n")
             assert (await client.read()).status == 200
-            assert r.backends[0].seen[0].body == b"x" * 65536
+            assert r.backends[0].requests[0].body == b"x" * 65536
 
     asyncio.run(run())
 
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -11,12 +11,12 @@
 from tests.peers import (
     MS,
     Directory,
-    answer,
-    drops,
+    abort_connection,
+    never_respond,
+    respond_ok,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    silent,
     tree_of,
 )
 from tests.peers import settings as nested
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
 def test_any_customer_settings_serve_and_stop(deployment: str) -> None:
     async def run() -> None:
-        async with rig(serves, serves, **changes(deployment)) as r:
+        async with rig(respond_ok, respond_ok, **changes(deployment)) as r:
             await r.until(r.proxy._frontend.accepts_new_clients)
             for class_name in class_names(deployment):
                 assert (await r.ask(class_name, remaining="1000m")).status == 200
@@ -106,19 +106,19 @@
     deployment: str, fault: str
 ) -> None:
     behaviour = {
-        "silent": silent,
-        "drops": drops,
-        "fails": says(answer(b"", 500)),
-        "turns away": says(answer(b"", 503, X_Turned_Away="1")),
+        "silent": never_respond,
+        "drops": abort_connection,
+        "fails": respond_with(response_bytes(b"", 500)),
+        "turns away": respond_with(response_bytes(b"", 503, X_Turned_Away="1")),
     }[fault]
 
     async def run() -> None:
         async with rig(behaviour, behaviour, **changes(deployment)) as r:
             await r.until(r.proxy._frontend.accepts_new_clients)
             for class_name in class_names(deployment):
-                before = sum(len(b.seen) for b in r.backends)
+                before = sum(len(b.requests) for b in r.backends)
                 reply = await r.ask(class_name, remaining="250m")
-                sent = sum(len(b.seen) for b in r.backends) - before
+                sent = sum(len(b.requests) for b in r.backends) - before
                 assert reply.status in (502, 503, 504)
                 if "limits--retry_after" in DEPLOYMENTS[deployment]:
                     assert "retry-after" not in reply.headers
@@ -137,10 +137,10 @@
 
     async def run() -> None:
         rows = [class_row("search", "pure", 25, 60), class_row("order", "side_effect", 25, 60)]
-        async with rig(serves, classes=rows) as r:
+        async with rig(respond_ok, classes=rows) as r:
             for class_name in ("search", "order"):
                 assert (await r.ask(class_name, remaining="60m")).status in (200, 502, 503, 504)
-            r.backends[0].behave = silent
+            r.backends[0].behave = never_respond
             began = r.proxy.loop.time()
             assert (await r.ask("order", remaining="60m")).status in (502, 504)
             assert r.proxy.loop.time() - began < 2.0
@@ -151,10 +151,10 @@
 
 def test_only_classes_idempotent_with_a_key_require_the_key() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             assert (await r.ask("order", drop=("Idempotency-Key",))).status == 200
             assert (await r.ask("pay", drop=("Idempotency-Key",))).status == 400
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -19,7 +19,15 @@
 from mothstall import config, settings
 from mothstall.net import logs
 from mothstall.net.proxy import Proxy
-from tests.peers import Client, Directory, StandIn, answer, request_bytes, serves, tree_of
+from tests.peers import (
+    Client,
+    Directory,
+    StandIn,
+    request_bytes,
+    respond_ok,
+    response_bytes,
+    tree_of,
+)
 from tests.peers import settings as nested
 from tests.ports import free_port
 
@@ -85,9 +93,9 @@
         await directory.stop()
 
 
-async def respond_after_800_ms(seen: Any, writer: asyncio.StreamWriter) -> None:
+async def respond_after_800_ms(request: Any, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.8)
-    writer.write(answer(b"late but whole"))
+    writer.write(response_bytes(b"late but whole"))
 
 
 def test_sigterm_answers_open_requests_closes_idle_connections_and_exits_0(tmp_path: Path) -> None:
@@ -97,9 +105,9 @@
         async with start_proxy(tmp_path, stand_in) as proxy:
             idle, busy = await proxy.client(), await proxy.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
-            while not stand_in.seen:
+            while not stand_in.requests:
                 await asyncio.sleep(0.01)
-            stand_in.behave = serves
+            stand_in.behave = respond_ok
             proxy.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
             late = await proxy.client()  # new connections are still accepted for a while
@@ -124,7 +132,7 @@
 
 def test_a_killed_proxy_restarts_on_its_address(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             client = await proxy.client()
@@ -161,7 +169,7 @@
 
 def test_sigusr1_prints_the_counters(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             assert (await (await proxy.client()).ask()).status == 200
@@ -328,7 +336,7 @@
     from tests.peers import rig
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             assert (await client.ask()).status == 200
             (connection,) = r.proxy._frontend._accepted
@@ -434,7 +442,7 @@
     from tests.peers import rig
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             stay = r.backends[0].row()
             for i in range(50):
@@ -461,15 +469,15 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Any, writer: asyncio.StreamWriter) -> None:
-            if len(r.backends[0].seen) == 1:
+        async def waits(request: Any, writer: asyncio.StreamWriter) -> None:
+            if len(r.backends[0].requests) == 1:
                 await gate.wait()
-            writer.write(answer())
+            writer.write(response_bytes())
 
         async with rig(waits) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             out = asyncio.create_task(r.ask("order"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             updates_before = r.count("list_updates")
             new = {**r.backends[0].row(), "id": "s-successor"}
             r.directory.tell({"id": "s-0", "phase": "DELETED"}, new)
@@ -477,6 +485,6 @@
             gate.set()
             assert (await out).status == 200
             assert (await r.ask("order")).status == 200
-            assert [s.connection for s in r.backends[0].seen] == [1, 2]
+            assert [s.connection for s in r.backends[0].requests] == [1, 2]
 
     asyncio.run(run())
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -12,7 +12,7 @@
 
 from mothstall import config
 from tests.net.test_process import respond_after_800_ms, start_proxy
-from tests.peers import Directory, Rig, StandIn, request_bytes, rig, serves, tree_of
+from tests.peers import Directory, Rig, StandIn, request_bytes, respond_ok, rig, tree_of
 
 
 async def change_discovery_address(r: Rig) -> Directory:
@@ -28,14 +28,14 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_the_watch_changes_its_address_at_once_and_the_old_address_may_close(mode: str) -> None:
     async def run() -> None:
-        async with rig(serves, discovery=mode) as r:
+        async with rig(respond_ok, discovery=mode) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             await r.directory.stop()  # refuses new connections, keeps open ones
             other = await change_discovery_address(r)
             await r.until(lambda: len(other.calls) == 1, 0.5)
             assert "timeout_ms=1&" not in other.calls[0] + "&"  # the first call waits for an event
             # An update from the old address is applied, and no further call is made there.
-            new = StandIn(serves, "s-new")
+            new = StandIn(respond_ok, "s-new")
             await new.start()
             r.backends.append(new)
             before, updates_before = len(r.directory.calls), r.count("list_updates")
@@ -50,7 +50,7 @@
             await r.until(lambda: r.count("list_updates") > updates_before, 0.5)
             for _ in range(4):
                 assert (await r.ask()).status == 200
-            assert len(new.seen) == 4 and not r.backends[0].seen
+            assert len(new.requests) == 4 and not r.backends[0].requests
             assert r.count("discovery_failures") == 0 and r.count("reloads") == 1
             await other.stop()
 
@@ -59,7 +59,7 @@
 
 def test_several_address_changes_in_a_row_leave_one_watch() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             second = await change_discovery_address(r)
             third = await change_discovery_address(r)
@@ -82,7 +82,7 @@
 
 def test_a_new_address_that_is_not_up_yet_is_retried_soon() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
             other = await change_discovery_address(r)
             port = other.port
@@ -121,7 +121,7 @@
                 await asyncio.sleep(0.01)
             busy = await proxy.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
-            while not stand_in.seen:
+            while not stand_in.requests:
                 await asyncio.sleep(0.01)
 
             async def reload_with(text: str, *expected: bytes) -> None:
--- a/tests/net/test_startup.py
+++ b/tests/net/test_startup.py
@@ -16,7 +16,7 @@
 import pytest
 
 from mothstall.cli import main
-from tests.peers import Client, Directory, StandIn, serves, tree_of
+from tests.peers import Client, Directory, StandIn, respond_ok, tree_of
 
 ROOT = Path(__file__).parents[2]
 PROXY_COUNT = 20
@@ -202,7 +202,7 @@
     tmp_path: Path, state: str, mode: str
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         directory = FullListDirectory([stand_in.row()])
         directory.delay_s = SLOW_S if state == "slow" else 0.0
@@ -229,7 +229,7 @@
     tmp_path: Path, state: str, mode: str
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         directory = FullListDirectory([stand_in.row()])
         directory.held = asyncio.Event()
@@ -260,7 +260,7 @@
     tmp_path: Path, mode: str
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         directory = FullListDirectory([stand_in.row()])
         directory.delay_s = SLOW_S
@@ -282,7 +282,7 @@
     tmp_path: Path,
 ) -> None:
     async def run() -> dict[str, Any]:
-        stand_in = StandIn(serves)
+        stand_in = StandIn(respond_ok)
         await stand_in.start()
         directory = FullListDirectory([stand_in.row()])
         await directory.start()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """A request as a stand-in backend received it."""
 
     line: bytes
@@ -39,7 +39,7 @@
         return next((v for n, v in self.headers if n.lower() == name.lower()), None)
 
 
-Behaviour = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Behaviour = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def read_message(
@@ -54,18 +54,18 @@
     return head[0], headers, await reader.readexactly(size) if size else b""
 
 
-def answer(body: bytes = b"ok", status: int = 200, **headers: str) -> bytes:
+def response_bytes(body: bytes = b"ok", status: int = 200, **headers: str) -> bytes:
     rows = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     rows += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(rows).encode() + b"\r\n\r\n" + body
 
 
-async def serves(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(b"served " + (seen.header(b"X-Txn") or b"")))
+async def respond_ok(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(response_bytes(b"served " + (request.header(b"X-Txn") or b"")))
 
 
-def says(raw: bytes, then_close: bool = False) -> Behaviour:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def respond_with(raw: bytes, then_close: bool = False) -> Behaviour:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(raw)
         if then_close:
             await writer.drain()
@@ -74,30 +74,30 @@
     return behave
 
 
-def serves_after(go: asyncio.Event) -> Behaviour:
+def respond_ok_after(go: asyncio.Event) -> Behaviour:
     """Responds to each request only after `go` is set."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await go.wait()
-        await serves(seen, writer)
+        await respond_ok(request, writer)
 
     return behave
 
 
-async def silent(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_respond(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
-async def drops(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
 class StandIn:
     """A stand-in backend; a test may replace `behave` while the backend runs."""
 
-    def __init__(self, behave: Behaviour = serves, ident: str = "s-0") -> None:
+    def __init__(self, behave: Behaviour = respond_ok, ident: str = "s-0") -> None:
         self.behave, self.ident = behave, ident
-        self.seen: list[Seen] = []
+        self.requests: list[ReceivedRequest] = []
         self.opened = self.ended = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
@@ -113,9 +113,9 @@
         self.writers.add(writer)
         try:
             while True:
-                seen = Seen(*await read_message(reader), number)
-                self.seen.append(seen)
-                await self.behave(seen, writer)
+                request = ReceivedRequest(*await read_message(reader), number)
+                self.requests.append(request)
+                await self.behave(request, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -236,7 +236,7 @@
 
     def _list(self, full: bool, rows: list[dict[str, Any]]) -> bytes:
         tree = {"revision": self.revision, "complete": full, "members": rows}
-        return answer(json.dumps(tree, indent=self.indent).encode())
+        return response_bytes(json.dumps(tree, indent=self.indent).encode())
 
 
 def settings(**changes: Any) -> dict[str, Any]:
--- a/tests/test_net_move.py
+++ b/tests/test_net_move.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from mothstall import config
-from tests.peers import MS, Directory, Seen, answer, rig, serves, tree_of
+from tests.peers import MS, Directory, ReceivedRequest, respond_ok, response_bytes, rig, tree_of
 
 
-async def report_load_to_probes(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def report_load_to_probes(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """A backend that reports its load only in responses to probes."""
-    if b"/status/load" in seen.line:
-        writer.write(answer(b"qps=5,queue=0\n"))
+    if b"/status/load" in request.line:
+        writer.write(response_bytes(b"qps=5,queue=0\n"))
     else:
-        await serves(seen, writer)
+        await respond_ok(request, writer)
 
 
 PROBING: dict[str, Any] = {
@@ -30,7 +30,7 @@
                 assert (await r.ask()).status == 200
             await r.until(lambda: r.count("probes") >= 1)
             assert r.count("probes") <= 0.3 * 40 + 2
-            asked = [seen.line for backend in r.backends for seen in backend.seen]
+            asked = [request.line for backend in r.backends for request in backend.requests]
             assert asked.count(b"GET /status/load HTTP/1.1") >= 1
             known = r.proxy._decider._balancer.endpoints.by_id
             await r.until(lambda: any(b.queue_report.reported_at_ns >= 0 for b in known.values()))
@@ -53,7 +53,7 @@
 
     async def run() -> None:
         for label, work in (("work", 7.0 * MS), (None, 0.0)):
-            async with rig(serves, cost_label=label) as r:
+            async with rig(respond_ok, cost_label=label) as r:
                 for labels in (f"key=3, work={7 * MS}", *malformed):
                     assert (await r.ask(X_Labels=labels)).status == 200
                 assert r.proxy._decider._balancer.latency._mean_costs[0] == work
