--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -23,7 +23,7 @@
     Directory,
     ReceivedRequest,
     StandIn,
-    call,
+    admin_call,
     never_respond,
     request_bytes,
     respond_ok,
@@ -114,28 +114,28 @@
 
 def test_metrics_equal_what_clients_and_backends_counted() -> None:
     async def run() -> None:
-        async with rig(respond_ok, operators=ADMIN_ADDRESS, limits__max_attempts=1) as r:
-            assert (await r.ask("search")).status == 200
-            assert (await r.ask("pay", body=b"x" * 60_000)).status == 200
+        async with rig(respond_ok, admin_addr=ADMIN_ADDRESS, limits__max_attempts=1) as r:
+            assert (await r.request("search")).status == 200
+            assert (await r.request("pay", body=b"x" * 60_000)).status == 200
             r.backends[0].behave = respond_with(response_bytes(b"no", 500))
-            failed = await r.ask("order")
+            failed = await r.request("order")
             assert failed.status == 502
             r.backends[0].behave = never_respond
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await r.until(lambda: len(r.backends[0].requests) == 4)
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert metrics["open_requests"] == 1 and metrics["relayed"] == 4
             client.close()
             await r.until(lambda: r.count("requests_left") == 1)
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert [metrics[f"fulfilled.{c}"] for c in ("search", "pay", "order")] == [1, 1, 0]
             assert [metrics[f"faulted.{c}"] for c in ("search", "pay", "order")] == [0, 0, 1]
             assert metrics["open_requests"] == 0 and metrics["registry_entries"] == 1
             assert sum(n for name, n in metrics.items() if name.startswith("throttled")) == 0
             r.directory.tell(r.backends[0].row("DRAINING"))
             async with asyncio.timeout(3):
-                while (await r.figures())["out_of_rotation"] != 1:
+                while (await r.telemetry())["out_of_rotation"] != 1:
                     await asyncio.sleep(0.02)
 
     asyncio.run(run())
@@ -143,31 +143,31 @@
 
 def test_an_ejected_backend_is_out_of_rotation_until_it_serves() -> None:
     async def run() -> None:
-        async with rig(respond_ok, respond_ok, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, respond_ok, admin_addr=ADMIN_ADDRESS) as r:
             for _ in range(6):
-                await r.ask()
-            assert (await r.figures())["out_of_rotation"] == 0
+                await r.request()
+            assert (await r.telemetry())["out_of_rotation"] == 0
             await max(r.backends, key=lambda b: len(b.requests)).stop()
             async with asyncio.timeout(5):
-                while (await r.figures())["out_of_rotation"] != 1:
-                    assert (await r.ask()).status == 200
+                while (await r.telemetry())["out_of_rotation"] != 1:
+                    assert (await r.request()).status == 200
 
     asyncio.run(run())
 
 
 def test_idle_callers_are_closed_and_calls_are_answered() -> None:
     async def run() -> None:
-        async with rig(respond_ok, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, admin_addr=ADMIN_ADDRESS) as r:
             held = [
                 await asyncio.open_connection("127.0.0.1", r.proxy.admin_port) for _ in range(50)
             ]
             for _, writer in held[::2]:
                 writer.write(b"GET /api/rea")
-            reply = await asyncio.wait_for(r.call("/api/ready"), 1)
+            reply = await asyncio.wait_for(r.admin_call("/api/ready"), 1)
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-            assert (await r.call("/api/nothing")).status == 404
-            assert (await r.call("/api/evacuate", "GET")).status == 405
-            assert (await r.call("/api/ready")).status == 200
+            assert (await r.admin_call("/api/nothing")).status == 404
+            assert (await r.admin_call("/api/evacuate", "GET")).status == 405
+            assert (await r.admin_call("/api/ready")).status == 200
             assert (
                 r.proxy._admin_server is not None
                 and len(r.proxy._admin_server._callers) <= MAX_CALLERS
@@ -185,30 +185,31 @@
     monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 1.2)
 
     async def run() -> None:
-        async with rig(respond_ok, operators=ADMIN_ADDRESS) as r:
-            asks, idle, half = await r.client(), await r.client(), await r.client()
-            for client in (asks, idle):
-                assert (await client.ask()).status == 200
+        async with rig(respond_ok, admin_addr=ADMIN_ADDRESS) as r:
+            active, idle, half = await r.client(), await r.client(), await r.client()
+            for client in (active, idle):
+                assert (await client.request()).status == 200
             half.writer.write(b"GET /search HTTP/1.1\r\n")
-            assert (await r.call("/api/evacuate")).status == 200
-            assert (await r.call("/api/evacuate")).status == 200
-            assert (await r.call("/api/ready")).status == 503
+            assert (await r.admin_call("/api/evacuate")).status == 200
+            assert (await r.admin_call("/api/evacuate")).status == 200
+            assert (await r.admin_call("/api/ready")).status == 503
             front = await r.client()
             front.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await front.read()).status == 503
-            reply = await asks.ask()  # served, and the connection is closed
+            reply = await active.request()  # served, and the connection is closed
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert not await idle.closed(0.2)
             assert await idle.closed(2)
             assert (await half.read()).status == 408
-            late = await r.ask()  # too late in the drain for a full deadline, but still answered
+            # Too late in the drain for a full deadline, but still answered.
+            late = await r.request()
             assert late.status in (200, 503)
             known = r.proxy._decider._balancer
-            assert (await r.call("/api/rejoin")).status == 200
-            assert (await r.call("/api/ready")).status == 200
+            assert (await r.admin_call("/api/rejoin")).status == 200
+            assert (await r.admin_call("/api/ready")).status == 200
             again = await r.client()
             for _ in range(2):
-                reply = await again.ask()
+                reply = await again.request()
                 assert reply.status == 200 and "connection" not in reply.headers
             assert r.proxy._decider._balancer is known
 
@@ -221,34 +222,34 @@
     monkeypatch.setattr(lifecycle, "IDLE_DRAIN_S", 0.4)
 
     async def run() -> None:
-        async with rig(serve_after_200_ms, operators=ADMIN_ADDRESS) as r:
+        async with rig(serve_after_200_ms, admin_addr=ADMIN_ADDRESS) as r:
             client = await r.client()
             client.writer.write(
                 request_bytes("order") + request_bytes("order") + request_bytes("order")
             )
             await r.until(lambda: len(r.backends[0].requests) == 1)
-            await r.call("/api/evacuate")
+            await r.admin_call("/api/evacuate")
             reply = await client.read()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             # The requests behind it were not executed: the client may retry elsewhere.
             assert await client.closed()
             await asyncio.sleep(0.3)
             assert len(r.backends[0].requests) == 1
-            await r.call("/api/rejoin")
-            assert (await r.ask("order")).status == 200
+            await r.admin_call("/api/rejoin")
+            assert (await r.request("order")).status == 200
 
     asyncio.run(run())
 
 
 def test_operators_are_answered_in_time_under_client_load() -> None:
     async def run() -> None:
-        async with rig(respond_ok, respond_ok, operators=ADMIN_ADDRESS) as r:
+        async with rig(respond_ok, respond_ok, admin_addr=ADMIN_ADDRESS) as r:
             stopped = asyncio.Event()
 
             async def send_requests() -> None:
                 client = await r.client()
                 while not stopped.is_set():
-                    await client.ask()
+                    await client.request()
 
             asking = [asyncio.create_task(send_requests()) for _ in range(60)]
             held = [
@@ -257,7 +258,7 @@
             worst, loop = 0.0, asyncio.get_running_loop()
             for path in ("/api/ready", "/api/telemetry") * 10:
                 began = loop.time()
-                assert (await r.call(path)).status == 200
+                assert (await r.admin_call(path)).status == 200
                 worst = max(worst, loop.time() - began)
             stopped.set()
             await asyncio.gather(*asking)
@@ -275,10 +276,10 @@
     monkeypatch.setattr(lifecycle, "DRAIN_DEADLINE_S", 0.4)
 
     async def run() -> None:
-        async with rig(never_respond, operators=ADMIN_ADDRESS) as r:
-            await r.call("/api/evacuate")
+        async with rig(never_respond, admin_addr=ADMIN_ADDRESS) as r:
+            await r.admin_call("/api/evacuate")
             began = asyncio.get_running_loop().time()
-            reply = await r.ask("order", remaining="990m")
+            reply = await r.request("order", remaining="990m")
             assert reply.status in (502, 503, 504)
             assert asyncio.get_running_loop().time() - began < 0.8
 
@@ -300,9 +301,8 @@
             began = loop.time()
             ending = asyncio.create_task(r.proxy.stop(0.0))
             assert (await client.read()).status in (502, 504)
-            assert (
-                await slow.read()
-            ).status == 503  # an incomplete request is rejected while there is time
+            # An incomplete request is rejected while there is time.
+            assert (await slow.read()).status == 503
             await ending
             assert loop.time() - began < 1.5  # not the 3.9 s that the client would wait
 
@@ -334,7 +334,7 @@
         other.bind(("127.0.0.1", 0))
         other.listen()
         path = tmp_path / "config.json"
-        tree = tree_of(Directory([]), [], operators=f"127.0.0.1:{other.getsockname()[1]}")
+        tree = tree_of(Directory([]), [], admin_addr=f"127.0.0.1:{other.getsockname()[1]}")
         path.write_text(json.dumps(tree))
         done = run_main("serve", "--config", str(path))
     assert (
@@ -363,7 +363,7 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port: int = free.getsockname()[1]
-        tree = tree_of(self.directory, [self.stand_in.row()], operators=f"127.0.0.1:{port}")
+        tree = tree_of(self.directory, [self.stand_in.row()], admin_addr=f"127.0.0.1:{port}")
         tree["listen"] = f"127.0.0.1:{self.port}"
         path = self.path / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(tree))
@@ -380,7 +380,7 @@
         async with asyncio.timeout(10):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await call(port, "/api/ready")).status == 200:
+                    if (await admin_call(port, "/api/ready")).status == 200:
                         return process, port
                 await asyncio.sleep(0.02)
 
@@ -418,7 +418,7 @@
             nonlocal request_count
             while not stopped.is_set():
                 client = await platform.client()
-                assert (await client.ask("order")).status == 200
+                assert (await client.request("order")).status == 200
                 request_count += 1
                 client.close()
                 await asyncio.sleep(0.002)
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -212,7 +212,7 @@
             gate.hold(r.backends[0])
             client = await r.client()
             await r.until(lambda: r.count("list_updates") >= 2)  # the watch is established
-            reply_task = asyncio.create_task(client.ask(lane))
+            reply_task = asyncio.create_task(client.request(lane))
             await r.until(lambda: gate.waiting == 1)
             r.directory.tell(changed_row(r, 0, how))
             await r.until(lambda: r.count("list_updates") >= 3)
@@ -273,7 +273,7 @@
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             for lane in ("search", "order"):
-                assert (await r.ask(lane, remaining="60m")).status in (502, 503, 504)
+                assert (await r.request(lane, remaining="60m")).status in (502, 503, 504)
             gate.open.set()
             await settle()
             assert not r.backends[0].requests
@@ -307,7 +307,7 @@
         async with rig(respond_ok, **changes) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
-            reply_task = asyncio.create_task(r.ask())
+            reply_task = asyncio.create_task(r.request())
             await r.until(lambda: gate.waiting == 1)
             gate.open.set()
             assert (await reply_task).status == 200
@@ -334,7 +334,7 @@
             await settle()
             gate.open.set()
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             assert len(r.backends[0].requests) == 1  # only the later request
 
     asyncio.run(run())
@@ -360,7 +360,7 @@
             window_s = 0.9  # of the class `pay`
             gate = Gate(r.proxy.loop, monkeypatch)
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
-            reply_task = asyncio.create_task(r.ask("pay", remaining="3000m"))
+            reply_task = asyncio.create_task(r.request("pay", remaining="3000m"))
             await r.until(lambda: any(b.requests for b in r.backends))
             started_s = r.proxy.loop.time()
             gate.hold(*(b for b in r.backends if not b.requests))
@@ -387,10 +387,10 @@
             gate.fails = OSError(error_number, "none left")
             gate.open.set()
             gate.hold(*r.backends)
-            assert (await r.ask()).status == 503
+            assert (await r.request()).status == 503
             assert r.proxy._decider.out_of_rotation_count() == 0
             gate.ports.clear()
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
 
     asyncio.run(run())
 
@@ -453,7 +453,7 @@
 
         async with rig(rejects, respond_ok) as r:
             for _ in range(4):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             assert len(r.backends[1].requests) == 4
 
     asyncio.run(run())
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -114,7 +114,7 @@
         async with rig(respond_ok, respond_ok) as r:
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
             for _ in range(6):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             before = [len(b.requests) for b in r.backends]
 
             async def resets_at_once(
@@ -123,7 +123,7 @@
                 reset_connection(writer)
 
             r.backends[0].behave = resets_at_once
-            replies = [await r.ask(lane) for _ in range(4)]
+            replies = [await r.request(lane) for _ in range(4)]
             sent = [len(b.requests) - n for b, n in zip(r.backends, before, strict=True)]
             if lane == "search":
                 assert all(reply.status == 200 for reply in replies)
@@ -239,7 +239,7 @@
                 r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
                 listed_backends = r.proxy._decider._backends
                 await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
-                reply = await r.ask("order", remaining="300m", body=b"x" * size)
+                reply = await r.request("order", remaining="300m", body=b"x" * size)
                 written_count = r.proxy.metrics.relayed
                 assert (reply.status in (502, 504)) == bool(written_count)
                 assert reply.status in (502, 503, 504) and r.count("attempts") == 1
@@ -279,7 +279,7 @@
             client = await r.client()
             size = 500_000
             client.writer.write(
-                request_bytes("order", drop=("Content-Length",), Content_length=str(size))
+                request_bytes("order", omit=("Content-Length",), Content_length=str(size))
             )
             client.writer.write(b"u" * 200_000)
             reply = await client.read()
@@ -308,7 +308,7 @@
         }
         async with rig(respond_ok, respond_ok, **changes) as r:
             for _ in range(4):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             for backend in r.backends:
                 backend.behave = respond_ok_after_go
             for actor in r.proxy._decider._backends.values():
@@ -317,7 +317,7 @@
             balancer.retry_budget.tokens = 5.0
             for known in balancer.endpoints.by_id.values():
                 known.outlier.failure_score = 1.0
-            reply_task = asyncio.create_task(r.ask(remaining="3900m"))
+            reply_task = asyncio.create_task(r.request(remaining="3900m"))
             await r.until(lambda: sum(len(b.requests) for b in r.backends) == 5)
             gate = Gate(r.proxy.loop, monkeypatch)
             before = [len(b.requests) for b in r.backends]
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -68,9 +68,9 @@
 
 def upload_head(chunked: bool = True) -> bytes:
     if chunked:
-        return request_bytes("order", drop=("Content-Length",), Transfer_Encoding="chunked")
+        return request_bytes("order", omit=("Content-Length",), Transfer_Encoding="chunked")
     return request_bytes(
-        "order", drop=("Content-Length",), Content_length=str(len(LONG_BODY)), remaining="900m"
+        "order", omit=("Content-Length",), Content_length=str(len(LONG_BODY)), remaining="900m"
     )
 
 
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -23,7 +23,7 @@
     Client,
     Directory,
     StandIn,
-    call,
+    admin_call,
     raw_client,
     request_bytes,
     respond_ok,
@@ -65,7 +65,7 @@
         await directory.start()
         admin = free_port()
         path, port = configuration(
-            tmp_path, directory, discovery=mode, operators=f"127.0.0.1:{admin}"
+            tmp_path, directory, discovery=mode, admin_addr=f"127.0.0.1:{admin}"
         )
         directory.tell(old.row())
         process = await start_limited_proxy(path)
@@ -73,7 +73,7 @@
         log_lines: list[bytes] = []
         reading = asyncio.create_task(collect_lines(process.stderr, log_lines))
         async with asyncio.timeout(10):
-            while (await ask_once(port)) != 200:
+            while (await request_once(port)) != 200:
                 await asyncio.sleep(0.05)
         await directory.stop()
         directory.cut()
@@ -82,13 +82,14 @@
         connecting = asyncio.create_task(connect_idle_clients(port, idle_sockets, stop))
         while len(idle_sockets) < IDLE_CLIENTS:
             await asyncio.sleep(0.01)
-        assert (await call(admin, "/api/telemetry")).status == 200  # the admin server still answers
+        # The admin server still answers.
+        assert (await admin_call(admin, "/api/telemetry")).status == 200
         directory.tell(old.row("DELETED"), new.row())
         directory.members = [new.row()]
         await directory.start()
         restarted_at = asyncio.get_running_loop().time()
         while not new.requests and asyncio.get_running_loop().time() - restarted_at < 6.0:
-            await ask_once(port)
+            await request_once(port)
         assert new.requests  # within 6 s of its return, discovery reported the new backend
         stop.set()
         await connecting
@@ -111,12 +112,12 @@
         log_lines.append(line)
 
 
-async def ask_once(port: int) -> int:
+async def request_once(port: int) -> int:
     """Send one request on a new connection; return its status, 0 if it is closed unanswered."""
     try:
         client = Client(*await asyncio.open_connection("127.0.0.1", port))
         try:
-            return (await client.ask(remaining="900m")).status
+            return (await client.request(remaining="900m")).status
         finally:
             client.close()
     except (OSError, asyncio.IncompleteReadError, TimeoutError):
@@ -172,7 +173,7 @@
             await r.until(lambda: frontend.connection_count >= 40)
             await asyncio.sleep(0.15)
             second = [raw_client(r.proxy.port) for _ in range(60)]
-            assert (await asyncio.wait_for(r.ask(), 3)).status == 200
+            assert (await asyncio.wait_for(r.request(), 3)).status == 200
             assert 40 <= max_open[0] <= frontend.budget.max_connections
             monkeypatch.setattr(frontend.acceptor, "_listener", listener)
             for client in first + second:
@@ -228,7 +229,7 @@
                     r.proxy.loop.sock_connect(sock, ("127.0.0.1", r.proxy.port)), 3
                 )
                 sock.send(b"".join(request_bytes(remaining="3900m") for _ in range(100)))
-            assert (await asyncio.wait_for(r.ask(remaining="3900m"), 8)).status in (200, 503)
+            assert (await asyncio.wait_for(r.request(remaining="3900m"), 8)).status in (200, 503)
             assert frontend.connection_count <= frontend.budget.max_connections
             for sock in unread_sockets:
                 sock.close()
@@ -244,7 +245,7 @@
 
 def test_answered_and_pending_admin_calls_share_their_descriptors() -> None:
     async def run() -> None:
-        async with rig(respond_ok, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, admin_addr="127.0.0.1:0") as r:
             admin_server = r.proxy._admin_server
             assert admin_server is not None
             callers = []
@@ -254,7 +255,7 @@
                 callers.append(sock)
                 await asyncio.sleep(0.002)
                 assert len(admin_server._callers) + len(admin_server._lingering) <= MAX_CALLERS
-            assert (await r.call("/api/ready")).status == 200
+            assert (await r.admin_call("/api/ready")).status == 200
             for sock in callers:
                 sock.close()
 
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -303,7 +303,7 @@
 def test_truncated_response_never_reaches_the_client_as_success() -> None:
     async def run() -> None:
         async with rig(respond_with(response_bytes(b"x" * 100)[:-40], then_close=True)) as r:
-            reply = await r.ask("order")
+            reply = await r.request("order")
             assert reply.status == 502 and reply.body != b"x" * 60
             assert r.count("attempts_reset") == 1 and r.count("attempts") == 1
 
@@ -427,7 +427,7 @@
         async with rig(respond_ok, respond_ok) as r:
             await r.backends[0].stop()
             for lane in ("search", "pay", "order") * 4:
-                assert (await r.ask(lane)).status == 200
+                assert (await r.request(lane)).status == 200
             assert len(r.backends[1].requests) == 12
             assert r.count("attempts_connect_failed") >= 1
 
@@ -439,13 +439,13 @@
         async with rig(never_respond, never_respond) as r:
             loop = asyncio.get_running_loop()
 
-            async def ask_timed(lane: str) -> tuple[int, float]:
+            async def request_timed(lane: str) -> tuple[int, float]:
                 started_s = loop.time()
-                reply = await r.ask(lane, remaining="400m")
+                reply = await r.request(lane, remaining="400m")
                 return reply.status, loop.time() - started_s
 
             replies = await asyncio.gather(
-                *(ask_timed(lane) for lane in ("search", "pay", "order") * 5)
+                *(request_timed(lane) for lane in ("search", "pay", "order") * 5)
             )
             assert all(
                 status in (502, 503, 504) and duration_s < 0.45 for status, duration_s in replies
@@ -460,7 +460,7 @@
 def test_non_idempotent_request_that_may_have_run_is_not_retried() -> None:
     async def run() -> None:
         async with rig(abort_connection, abort_connection, abort_connection) as r:
-            reply = await r.ask("order")
+            reply = await r.request("order")
             assert reply.status == 502
             assert sum(len(b.requests) for b in r.backends) == 1
 
@@ -472,7 +472,7 @@
         rejects = respond_with(response_bytes(b"", 503, X_Turned_Away="1"))
         async with rig(rejects, rejects, respond_ok) as r:
             for _ in range(6):
-                assert (await r.ask("order")).status == 200
+                assert (await r.request("order")).status == 200
             assert r.count("attempts_rejected") >= 1
 
     asyncio.run(run())
@@ -513,10 +513,10 @@
     async def run() -> None:
         async with rig(respond_ok, sockets=64) as r:
             clients = [await r.client() for _ in range(40)]
-            assert (await asyncio.wait_for(r.ask(), 2)).status == 200
+            assert (await asyncio.wait_for(r.request(), 2)).status == 200
             assert r.count("connections_shed") >= 15
             assert await clients[0].closed()  # the longest idle
-            assert (await clients[-1].ask()).status == 200
+            assert (await clients[-1].request()).status == 200
 
     asyncio.run(run())
 
@@ -527,7 +527,7 @@
             clients = [await r.client() for _ in range(40)]
             for client in clients:
                 client.writer.write(request_bytes("pay", body=b"x" * 50)[:-10])
-            assert (await asyncio.wait_for(r.ask(), 2)).status == 200
+            assert (await asyncio.wait_for(r.request(), 2)).status == 200
             assert not r.backends[0].requests[1:]
 
     asyncio.run(run())
@@ -542,18 +542,18 @@
         async with rig(slow, slow, sockets=96) as r:
             loop = asyncio.get_running_loop()
 
-            async def ask_timed() -> tuple[int, float]:
+            async def request_timed() -> tuple[int, float]:
                 started_s = loop.time()
                 client = await r.client()  # keeps its connection open
                 clients.append(client)
-                reply = await client.ask("search", remaining="500m")
+                reply = await client.request("search", remaining="500m")
                 return reply.status, loop.time() - started_s
 
             clients: list[Client] = []
-            replies = await asyncio.gather(*(ask_timed() for _ in range(200)))
+            replies = await asyncio.gather(*(request_timed() for _ in range(200)))
             assert {status for status, _ in replies} <= {200, 503}
             assert sum(status == 200 for status, _ in replies) >= 5
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             return max(duration_s for _, duration_s in replies)
 
     # The best of several bursts, as other load on the machine can delay any single one.
@@ -566,7 +566,7 @@
 def test_exception_in_the_balancer_fails_its_open_requests_and_the_proxy_continues() -> None:
     async def run() -> None:
         async with rig(never_respond) as r:
-            pending = asyncio.create_task(r.ask("order", remaining="3000m"))
+            pending = asyncio.create_task(r.request("order", remaining="3000m"))
             await r.until(lambda: len(r.backends[0].requests) == 1)
             balancer = r.proxy._decider._balancer
             handle = balancer.handle
@@ -578,11 +578,11 @@
                 return handle(now, events)
 
             balancer.handle = raise_on_request  # type: ignore[method-assign]
-            assert (await r.ask("search")).status == 502
+            assert (await r.request("search")).status == 502
             assert (await asyncio.wait_for(pending, 1)).status in (502, 504)
             assert r.count("faults") == 1
             r.backends[0].behave = respond_ok
-            assert (await r.ask("search")).status == 200
+            assert (await r.request("search")).status == 200
 
     asyncio.run(run())
 
@@ -593,7 +593,7 @@
             await r.until(lambda: r.proxy._decider.endpoints_known.is_set())
             r.proxy._decider._balancer.handle = lambda now, events: []  # type: ignore[method-assign]
             started_s = asyncio.get_running_loop().time()
-            reply = await r.ask("search", remaining="200m")
+            reply = await r.request("search", remaining="200m")
             assert reply.status == 502
             assert 0.19 < asyncio.get_running_loop().time() - started_s < 0.3
             assert r.count("answers_overdue") == 1
@@ -638,7 +638,7 @@
         b"GET /sea",
         b"GET /search HTTP/1.1\r\nHost: x\r\nX-Pad: 1\r\n",
         request_bytes("pay", body=b"x" * 50)[:-10],
-        request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked") + b"3\r\nab",
+        request_bytes("pay", omit=("Content-Length",), Transfer_Encoding="chunked") + b"3\r\nab",
     ],
 )
 def test_incomplete_request_gets_an_error_or_a_close_in_time(
@@ -668,9 +668,9 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             client = await r.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             await asyncio.sleep(0.35)  # longer than a new connection may be silent
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             assert await client.closed(1.5)
 
     asyncio.run(run())
@@ -681,15 +681,15 @@
     [
         request_bytes("pay", Transfer_Encoding="chunked", body=b"abc"),
         request_bytes(
-            "pay", drop=("Content-Length",), Transfer_Encoding="chunked", X_A="1"
+            "pay", omit=("Content-Length",), Transfer_Encoding="chunked", X_A="1"
         ).replace(b"X-A: 1", b"Content-Length: 3"),
         request_bytes("pay", content_length="3", body=b"abc"),
-        request_bytes("pay", drop=("Content-Length",), Content_length="-3"),
-        request_bytes("pay", drop=("Content-Length",), Content_length="+3"),
-        request_bytes("pay", drop=("Content-Length",), Content_length="0x3"),
-        request_bytes("pay", drop=("Content-Length",), Content_length="99999999999999999999999"),
-        request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="gzip"),
-        request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked, identity"),
+        request_bytes("pay", omit=("Content-Length",), Content_length="-3"),
+        request_bytes("pay", omit=("Content-Length",), Content_length="+3"),
+        request_bytes("pay", omit=("Content-Length",), Content_length="0x3"),
+        request_bytes("pay", omit=("Content-Length",), Content_length="99999999999999999999999"),
+        request_bytes("pay", omit=("Content-Length",), Transfer_Encoding="gzip"),
+        request_bytes("pay", omit=("Content-Length",), Transfer_Encoding="chunked, identity"),
         request_bytes("search").replace(b"Host: ", b"Host : "),
         request_bytes("search").replace(b"\r\nX-Lane", b"\n X-Folded: 1\r\nX-Lane"),
         request_bytes("search", X_Pad="p" * 10_000),
@@ -707,7 +707,7 @@
             client.writer.write(raw + smuggled)
             assert (await client.read()).status in (400, 413)
             assert await client.closed()
-            assert (await other.ask()).status == 200
+            assert (await other.request()).status == 200
             assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
@@ -719,12 +719,12 @@
             first, second = await r.client(), await r.client()
             first.writer.write(request_bytes("order", X_Txn="5", remaining="400m"))
             await r.until(lambda: len(r.backends[0].requests) == 1)
-            assert (await second.ask("order", X_Txn="5")).status == 400
+            assert (await second.request("order", X_Txn="5")).status == 400
             assert (await first.read()).status == 504
             r.backends[0].behave = respond_ok
             third = await r.client()
             # The id is not open any more.
-            assert (await third.ask("order", X_Txn="5")).status == 200
+            assert (await third.request("order", X_Txn="5")).status == 200
             assert len(r.backends[0].requests) == 2
 
     asyncio.run(run())
@@ -734,7 +734,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             client = await r.client()
-            head = request_bytes("pay", drop=("Content-Length",), Content_length="60000000")
+            head = request_bytes("pay", omit=("Content-Length",), Content_length="60000000")
             client.writer.write(head)
             sent = 0
 
@@ -780,7 +780,7 @@
     async def run() -> None:
         async with rig(respond_ok, sockets=64) as r:
             clients = [await r.client() for _ in range(18)]
-            endings = [(await client.ask()).headers.get("connection") for client in clients]
+            endings = [(await client.request()).headers.get("connection") for client in clients]
             assert endings[0] == "close"  # 18 of a budget of 23 connections are open
             assert endings[-1] is None  # most are closed by then
             assert r.count("connections_shed") == 0
@@ -792,10 +792,10 @@
     async def run() -> None:
         async with rig(respond_ok, sockets=64) as r:
             served_client = await r.client()
-            assert (await served_client.ask()).status == 200
+            assert (await served_client.request()).status == 200
             silent_ones = [await r.client() for _ in range(40)]
             await asyncio.sleep(0.5)
-            assert (await served_client.ask()).status == 200
+            assert (await served_client.request()).status == 200
             assert r.count("connections_shed") >= 10
             for client in silent_ones:
                 client.close()
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -202,7 +202,7 @@
 
     async def run() -> None:
         async with rig(respond_ok, limits__cancelling=cancelling) as r:
-            assert (await r.ask()).status == 200  # leaves an idle connection to the backend
+            assert (await r.request()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             tell = Backend.tell
 
@@ -323,7 +323,7 @@
             size = 160_000
             head = request_bytes(
                 "order",
-                drop=("Content-Length",),
+                omit=("Content-Length",),
                 Content_length=str(size),
                 remaining=LONG_REMAINING,
             )
@@ -353,7 +353,7 @@
 
     async def run() -> None:
         async with rig(respond_ok) as r:
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             client = raw_client(r.proxy.port)
             await r.until(lambda: r.proxy._frontend.connection_count == 1)
@@ -380,7 +380,7 @@
         async with rig(respond_ok, **LONG_CONNECT_TIMEOUT) as r:
             gate = Gate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
-            reply_task = asyncio.create_task(r.ask(remaining="2900m"))
+            reply_task = asyncio.create_task(r.request(remaining="2900m"))
             await r.until(lambda: gate.waiting == 1)
             began = time.monotonic()
             await asyncio.sleep(0.3)
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -165,7 +165,7 @@
                 client = raw_client(r.proxy.port)
                 size = 30_000_000
                 client.send(
-                    request_bytes("order", drop=("Content-Length",), Content_length=str(size))
+                    request_bytes("order", omit=("Content-Length",), Content_length=str(size))
                 )
 
                 def is_body_blocked() -> bool:
@@ -197,7 +197,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             client = raw_client(r.proxy.port)
-            client.send(request_bytes(drop=("X-Txn",)))
+            client.send(request_bytes(omit=("X-Txn",)))
             await r.until(lambda: r.count("requests_bad") == 1)
             client.send(request_bytes())
             end(client)
@@ -252,7 +252,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             frontend = r.proxy._frontend
-            assert (await r.ask()).status == 200  # leaves an idle connection to the backend
+            assert (await r.request()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: frontend.connection_count == 0)
             with monkeypatch.context() as patch:
                 patch.setattr(frontend.budget, "has_capacity", lambda: False)
@@ -304,7 +304,7 @@
             sent = sum(len(b.requests) for b in r.backends)
             for backend in r.backends:
                 backend.behave = respond_ok
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             assert sum(len(b.requests) for b in r.backends) == sent + 1
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -31,7 +31,7 @@
             await wait_until_watching(r)
             client, reply_task = await r.client(), None
             while not removed.requests:  # until an attempt is in flight there
-                reply_task = asyncio.create_task(client.ask(remaining="3900m"))
+                reply_task = asyncio.create_task(client.request(remaining="3900m"))
                 await r.until(lambda: bool(removed.requests) or reply_task.done())  # noqa: B023
             r.directory.members, r.directory.whole = [kept.row()], True
             r.directory.tell()
@@ -41,7 +41,7 @@
             assert reply_task is not None and (await reply_task).status == 200
             await r.until(lambda: removed.ended == removed.opened)  # no connection stays open
             request_count = len(removed.requests)
-            assert [(await client.ask()).status for _ in range(20)] == [200] * 20
+            assert [(await client.request()).status for _ in range(20)] == [200] * 20
             assert len(removed.requests) == request_count
             client.close()
 
@@ -51,7 +51,7 @@
 def request_forms() -> list[tuple[str, bytes, bytes]]:
     """Return name, raw request, and the body that the backend has to receive."""
     body = b"x" * 300
-    chunked = request_bytes("order", drop=("Content-Length",), Transfer_Encoding="chunked")
+    chunked = request_bytes("order", omit=("Content-Length",), Transfer_Encoding="chunked")
     with_length = request_bytes("order", body=body)
     return [
         ("a length", with_length, body),
@@ -135,7 +135,7 @@
             await r.until(lambda: r.proxy._decider.out_of_rotation_count() == 1, 8.0)
             request_count = len(r.backends[0].requests)
             for _ in range(10):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             assert len(r.backends[0].requests) == request_count
 
     asyncio.run(run())
@@ -149,11 +149,11 @@
         async with rig(respond_ok) as r:
             backend = r.backends[0]
             client: Client = await r.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             (writer,) = backend.writers
             writer.write(partial_input)
             await r.until(lambda: backend.ended == 1)
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             assert [s.connection for s in backend.requests] == [1, 2]
             client.close()
 
--- a/tests/net/client_side/test_net_requests.py
+++ b/tests/net/client_side/test_net_requests.py
@@ -22,7 +22,7 @@
         async with rig(respond_ok) as r:
             target = "/pay//a/../%2f%zz;x?b=+%20&c[]=1&d=%C3%A9?"
             body = bytes(range(256)) * 8
-            reply = await r.ask(
+            reply = await r.request(
                 "pay", target=target + "e", body=body, X_Txn="9b1F03aa", X_Odd="a, b"
             )
             assert reply.status == 200 and reply.body == b"served 9b1F03aa"
@@ -49,7 +49,7 @@
             b"\x1f\x8b\x00raw", Content_Type="x/y", Content_Encoding="gzip", X_Pressure=load
         )
         async with rig(respond_with(raw)) as r:
-            reply = await r.ask("order")
+            reply = await r.request("order")
             assert (reply.status, reply.body) == (200, b"\x1f\x8b\x00raw")
             assert (
                 reply.headers["content-type"] == "x/y"
@@ -64,9 +64,9 @@
     async def run() -> None:
         raw = response_bytes(b"", 302, Location="/elsewhere", Set_Cookie="a=b")
         async with rig(respond_with(raw)) as r:
-            assert (await r.ask("order")).status == 502
+            assert (await r.request("order")).status == 502
             r.backends[0].behave = respond_ok
-            await r.ask("order")
+            await r.request("order")
             assert [s.line for s in r.backends[0].requests] == [b"POST /order HTTP/1.1"] * 2
             assert r.backends[0].requests[1].header(b"Cookie") is None
 
@@ -78,10 +78,10 @@
         async with rig(respond_ok) as r:
             rejected_count = 0
             for changes in (
-                {"drop": ("X-Txn",), "lane": "pay"},
+                {"omit": ("X-Txn",), "lane": "pay"},
                 {"X_Txn": ""},
                 {"X_Lane": "unheard"},
-                {"drop": ("X-Lane",)},
+                {"omit": ("X-Lane",)},
                 {"remaining": None},
                 {"remaining": "soon"},
                 {"remaining": "-5m"},
@@ -104,12 +104,12 @@
                 {"method": "HEAD"},
                 {"Content_Length": "0", "content_length": "0"},
                 {"lane": "pay", "method": "GET"},
-                {"lane": "pay", "drop": ("Idempotency-Key",)},
+                {"lane": "pay", "omit": ("Idempotency-Key",)},
                 {"lane": "pay", "idempotency_key": "another"},
             ):
                 rejected_count += 1
                 client = await r.client()
-                reply = await client.ask(**{"lane": "search", **changes})  # type: ignore[arg-type]
+                reply = await client.request(**{"lane": "search", **changes})  # type: ignore[arg-type]
                 assert reply.status == 400, changes
             assert not r.backends[0].requests
             assert r.count("requests_bad") + r.count("requests_malformed") == rejected_count
@@ -126,10 +126,10 @@
         async with rig(respond_ok) as r:
             loop = asyncio.get_running_loop()
             client, other, start = await r.client(), await r.client(), loop.time()
-            assert (await client.ask("search", remaining="soon")).status == 400
+            assert (await client.request("search", remaining="soon")).status == 400
             assert loop.time() - start < 0.2  # the error comes at once
             client.writer.write(request_bytes("search"))
-            assert (await other.ask("search")).status == 200
+            assert (await other.request("search")).status == 200
             assert (await client.read()).status == 200
             assert loop.time() - start >= 0.3
             assert len(r.backends[0].requests) == 2 and r.count("requests_bad") == 1
@@ -146,7 +146,7 @@
                 "Keep_Alive": "5",
                 "TE": "trailers",
             }
-            assert (await r.ask("search", X_Yours="2", **headers)).status == 200
+            assert (await r.request("search", X_Yours="2", **headers)).status == 200
             request = r.backends[0].requests[0]
             for name in (b"X-Mine", b"Keep-Alive", b"TE", b"Connection"):
                 assert request.header(name) is None, name
@@ -158,9 +158,9 @@
 def test_body_over_the_maximum_gets_an_error_and_reaches_no_backend() -> None:
     async def run() -> None:
         async with rig(respond_ok, body_mb=1) as r:
-            assert (await r.ask("pay", body=b"x" * ((1 << 20) + 1))).status == 413
+            assert (await r.request("pay", body=b"x" * ((1 << 20) + 1))).status == 413
             assert not r.backends[0].requests
-            assert (await r.ask("pay", body=b"x" * (64 * 1024))).status == 200
+            assert (await r.request("pay", body=b"x" * (64 * 1024))).status == 200
 
     asyncio.run(run())
 
@@ -169,11 +169,11 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             other, malformed = await r.client(), await r.client()
-            assert (await other.ask()).status == 200
+            assert (await other.request()).status == 200
             malformed.writer.write(b"\x00\x01 nonsense\r\n\r\n")
             assert (await malformed.read()).status == 400
             assert await malformed.closed()
-            assert (await other.ask()).status == 200
+            assert (await other.request()).status == 200
             assert r.count("requests_malformed") == 1
 
     asyncio.run(run())
@@ -184,7 +184,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             client = await r.client()
-            head = request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked")
+            head = request_bytes("pay", omit=("Content-Length",), Transfer_Encoding="chunked")
             client.writer.write(head + b"3\r\nabc\r\n")
             await asyncio.sleep(0.02)
             client.writer.write(b"2\r\nde\r\n0\r\n\r\n")
@@ -212,7 +212,7 @@
     async def run() -> None:
         async with rig() as r:
             before = asyncio.get_running_loop().time()
-            reply = await r.ask("search", remaining="900m")
+            reply = await r.request("search", remaining="900m")
             assert reply.status == 503
             assert 0 < float(reply.headers["retry-after"]) <= 1.2
             assert asyncio.get_running_loop().time() - before < 0.3
@@ -236,7 +236,7 @@
             assert r.count("requests_left") == 1
             assert r.count("answers_ok") == r.count("answers_failed") == 0
             r.backends[0].behave = respond_ok
-            assert (await r.ask("order")).status == 200
+            assert (await r.request("order")).status == 200
 
     asyncio.run(run())
 
--- a/tests/net/client_side/test_net_shutdown.py
+++ b/tests/net/client_side/test_net_shutdown.py
@@ -206,7 +206,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             idle_client, incomplete = await r.client(), await r.client()
-            assert (await idle_client.ask()).status == 200
+            assert (await idle_client.request()).status == 200
             raw = request_bytes("order", body=b"whole")
             incomplete.writer.write(raw[:-1])
             await r.until(
@@ -216,7 +216,7 @@
             await asyncio.sleep(0)
             incomplete.writer.write(raw[-1:])
             # So is a request on an idle connection while new connections are still accepted.
-            for reply in (await incomplete.read(), await idle_client.ask()):
+            for reply in (await incomplete.read(), await idle_client.request()):
                 assert (reply.status, reply.headers["connection"]) == (200, "close")
             await stopping
 
@@ -228,9 +228,9 @@
         go = asyncio.Event()
         respond_ok_after_go = respond_ok_after(go)
 
-        async with rig(respond_ok, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, admin_addr="127.0.0.1:0") as r:
             idle_client, busy = await r.client(), await r.client()
-            assert (await idle_client.ask()).status == 200
+            assert (await idle_client.request()).status == 200
             r.backends[0].behave = respond_ok_after_go
             busy.writer.write(request_bytes())
             await r.until(lambda: len(r.backends[0].requests) == 2)
@@ -241,15 +241,15 @@
                 "/api/evacuate",
                 "/api/rejoin",
             ):
-                assert (await r.call(path)).status == 200
+                assert (await r.admin_call(path)).status == 200
             go.set()
-            for reply in (await busy.read(), await idle_client.ask(), await busy.ask()):
+            for reply in (await busy.read(), await idle_client.request(), await busy.request()):
                 assert reply.status == 200 and "connection" not in reply.headers
             assert r.proxy._frontend.accepts_new_clients()
             # A shutdown cannot be undone.
             stopping = asyncio.create_task(r.proxy.stop(0.1))
             await asyncio.sleep(0)
-            assert (await r.call("/api/rejoin")).status == 409
+            assert (await r.admin_call("/api/rejoin")).status == 409
             idle_client.close()
             busy.close()
             await stopping
@@ -279,7 +279,7 @@
                     return getattr(listener, name)
 
             monkeypatch.setattr(r.proxy._frontend.acceptor, "_listener", FailingListener())
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             assert not pending_errors
             monkeypatch.setattr(r.proxy._frontend.acceptor, "_listener", listener)
 
@@ -290,15 +290,15 @@
     async def run() -> None:
         async with rig(never_respond, respond_ok, never_respond, respond_ok) as r:
 
-            async def ask_until_served() -> int:
+            async def request_until_served() -> int:
                 for _ in range(40):
-                    reply = await r.ask(remaining="800m")
+                    reply = await r.request(remaining="800m")
                     if reply.status == 200:
                         return 1
                     assert reply.status in (502, 503, 504)
                 return 0
 
-            assert sum(await asyncio.gather(*(ask_until_served() for _ in range(30)))) == 30
+            assert sum(await asyncio.gather(*(request_until_served() for _ in range(30)))) == 30
             assert r.count("faults") == r.count("checks_broken") == 0
             await r.until(lambda: not r.proxy._decider._pending)
 
@@ -408,7 +408,7 @@
     """The admin server closes connections in the same way, and writes responses at once."""
 
     async def run() -> None:
-        async with rig(respond_ok, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, admin_addr="127.0.0.1:0") as r:
             for path, method in CALLS.items():
                 caller = raw_client(r.proxy.admin_port)
                 caller.send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode() + b"x" * 20_000)
@@ -433,9 +433,9 @@
 
 def test_small_writes_are_not_delayed_by_nagles_algorithm(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        async with rig(respond_ok, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             backend_transports = [link.transport for link in r.proxy._pool.connections]
             clients = [
                 c.transport for c in r.proxy._frontend._accepted if isinstance(c, Connection)
--- a/tests/net/client_side/test_net_states.py
+++ b/tests/net/client_side/test_net_states.py
@@ -93,7 +93,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             client = await r.client()
-            client.writer.write(request_bytes(drop=("X-Txn",)))
+            client.writer.write(request_bytes(omit=("X-Txn",)))
             assert (await client.read()).status == 400
 
     asyncio.run(run())
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -184,9 +184,9 @@
         remaining = rng.choice(("300m", "900m"))
         if lane == "search":
             return [request_bytes(lane, remaining=remaining)]
-        drop = ("Content-Length",)
+        omit = ("Content-Length",)
         if rng.random() < 0.5:
-            head = request_bytes(lane, drop=drop, Transfer_Encoding="chunked", remaining=remaining)
+            head = request_bytes(lane, omit=omit, Transfer_Encoding="chunked", remaining=remaining)
             part = max(1, size // 5)
             body = b"".join(b"%x\r\n%b\r\n" % (part, b"u" * part) for _ in range(5))
             if rng.random() < 0.4:
@@ -194,7 +194,7 @@
             else:
                 body += b"0\r\n\r\n"
         else:
-            head = request_bytes(lane, drop=drop, Content_length=str(size), remaining=remaining)
+            head = request_bytes(lane, omit=omit, Content_length=str(size), remaining=remaining)
             body = b"u" * size
         if rng.random() < 0.15:
             body = body[: len(body) // 2]  # the rest never comes
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -140,7 +140,7 @@
             release.set()
             await r.until(r.proxy._frontend.accepts_new_clients)
             for _ in range(6):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             assert not r.backends[0].requests
             client.close()
 
@@ -153,7 +153,7 @@
         async with rig(respond_ok, held=release, discovery="push") as r:
             await r.until(r.proxy._frontend.accepts_new_clients, 4.0)
             assert r.count("discovery_failures") >= 1
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             release.set()
 
     asyncio.run(run())
@@ -167,7 +167,7 @@
             await r.directory.stop()
             r.directory.cut()
             await r.until(lambda: r.count("discovery_failures") >= 1)
-            assert (await r.ask()).status == 200  # with the list from before the outage
+            assert (await r.request()).status == 200  # with the list from before the outage
             r.directory.tell(r.backends[0].row("DRAINING"))
             await r.directory.start()
             await r.until(lambda: has_drained(r), 8.0)
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -16,7 +16,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             old = r.backends[0]
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             # The first call polls missed changes, the second one watches.
             await r.until(lambda: len(r.directory.calls) >= 2)
             new = StandIn(respond_ok, "s-new")
@@ -28,7 +28,7 @@
             await asyncio.sleep(0.02)
             assert old.ended == old.opened == 1  # its idle connection is closed
             for lane in ("search", "pay", "order"):
-                assert (await r.ask(lane)).status == 200
+                assert (await r.request(lane)).status == 200
             assert len(old.requests) == 1 and len(new.requests) == 3
 
     asyncio.run(run())
@@ -44,14 +44,14 @@
 
         async with rig(respond_after_gate) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            request = asyncio.create_task(r.ask("order"))
+            request = asyncio.create_task(r.request("order"))
             await r.until(lambda: len(r.backends[0].requests) == 1)
             r.directory.tell({"id": "s-0", "phase": "DELETED"})
             await asyncio.sleep(0.05)
             gate.set()
             reply = await request
             assert (reply.status, reply.body) == (200, b"done")
-            assert (await r.ask()).status == 503  # no backend is left
+            assert (await r.request()).status == 503  # no backend is left
 
     asyncio.run(run())
 
@@ -72,7 +72,7 @@
 def test_a_restarted_backend_at_a_new_address_warms_up_as_a_new_one() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.ask()
+            await r.request()
             await r.until(lambda: len(r.directory.calls) >= 2)
             restarted = StandIn(respond_ok, "s-0")
             await restarted.start()
@@ -84,7 +84,7 @@
             (balanced,) = r.proxy._decider._balancer.endpoints.by_id.values()
             assert balanced.started_ns == now_ms * 1_000_000
             assert r.proxy._decider._balancer.slow_start.warmth(balanced) < 0.3
-            await r.ask(remaining="900m")
+            await r.request(remaining="900m")
             assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
@@ -100,7 +100,7 @@
             news, r.directory.news = r.directory.news, asyncio.Event()
             news.set()
             await r.until(lambda: r.count("discovery_failures") >= 1)
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
 
     asyncio.run(run())
 
@@ -123,7 +123,7 @@
             async with rig(respond_ok) as r:
                 r.directory.raw = raw
                 await r.until(lambda r=r: r.count("discovery_failures") >= 1)  # type: ignore[misc]
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
                 r.directory.raw = None
                 await r.until(lambda r=r: r.count("list_updates") >= 2, 5.0)  # type: ignore[misc]
 
@@ -134,7 +134,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             r.directory.hangs = True
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             await r.until(lambda: r.count("discovery_failures") >= 1, 4.0)
 
         stand_in = StandIn(respond_ok)
@@ -200,6 +200,6 @@
             await r.until(lambda: len(r.directory.calls) >= 2)
             r.directory.tell(r.backends[0].row())
             await r.until(lambda: r.count("list_updates") >= 3, 0.2)
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
 
     asyncio.run(run())
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -46,7 +46,7 @@
     Directory,
     ReceivedRequest,
     StandIn,
-    call,
+    admin_call,
     request_bytes,
     respond_ok,
     response_bytes,
@@ -223,7 +223,7 @@
             clients = [await p.client() for _ in range(8)]
             silent = await p.client()
             for client in clients:
-                assert (await client.ask("order")).status == 200
+                assert (await client.request("order")).status == 200
             p.stand_in.behave = respond_after_300_ms
             # This request stays open during the whole handover.
             clients[0].writer.write(request_bytes("order", remaining="990m"))
@@ -235,7 +235,7 @@
             async def send_requests(client: object) -> int:
                 request_count = 0
                 while not stopped.is_set():
-                    reply = await client.ask("order")  # type: ignore[attr-defined]
+                    reply = await client.request("order")  # type: ignore[attr-defined]
                     assert reply.status in (200, 503) and "connection" not in reply.headers
                     # Requests with a 503 response were rejected for lack of capacity.
                     request_count += reply.status == 200
@@ -251,13 +251,16 @@
             await asyncio.sleep(0.2)
             stopped.set()
             request_count = sum(await asyncio.gather(*senders))
-            assert (await clients[0].ask("order")).status == 200
-            assert (await silent.ask("order")).status == 200  # its first request on this connection
+            assert (await clients[0].request("order")).status == 200
+            # Its first request on this connection.
+            assert (await silent.request("order")).status == 200
             # No request is lost or sent twice.
             assert len(p.stand_in.requests) == 8 + 1 + 1 + 1 + request_count
             counters = await p.counters()
             assert counters["handovers"] == 1 and counters["clients_adopted"] >= 8
-            assert (await call(admin_port, "/api/ready")).status == 200 and new.returncode is None
+            assert (
+                await admin_call(admin_port, "/api/ready")
+            ).status == 200 and new.returncode is None
 
     asyncio.run(run())
 
@@ -286,7 +289,7 @@
             new.terminate()
             await asyncio.sleep(0.1)
             late = await p.client()
-            reply = await asyncio.wait_for(late.ask("search"), 0.4)
+            reply = await asyncio.wait_for(late.request("search"), 0.4)
             assert reply.status == 200
             assert new.returncode is None  # it still has an open request
             assert old.returncode is None
@@ -399,14 +402,14 @@
         async with start_platform(tmp_path, StandIn(respond_ok)) as p:
             _, admin_port = await p.start()
             new, _ = await p.start()
-            assert (await call(admin_port, "/api/ready")).status == 503
+            assert (await admin_call(admin_port, "/api/ready")).status == 503
             new.kill()
             await new.wait()
             async with asyncio.timeout(3):
-                while (await call(admin_port, "/api/ready")).status != 200:
+                while (await admin_call(admin_port, "/api/ready")).status != 200:
                     await asyncio.sleep(0.02)
             client = await p.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
 
     asyncio.run(run())
 
@@ -422,7 +425,7 @@
             second.kill()  # leaves its socket's file behind
             await second.wait()
             third, _ = await asyncio.wait_for(p.start(), 5)
-            assert (await (await p.client()).ask()).status == 200
+            assert (await (await p.client()).request()).status == 200
             third.terminate()
             await third.wait()
             assert not list(tmp_path.glob("mothstall-*"))  # leftover files were removed
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -207,13 +207,13 @@
             writer.close()
 
     async def run() -> None:
-        async with rig(behave, operators="127.0.0.1:0") as r:
+        async with rig(behave, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
             for _ in range(2):  # the connection is reusable
                 client.writer.write(request_bytes("search"))
                 _, body = await asyncio.wait_for(read_long(client), 10)
                 assert body == BODY
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (metrics["fulfilled.search"], metrics["open_requests"]) == (2, 0)
             if framing == "length":
                 assert r.backends[0].opened == 1  # the backend connection is reused
@@ -281,13 +281,13 @@
         writer.transport.abort()
 
     async def run() -> None:
-        async with rig(behave, operators="127.0.0.1:0") as r:
+        async with rig(behave, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
             client.writer.write(request_bytes("search"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await asyncio.wait_for(read_long(client), 5)
             await r.until(lambda: r.count("answers_failed") == 1)
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (
                 metrics["faulted.search"],
                 metrics["fulfilled.search"],
@@ -340,14 +340,14 @@
             await writer.drain()
 
     async def run() -> None:
-        async with rig(behave, operators="127.0.0.1:0") as r:
+        async with rig(behave, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await client.reader.readexactly(100_000)
             client.writer.transport.abort()
             await r.until(lambda: r.backends[0].ended == 1)
             await r.until(lambda: r.count("requests_left") == 1)
-            assert (await r.figures())["open_requests"] == 0 and r.count("answers_cut") == 0
+            assert (await r.telemetry())["open_requests"] == 0 and r.count("answers_cut") == 0
             assert len(r.proxy._pool.buffer_grants._holders) == 0
 
     asyncio.run(run())
@@ -414,7 +414,7 @@
 
 @asynccontextmanager
 async def rig_with_upload_backend(**changes: Any) -> AsyncIterator[tuple[Rig, UploadBackend]]:
-    async with rig(listed=False, operators="127.0.0.1:0", **changes) as r:
+    async with rig(listed=False, admin_addr="127.0.0.1:0", **changes) as r:
         backend = UploadBackend()
         await backend.start()
         r.directory.tell(backend.row())
@@ -436,12 +436,12 @@
                 head = request_bytes(
                     "order",
                     remaining="400m",
-                    drop=("Content-Length",),
+                    omit=("Content-Length",),
                     Content_length=str(len(BODY)),
                 )
             else:
                 head = request_bytes(
-                    "order", remaining="400m", drop=("Content-Length",), Transfer_Encoding="chunked"
+                    "order", remaining="400m", omit=("Content-Length",), Transfer_Encoding="chunked"
                 )
             client.writer.write(head)
             # The upload takes longer than the remaining time, which counts from the end of the body.
@@ -457,13 +457,13 @@
             reply = await client.read()
             assert (reply.status, reply.body) == (200, b"swallowed")
             assert backend.digests == [(len(BODY), hashlib.sha256(BODY).hexdigest())]
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (metrics["relayed"], metrics["fulfilled.order"], metrics["open_requests"]) == (
                 1,
                 1,
                 0,
             )
-            assert (await client.ask("order", body=b"short")).status == 200
+            assert (await client.request("order", body=b"short")).status == 200
 
     asyncio.run(run())
 
@@ -479,7 +479,7 @@
             client = await r.client()
             size = 32 * MB
             client.writer.write(
-                request_bytes("order", drop=("Content-Length",), Content_length=str(size))
+                request_bytes("order", omit=("Content-Length",), Content_length=str(size))
             )
 
             async def send_body() -> None:
@@ -491,7 +491,7 @@
             reply = await client.read()
             assert reply.status == 503  # safe to retry: the request was not executed
             await asyncio.wait_for(sending, 5)  # the rest of the body was read and discarded
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (metrics["relayed"], metrics["throttled.order"], metrics["open_requests"]) == (
                 0,
                 1,
@@ -507,7 +507,7 @@
         async with rig_with_upload_backend() as (r, backend):
             client = await r.client()
             client.writer.write(
-                request_bytes("pay", drop=("Content-Length",), Content_length=str(MB))
+                request_bytes("pay", omit=("Content-Length",), Content_length=str(MB))
                 + b"u" * 300_000
             )
             await r.until(lambda: len(backend.framings) == 1)
@@ -524,7 +524,7 @@
         async with rig(respond_ok) as r:
             client = await r.client()
             client.writer.write(
-                request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked")
+                request_bytes("pay", omit=("Content-Length",), Transfer_Encoding="chunked")
             )
             client.writer.write(b"1\r\nx\r\n" * 65536 + b"0\r\n\r\n")
             assert (await client.read()).status == 200
@@ -539,7 +539,7 @@
             balancer = r.proxy._decider._balancer
             client = await r.client()
             client.writer.write(
-                request_bytes("pay", drop=("Content-Length",), Content_length=str(MB))
+                request_bytes("pay", omit=("Content-Length",), Content_length=str(MB))
                 + b"u" * 300_000
             )
             await r.until(lambda: len(backend.framings) == 1)
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -94,7 +94,7 @@
         async with rig(respond_ok, respond_ok, **changes(deployment)) as r:
             await r.until(r.proxy._frontend.accepts_new_clients)
             for class_name in class_names(deployment):
-                assert (await r.ask(class_name, remaining="1000m")).status == 200
+                assert (await r.request(class_name, remaining="1000m")).status == 200
             assert r.count("faults") == r.count("checks_broken") == 0
 
     asyncio.run(run())
@@ -117,7 +117,7 @@
             await r.until(r.proxy._frontend.accepts_new_clients)
             for class_name in class_names(deployment):
                 before = sum(len(b.requests) for b in r.backends)
-                reply = await r.ask(class_name, remaining="250m")
+                reply = await r.request(class_name, remaining="250m")
                 sent = sum(len(b.requests) for b in r.backends) - before
                 assert reply.status in (502, 503, 504)
                 if "limits--retry_after" in DEPLOYMENTS[deployment]:
@@ -139,10 +139,10 @@
         rows = [class_row("search", "pure", 25, 60), class_row("order", "side_effect", 25, 60)]
         async with rig(respond_ok, classes=rows) as r:
             for class_name in ("search", "order"):
-                assert (await r.ask(class_name, remaining="60m")).status in (200, 502, 503, 504)
+                assert (await r.request(class_name, remaining="60m")).status in (200, 502, 503, 504)
             r.backends[0].behave = never_respond
             began = r.proxy.loop.time()
-            assert (await r.ask("order", remaining="60m")).status in (502, 504)
+            assert (await r.request("order", remaining="60m")).status in (502, 504)
             assert r.proxy.loop.time() - began < 2.0
             assert r.count("faults") == 0
 
@@ -152,8 +152,8 @@
 def test_only_classes_idempotent_with_a_key_require_the_key() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            assert (await r.ask("order", drop=("Idempotency-Key",))).status == 200
-            assert (await r.ask("pay", drop=("Idempotency-Key",))).status == 400
+            assert (await r.request("order", omit=("Idempotency-Key",))).status == 200
+            assert (await r.request("pay", omit=("Idempotency-Key",))).status == 400
             assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -111,7 +111,7 @@
             proxy.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
             late = await proxy.client()  # new connections are still accepted for a while
-            reply = await late.ask("search")
+            reply = await late.request("search")
             assert reply.status == 200 and reply.headers["connection"] == "close"
             assert await late.closed()
             assert await idle.closed(1.0)  # before the open request is answered
@@ -124,7 +124,7 @@
             assert "event=end" in end and "requests=2" in end and "answers_ok=2" in end
         # A new process can listen on the same address at once.
         async with start_proxy(tmp_path, stand_in, proxy.port) as again:
-            assert (await (await again.client()).ask("search")).status == 200
+            assert (await (await again.client()).request("search")).status == 200
         await stand_in.stop()
 
     asyncio.run(run())
@@ -136,11 +136,11 @@
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             client = await proxy.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             proxy.process.kill()
             await proxy.process.wait()
             async with start_proxy(tmp_path, stand_in, proxy.port) as again:
-                assert (await (await again.client()).ask()).status == 200
+                assert (await (await again.client()).request()).status == 200
         await stand_in.stop()
 
     asyncio.run(run())
@@ -172,7 +172,7 @@
         stand_in = StandIn(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
-            assert (await (await proxy.client()).ask()).status == 200
+            assert (await (await proxy.client()).request()).status == 200
             proxy.process.send_signal(signal.SIGUSR1)
             assert proxy.process.stderr
             async with asyncio.timeout(3):
@@ -338,7 +338,7 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             client = await r.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             (connection,) = r.proxy._frontend._accepted
             assert isinstance(connection, Connection)
             transport: Callable[[], object] = weakref.ref(connection.transport)
@@ -450,7 +450,7 @@
                 updates_before = r.count("list_updates")
                 r.directory.tell(row, {"id": f"s-new-{i - 1}", "phase": "DELETED"})
                 await r.until(lambda w=updates_before: r.count("list_updates") > w)  # type: ignore[misc]
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             decider = r.proxy._decider
             assert (
                 len(decider._backends)
@@ -476,7 +476,7 @@
 
         async with rig(waits) as r:
             await r.until(lambda: len(r.directory.calls) >= 2)
-            out = asyncio.create_task(r.ask("order"))
+            out = asyncio.create_task(r.request("order"))
             await r.until(lambda: len(r.backends[0].requests) == 1)
             updates_before = r.count("list_updates")
             new = {**r.backends[0].row(), "id": "s-successor"}
@@ -484,7 +484,7 @@
             await r.until(lambda: r.count("list_updates") > updates_before)
             gate.set()
             assert (await out).status == 200
-            assert (await r.ask("order")).status == 200
+            assert (await r.request("order")).status == 200
             assert [s.connection for s in r.backends[0].requests] == [1, 2]
 
     asyncio.run(run())
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -49,7 +49,7 @@
             other.tell(r.backends[0].row("DRAINING"))
             await r.until(lambda: r.count("list_updates") > updates_before, 0.5)
             for _ in range(4):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             assert len(new.requests) == 4 and not r.backends[0].requests
             assert r.count("discovery_failures") == 0 and r.count("reloads") == 1
             await other.stop()
@@ -72,7 +72,7 @@
             r.directory.tell(r.backends[0].row())
             await asyncio.sleep(0.2)
             assert len(r.directory.calls) == 1, r.directory.calls
-            assert r.count("reloads") == 3 and (await r.ask()).status == 200
+            assert r.count("reloads") == 3 and (await r.request()).status == 200
             for other in (second, third):
                 other.cut()
                 await other.stop()
@@ -99,7 +99,7 @@
             late.port = port
             await late.start()
             await r.until(lambda: len(late.calls) >= 1, 1.0)
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
             await late.stop()
 
     asyncio.run(run())
--- a/tests/net/test_startup.py
+++ b/tests/net/test_startup.py
@@ -216,7 +216,7 @@
         ):
             await asyncio.gather(*(process.until_ready() for process in proxies))
             for process in proxies:
-                assert (await (await process.client()).ask()).status == 200
+                assert (await (await process.client()).request()).status == 200
         await directory.stop()
         await stand_in.stop()
 
@@ -248,7 +248,7 @@
                 await directory.start()
             await asyncio.gather(*(process.until_ready() for process in proxies))
             for process in proxies:
-                assert (await (await process.client()).ask()).status == 200
+                assert (await (await process.client()).request()).status == 200
         await directory.stop()
         await stand_in.stop()
 
@@ -271,7 +271,7 @@
         ):
             await asyncio.gather(*(process.until_ready() for process in proxies))
             for process in proxies:
-                assert (await (await process.client()).ask()).status == 200
+                assert (await (await process.client()).request()).status == 200
         await directory.stop()
         await stand_in.stop()
 
@@ -300,8 +300,8 @@
                 process.process.stdin.write(b"ready\n")
                 await asyncio.sleep(0.3)  # the reporting thread records the loaded modules
                 client = await process.client()
-                assert (await client.ask()).status == 200
-                assert (await client.ask("order", body=b"a body")).status == 200
+                assert (await client.request()).status == 200
+                assert (await client.request("order", body=b"a body")).status == 200
                 process.process.terminate()
                 report: dict[str, Any] = json.loads(await process.process.stdout.read())
         finally:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -292,14 +292,14 @@
 
 
 def tree_of(directory: Directory, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
-    operators = changes.pop("operators", None)  # address of the admin interface
+    admin_addr = changes.pop("admin_addr", None)
     label = changes.pop("cost_label", None)
     usual = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "body_mb": 40}
     limits = {name: changes.pop(name, value) for name, value in usual.items()}
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "admin_addr": operators,
+        "admin_addr": admin_addr,
         "cost_label": label,
         "discovery": f"127.0.0.1:{directory.port}",
         "seed": "5",
@@ -322,19 +322,19 @@
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.proxy.port))
 
-    async def ask(self, lane: str = "search", **more: Any) -> Reply:
+    async def request(self, lane: str = "search", **more: Any) -> Reply:
         client = await self.client()
         try:
-            return await client.ask(lane, **more)
+            return await client.request(lane, **more)
         finally:
             client.close()
 
-    async def call(self, path: str, method: str | None = None) -> Reply:
+    async def admin_call(self, path: str, method: str | None = None) -> Reply:
         """Calls the admin interface of the proxy."""
-        return await call(self.proxy.admin_port, path, method)
+        return await admin_call(self.proxy.admin_port, path, method)
 
-    async def figures(self) -> dict[str, int]:
-        return read_figures((await self.call("/api/telemetry")).body)
+    async def telemetry(self) -> dict[str, int]:
+        return parse_telemetry((await self.admin_call("/api/telemetry")).body)
 
     async def until(self, condition: Callable[[], bool], seconds: float = 3.0) -> None:
         async with asyncio.timeout(seconds):
@@ -359,7 +359,7 @@
     method: str | None = None,
     remaining: str | None = "800m",
     body: bytes = b"",
-    drop: tuple[str, ...] = (),
+    omit: tuple[str, ...] = (),
     **extra: str,
 ) -> bytes:
     method = method or ("GET" if lane == "search" else "POST")
@@ -376,11 +376,11 @@
         headers["Content-Length"] = str(len(body))
     headers.update({name.replace("_", "-"): value for name, value in extra.items()})
     rows = [f"{method} {target or '/' + lane} HTTP/1.1"]
-    rows += [f"{name}: {value}" for name, value in headers.items() if name not in drop]
+    rows += [f"{name}: {value}" for name, value in headers.items() if name not in omit]
     return "\r\n".join(rows).encode() + b"\r\n\r\n" + body
 
 
-async def call(port: int, path: str, method: str | None = None) -> Reply:
+async def admin_call(port: int, path: str, method: str | None = None) -> Reply:
     """Sends one request to the admin interface of a proxy on this machine."""
     method = method or ("POST" if path in ("/api/evacuate", "/api/rejoin") else "GET")
     client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -393,7 +393,7 @@
         client.close()
 
 
-def read_figures(text: bytes) -> dict[str, int]:
+def parse_telemetry(text: bytes) -> dict[str, int]:
     rows = (row.partition(":") for row in text.decode().splitlines())
     return {name.removeprefix("app."): int(value.partition("|")[0]) for name, _, value in rows}
 
@@ -402,7 +402,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ask(self, lane: str = "search", **more: Any) -> Reply:
+    async def request(self, lane: str = "search", **more: Any) -> Reply:
         self.writer.write(request_bytes(lane, **more))
         return await self.read()
 
--- a/tests/test_net_move.py
+++ b/tests/test_net_move.py
@@ -27,7 +27,7 @@
     async def run() -> None:
         async with rig(*[report_load_to_probes] * 9, **PROBING) as r:
             for _ in range(40):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             await r.until(lambda: r.count("probes") >= 1)
             assert r.count("probes") <= 0.3 * 40 + 2
             asked = [request.line for backend in r.backends for request in backend.requests]
@@ -55,7 +55,7 @@
         for label, work in (("work", 7.0 * MS), (None, 0.0)):
             async with rig(respond_ok, cost_label=label) as r:
                 for labels in (f"key=3, work={7 * MS}", *malformed):
-                    assert (await r.ask(X_Labels=labels)).status == 200
+                    assert (await r.request(X_Labels=labels)).status == 200
                 assert r.proxy._decider._balancer.latency._mean_costs[0] == work
 
     asyncio.run(run())
