--- a/tests/given_clock.py
+++ b/tests/given_clock.py
@@ -22,7 +22,7 @@
 from mothstall.net.discovery import discovery
 from mothstall.net.discovery.discovery import Discovery, EndpointsUpdated
 from mothstall.net.metrics import RequestMetrics
-from tests.peers import Directory, tree_of
+from tests.peers import StandInDiscovery, make_config_tree
 
 START_S = 1_000.0
 ROW = {
@@ -225,8 +225,8 @@
 
     def __init__(self, service: FakeDiscovery, *, known: bool = True, **changes: Any) -> None:
         loop = asyncio.get_running_loop()
-        directory = cast(Directory, SimpleNamespace(port=9, revision=1))
-        tree = tree_of(directory, [ROW] if known else [], **changes)
+        stand_in = cast(StandInDiscovery, SimpleNamespace(port=9, revision=1))
+        tree = make_config_tree(stand_in, [ROW] if known else [], **changes)
         read = config.from_tree(tree)
         counters, clock = Counters(), LoopClock(loop)
         self.decider = Decider(
--- a/tests/net/admin/test_admin_server.py
+++ b/tests/net/admin/test_admin_server.py
@@ -20,17 +20,17 @@
 from tests.net.test_process import MAIN, ROOT, run_main
 from tests.peers import (
     Client,
-    Directory,
     ReceivedRequest,
-    StandIn,
+    StandInBackend,
+    StandInDiscovery,
     admin_call,
+    make_config_tree,
     never_respond,
     request_bytes,
     respond_ok,
     respond_with,
     response_bytes,
     rig,
-    tree_of,
 )
 
 ADMIN_ADDRESS = "127.0.0.1:0"
@@ -133,7 +133,7 @@
             assert [metrics[f"faulted.{c}"] for c in ("search", "pay", "order")] == [0, 0, 1]
             assert metrics["open_requests"] == 0 and metrics["registry_entries"] == 1
             assert sum(n for name, n in metrics.items() if name.startswith("throttled")) == 0
-            r.directory.tell(r.backends[0].row("DRAINING"))
+            r.discovery.publish(r.backends[0].row("DRAINING"))
             async with asyncio.timeout(3):
                 while (await r.telemetry())["out_of_rotation"] != 1:
                     await asyncio.sleep(0.02)
@@ -323,8 +323,8 @@
     tmp_path: Path, env: dict[str, str], named_key: str
 ) -> None:
     path = tmp_path / "config.json"
-    directory = Directory([])
-    path.write_text(json.dumps(tree_of(directory, [])))
+    discovery = StandInDiscovery([])
+    path.write_text(json.dumps(make_config_tree(discovery, [])))
     done = run_main("check-config", "--config", str(path), **env)
     assert done.returncode == 2 and named_key in done.stderr and done.stderr.count("\n") == 1
 
@@ -334,7 +334,9 @@
         other.bind(("127.0.0.1", 0))
         other.listen()
         path = tmp_path / "config.json"
-        tree = tree_of(Directory([]), [], admin_addr=f"127.0.0.1:{other.getsockname()[1]}")
+        tree = make_config_tree(
+            StandInDiscovery([]), [], admin_addr=f"127.0.0.1:{other.getsockname()[1]}"
+        )
         path.write_text(json.dumps(tree))
         done = run_main("serve", "--config", str(path))
     assert (
@@ -352,8 +354,10 @@
 class Platform:
     """Holds the listening socket, and starts proxies that inherit it as descriptor 3."""
 
-    def __init__(self, tmp_path: Path, stand_in: StandIn, directory: Directory) -> None:
-        self.path, self.stand_in, self.directory = tmp_path, stand_in, directory
+    def __init__(
+        self, tmp_path: Path, stand_in: StandInBackend, discovery: StandInDiscovery
+    ) -> None:
+        self.path, self.stand_in, self.discovery = tmp_path, stand_in, discovery
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.port = self.sock.getsockname()[1]
         self.processes: list[asyncio.subprocess.Process] = []
@@ -363,7 +367,9 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port: int = free.getsockname()[1]
-        tree = tree_of(self.directory, [self.stand_in.row()], admin_addr=f"127.0.0.1:{port}")
+        tree = make_config_tree(
+            self.discovery, [self.stand_in.row()], admin_addr=f"127.0.0.1:{port}"
+        )
         tree["listen"] = f"127.0.0.1:{self.port}"
         path = self.path / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(tree))
@@ -407,11 +413,11 @@
     tmp_path: Path,
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
-        directory = Directory([stand_in.row()])
-        await directory.start()
-        platform = Platform(tmp_path, stand_in, directory)
+        discovery = StandInDiscovery([stand_in.row()])
+        await discovery.start()
+        platform = Platform(tmp_path, stand_in, discovery)
         request_count, stopped = 0, asyncio.Event()
 
         async def send_requests() -> None:
@@ -437,7 +443,7 @@
             assert new.returncode is None
         finally:
             await platform.end()
-            await directory.stop()
+            await discovery.stop()
             await stand_in.stop()
 
     asyncio.run(run())
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -26,11 +26,12 @@
 from mothstall.net.metrics import RequestMetrics
 from tests.peers import (
     MS,
-    Directory,
     Gate,
     ReceivedRequest,
     Rig,
+    StandInDiscovery,
     alone,
+    make_config_tree,
     never_respond,
     raw_client,
     request_bytes,
@@ -38,7 +39,6 @@
     respond_with,
     response_bytes,
     rig,
-    tree_of,
 )
 from tests.policy import harness as helpers
 
@@ -70,7 +70,7 @@
     """Runs a decider alone on batches of messages."""
 
     def __init__(self, **changes: Any) -> None:
-        tree = tree_of(Directory([]), [], **changes)
+        tree = make_config_tree(StandInDiscovery([]), [], **changes)
         tree["discovery"], tree["known"] = "127.0.0.1:1", None
         self.config = config.from_tree(tree)
         self.counters, self.clock = Counters(), Clock()
@@ -214,7 +214,7 @@
             await r.until(lambda: r.count("list_updates") >= 2)  # the watch is established
             reply_task = asyncio.create_task(client.request(lane))
             await r.until(lambda: gate.waiting == 1)
-            r.directory.tell(changed_row(r, 0, how))
+            r.discovery.publish(changed_row(r, 0, how))
             await r.until(lambda: r.count("list_updates") >= 3)
             await settle()
             reconnects = gate.waiting  # a successor at the same address may get a new attempt
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -19,7 +19,7 @@
     Behaviour,
     ReceivedRequest,
     Single,
-    StandIn,
+    StandInBackend,
     alone,
     never_respond,
     request_bytes,
@@ -236,7 +236,7 @@
             with unread_listener() as listener:
                 row = {**r.backends[0].row(), "id": "s-9"}
                 row["host_port"] = f"127.0.0.1:{listener.getsockname()[1]}"
-                r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
+                r.discovery.publish({**r.backends[0].row(), "phase": "DELETED"}, row)
                 listed_backends = r.proxy._decider._backends
                 await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
                 reply = await r.request("order", remaining="300m", body=b"x" * size)
@@ -273,7 +273,7 @@
             server = await asyncio.start_server(answer_early, "127.0.0.1", 0)
             row = {**r.backends[0].row(), "id": "s-9"}
             row["host_port"] = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
+            r.discovery.publish({**r.backends[0].row(), "phase": "DELETED"}, row)
             listed_backends = r.proxy._decider._backends
             await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
             client = await r.client()
@@ -354,7 +354,7 @@
         single.send(within_ms=2000)
         await single.ended()
         await stand_in.stop()
-        restarted = StandIn(respond_ok)
+        restarted = StandInBackend(respond_ok)
         restarted.port = stand_in.port
         async with asyncio.timeout(3):
             while single.pool.open_count:
--- a/tests/net/client_side/test_broken_uploads.py
+++ b/tests/net/client_side/test_broken_uploads.py
@@ -23,7 +23,7 @@
 from tests.net.client_side.test_net_leaving import resources_released
 from tests.net.test_net_body_relay import UploadBackend, rig_with_upload_backend
 from tests.net.test_process import start_proxy
-from tests.peers import Client, Rig, StandIn, request_bytes, rig
+from tests.peers import Client, Rig, StandInBackend, request_bytes, rig
 
 LONG_BODY = b"u" * 200_000  # longer than a body that is buffered completely
 
@@ -196,8 +196,8 @@
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
-                listed_backend = StandIn().row()
-                r.directory.tell(
+                listed_backend = StandInBackend().row()
+                r.discovery.publish(
                     {**listed_backend, "host_port": f"127.0.0.1:{listener.getsockname()[1]}"}
                 )
                 await r.until(lambda: r.proxy._decider.listed_count() == 1)
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -21,8 +21,8 @@
 from tests.net.test_process import MAIN, ROOT
 from tests.peers import (
     Client,
-    Directory,
-    StandIn,
+    StandInBackend,
+    StandInDiscovery,
     admin_call,
     raw_client,
     request_bytes,
@@ -58,16 +58,16 @@
     tmp_path: Path, mode: str
 ) -> None:
     async def run() -> None:
-        old, new = StandIn(respond_ok, "s-old"), StandIn(respond_ok, "s-new")
+        old, new = StandInBackend(respond_ok, "s-old"), StandInBackend(respond_ok, "s-new")
         for backend in (old, new):
             await backend.start()
-        directory = Directory([old.row()])
-        await directory.start()
+        discovery = StandInDiscovery([old.row()])
+        await discovery.start()
         admin = free_port()
         path, port = configuration(
-            tmp_path, directory, discovery=mode, admin_addr=f"127.0.0.1:{admin}"
+            tmp_path, discovery, discovery=mode, admin_addr=f"127.0.0.1:{admin}"
         )
-        directory.tell(old.row())
+        discovery.publish(old.row())
         process = await start_limited_proxy(path)
         assert process.stderr
         log_lines: list[bytes] = []
@@ -75,8 +75,8 @@
         async with asyncio.timeout(10):
             while (await request_once(port)) != 200:
                 await asyncio.sleep(0.05)
-        await directory.stop()
-        directory.cut()
+        await discovery.stop()
+        discovery.abort_connections()
         idle_sockets: list[socket.socket] = []
         stop = asyncio.Event()
         connecting = asyncio.create_task(connect_idle_clients(port, idle_sockets, stop))
@@ -84,9 +84,9 @@
             await asyncio.sleep(0.01)
         # The admin server still answers.
         assert (await admin_call(admin, "/api/telemetry")).status == 200
-        directory.tell(old.row("DELETED"), new.row())
-        directory.members = [new.row()]
-        await directory.start()
+        discovery.publish(old.row("DELETED"), new.row())
+        discovery.members = [new.row()]
+        await discovery.start()
         restarted_at = asyncio.get_running_loop().time()
         while not new.requests and asyncio.get_running_loop().time() - restarted_at < 6.0:
             await request_once(port)
@@ -101,8 +101,8 @@
         assert b"Too many open files" not in b"".join(log_lines)
         for backend in (old, new):
             await backend.stop()
-        await directory.stop()
-        directory.cut()
+        await discovery.stop()
+        discovery.abort_connections()
 
     asyncio.run(run())
 
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -19,19 +19,19 @@
 from tests.peers import (
     Behaviour,
     Client,
-    Directory,
     ReceivedRequest,
     Single,
-    StandIn,
+    StandInBackend,
+    StandInDiscovery,
     abort_connection,
     alone,
+    make_config_tree,
     never_respond,
     request_bytes,
     respond_ok,
     respond_with,
     response_bytes,
     rig,
-    tree_of,
 )
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -400,7 +400,7 @@
 def test_full_pool_closes_an_idle_connection_or_sends_nothing() -> None:
     async def run() -> None:
         first, single = await alone(respond_ok, most=2)
-        second = StandIn(never_respond)
+        second = StandInBackend(never_respond)
         await second.start()
         single.send()
         await single.ended(1)
@@ -605,13 +605,13 @@
     async def run() -> None:
         from mothstall.net.proxy import Proxy
 
-        directory = Directory([])
-        await directory.start()
-        tree = tree_of(directory, [{"id": 5}])
+        discovery = StandInDiscovery([])
+        await discovery.start()
+        tree = make_config_tree(discovery, [{"id": 5}])
         proxy = Proxy(config.from_tree(tree))
         await proxy.start()
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
--- a/tests/net/client_side/test_net_leaving.py
+++ b/tests/net/client_side/test_net_leaving.py
@@ -18,9 +18,10 @@
 from mothstall.net.clock import TimedSelector
 from mothstall.net.proxy import Proxy
 from tests.peers import (
-    Directory,
     Rig,
-    StandIn,
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
     never_respond,
     raw_client,
     request_bytes,
@@ -29,7 +30,6 @@
     respond_ok_after,
     response_bytes,
     rig,
-    tree_of,
 )
 from tests.policy import harness as helpers
 
@@ -159,7 +159,7 @@
                 listener.listen()
                 address = f"127.0.0.1:{listener.getsockname()[1]}"
                 row = {**r.backends[0].row(), "id": "s-9", "host_port": address}
-                r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
+                r.discovery.publish({**r.backends[0].row(), "phase": "DELETED"}, row)
                 listed_backends = r.proxy._decider._backends
                 await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
                 client = raw_client(r.proxy.port)
@@ -212,13 +212,13 @@
     """The process was suspended meanwhile: the request and the hang-up are read together."""
 
     async def run(poll: TimedSelector) -> None:
-        backend = StandIn(respond_ok)
+        backend = StandInBackend(respond_ok)
         await backend.start()
-        directory = Directory([backend.row()])
-        await directory.start()
-        proxy = Proxy(config.from_tree(tree_of(directory, [backend.row()])), poll)
+        discovery = StandInDiscovery([backend.row()])
+        await discovery.start()
+        proxy = Proxy(config.from_tree(make_config_tree(discovery, [backend.row()])), poll)
         await proxy.start()
-        r = Rig(proxy, [backend], directory)
+        r = Rig(proxy, [backend], discovery)
         leaving, staying = raw_client(proxy.port), raw_client(proxy.port)
         # Both at once, so that two connections to the backend stay idle.
         for client in (leaving, staying):
@@ -236,7 +236,7 @@
         assert len(backend.requests) == 3 and resources_released(r)
         staying.close()
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
         await backend.stop()
 
     poll = TimedSelector()
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -33,8 +33,8 @@
             while not removed.requests:  # until an attempt is in flight there
                 reply_task = asyncio.create_task(client.request(remaining="3900m"))
                 await r.until(lambda: bool(removed.requests) or reply_task.done())  # noqa: B023
-            r.directory.members, r.directory.whole = [kept.row()], True
-            r.directory.tell()
+            r.discovery.members, r.discovery.always_complete = [kept.row()], True
+            r.discovery.publish()
             await r.until(lambda: r.proxy._decider.listed_count() == 1)
             go.set()
             # The attempt in flight continues.
@@ -114,12 +114,12 @@
     async def run() -> None:
         async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
-            unframed_list = r.directory._list
+            unframed_list = r.discovery._list
 
             def framed_list(full: bool, rows: list[dict[str, Any]]) -> bytes:
                 if form == "a length":
                     return unframed_list(full, rows)
-                tree = {"revision": r.directory.revision, "complete": full, "members": rows}
+                tree = {"revision": r.discovery.revision, "complete": full, "members": rows}
                 raw = json.dumps(tree).encode()
                 parts = b"".join(
                     b"%x\r\n%b\r\n" % (len(raw[i : i + 9]), raw[i : i + 9])
@@ -129,9 +129,9 @@
                     b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n" + parts + b"0\r\n\r\n"
                 )
 
-            r.directory._list = framed_list  # type: ignore[method-assign]
-            r.directory.piece = piece
-            r.directory.tell(r.backends[0].row("DRAINING"))
+            r.discovery._list = framed_list  # type: ignore[method-assign]
+            r.discovery.write_size = piece
+            r.discovery.publish(r.backends[0].row("DRAINING"))
             await r.until(lambda: r.proxy._decider.out_of_rotation_count() == 1, 8.0)
             request_count = len(r.backends[0].requests)
             for _ in range(10):
--- a/tests/net/client_side/test_net_requests.py
+++ b/tests/net/client_side/test_net_requests.py
@@ -244,11 +244,11 @@
 def test_readiness_and_counters_are_served_on_the_clients_address() -> None:
     async def run() -> None:
         async with rig(respond_ok, listed=False) as r:
-            r.directory.hangs = True
+            r.discovery.hangs = True
             client = await r.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.read()).status == 503  # there is no endpoint list yet
-            r.directory.hangs = False
+            r.discovery.hangs = False
             await r.until(lambda: r.count("list_updates") > 1, 6.0)
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.read()).status == 200
--- a/tests/net/client_side/test_net_shutdown.py
+++ b/tests/net/client_side/test_net_shutdown.py
@@ -25,9 +25,10 @@
 from mothstall.net.handover.stream_takeover import StreamTakeover
 from tests.net.test_process import MAIN, ROOT
 from tests.peers import (
-    Directory,
     ReceivedRequest,
     Rig,
+    StandInDiscovery,
+    make_config_tree,
     never_respond,
     raw_client,
     request_bytes,
@@ -35,7 +36,6 @@
     respond_ok,
     respond_ok_after,
     rig,
-    tree_of,
 )
 from tests.ports import free_port
 
@@ -350,8 +350,8 @@
     return await asyncio.wait_for(process.wait(), seconds)
 
 
-def configuration(tmp_path: Path, directory: Directory, **changes: Any) -> tuple[Path, int]:
-    tree = tree_of(directory, [], **changes)
+def configuration(tmp_path: Path, stand_in: StandInDiscovery, **changes: Any) -> tuple[Path, int]:
+    tree = make_config_tree(stand_in, [], **changes)
     port = free_port()
     tree["listen"] = f"127.0.0.1:{port}"
     path = tmp_path / "config.json"
@@ -386,10 +386,10 @@
     tmp_path: Path, mode: str, signals: tuple[signal.Signals, ...]
 ) -> None:
     async def run() -> None:
-        directory = Directory([])
-        directory.hangs = True
-        await directory.start()
-        path, port = configuration(tmp_path, directory, discovery=mode)
+        discovery = StandInDiscovery([])
+        discovery.hangs = True
+        await discovery.start()
+        path, port = configuration(tmp_path, discovery, discovery=mode)
         process = await start_proxy(path)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -398,8 +398,8 @@
             process.send_signal(signal_number)
         assert await exit_code(process) == 0
         writer.close()
-        directory.cut()
-        await directory.stop()
+        discovery.abort_connections()
+        await discovery.stop()
 
     asyncio.run(run())
 
@@ -464,9 +464,9 @@
     run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 
     async def run() -> None:
-        directory = Directory([])
-        await directory.start()
-        path, _ = configuration(tmp_path, directory)
+        discovery = StandInDiscovery([])
+        await discovery.start()
+        path, _ = configuration(tmp_path, discovery)
         process = await asyncio.create_subprocess_exec(
             "sh",
             "-c",
@@ -491,7 +491,7 @@
         finally:
             if process.returncode is None:
                 process.kill()
-        await directory.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -24,7 +24,14 @@
 from mothstall.net.client_side import connection_states, deadlines, request_body, response_relay
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.proxy import Proxy
-from tests.peers import Directory, StandIn, request_bytes, reset, response_bytes, tree_of
+from tests.peers import (
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
+    request_bytes,
+    reset,
+    response_bytes,
+)
 
 SEEDS = range(40)
 CLIENTS = 12
@@ -35,7 +42,7 @@
 MALFORMED = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
-class RandomBackend(StandIn):
+class RandomBackend(StandInBackend):
     """Reads requests by their framing, and answers each in a random way."""
 
     def __init__(self, rng: random.Random, ident: str) -> None:
@@ -110,16 +117,16 @@
 
 @dataclass
 class Setup:
-    """The directory, backends, listener and folder of one seed."""
+    """The discovery, backends, listener and folder of one seed."""
 
-    directory: Directory
+    discovery: StandInDiscovery
     backends: list[RandomBackend]
     listener: socket.socket
     folder: Path
 
     def proxy(self) -> Proxy:
         rows = [backend.row() for backend in self.backends]
-        tree = tree_of(self.directory, rows)
+        tree = make_config_tree(self.discovery, rows)
         return Proxy(config.from_tree(tree, self.listener.fileno(), str(self.folder)))
 
     def connect(self) -> socket.socket:
@@ -284,10 +291,10 @@
     backends = [RandomBackend(random.Random(f"{seed}.{i}"), f"s-{i}") for i in range(BACKENDS)]
     for backend in backends:
         await backend.start()
-    directory = Directory([backend.row() for backend in backends])
-    await directory.start()
+    discovery = StandInDiscovery([backend.row() for backend in backends])
+    await discovery.start()
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-    setup = Setup(directory, backends, listener, folder)
+    setup = Setup(discovery, backends, listener, folder)
     descriptors = Path("/proc/self/fd")
     before = len(os.listdir(descriptors))
     proxy = setup.proxy()
@@ -303,7 +310,7 @@
                 await asyncio.sleep(0.02)
     assert_nothing_open(proxy)
     await proxy.stop(0.0)
-    await directory.stop()
+    await discovery.stop()
     for backend in backends:
         await backend.stop()
     listener.close()
--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -34,7 +34,7 @@
 
 async def wait_until_watching(r: Rig, min_updates: int = 2) -> None:
     """Wait until the watch is established: its second call waits for an event."""
-    await r.until(lambda: r.count("list_updates") >= min_updates and len(r.directory.calls) >= 2)
+    await r.until(lambda: r.count("list_updates") >= min_updates and len(r.discovery.calls) >= 2)
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -48,12 +48,13 @@
     async def run() -> None:
         async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
-            release = r.directory.held = asyncio.Event()  # the next watch call is never answered
-            calls = len(r.directory.calls)
-            await r.until(lambda: len(r.directory.calls) > calls)
+            # The next watch call is never answered.
+            release = r.discovery.respond_when = asyncio.Event()
+            calls = len(r.discovery.calls)
+            await r.until(lambda: len(r.discovery.calls) > calls)
             scopes = note_scopes(r)
-            r.directory.tell(r.backends[0].row("DRAINING"))
-            r.directory.held = None
+            r.discovery.publish(r.backends[0].row("DRAINING"))
+            r.discovery.respond_when = None
             await r.until(lambda: has_drained(r))
             assert scopes == [UpdateScope.DELTA]
             release.set()
@@ -74,8 +75,8 @@
                 monkeypatch.setattr(r.proxy._discovery._timing, "pause_s", 60.0)
                 polling = r.proxy._decider._balancer.polling
                 monkeypatch.setattr(polling, "_check", lambda: None)
-            r.directory.cut()
-            r.directory.tell(r.backends[0].row("DRAINING"))
+            r.discovery.abort_connections()
+            r.discovery.publish(r.backends[0].row("DRAINING"))
             await r.until(lambda: has_drained(r))
 
     asyncio.run(run())
@@ -94,9 +95,9 @@
     async def run() -> None:
         async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
-            r.directory.revision += 1
-            r.directory.changes[r.directory.revision] = [r.backends[0].row("DRAINING")]
-            for writer in r.directory.writers:
+            r.discovery.revision += 1
+            r.discovery.changes[r.discovery.revision] = [r.backends[0].row("DRAINING")]
+            for writer in r.discovery.writers:
                 writer.write(first_bytes)  # and nothing more: this watch delivers no event
             await r.until(lambda: has_drained(r), 12.0)
 
@@ -113,11 +114,11 @@
     async def run() -> None:
         async with rig(respond_ok, respond_ok, discovery="push") as r:
             await wait_until_watching(r)
-            release = r.directory.held = asyncio.Event()
-            r.directory.cut()
+            release = r.discovery.respond_when = asyncio.Event()
+            r.discovery.abort_connections()
             await r.until(lambda: r.count("discovery_failures") >= 4)
-            r.directory.tell(r.backends[0].row("DRAINING"))
-            r.directory.held = None  # the agent is back; earlier calls are never answered
+            r.discovery.publish(r.backends[0].row("DRAINING"))
+            r.discovery.respond_when = None  # the agent is back; earlier calls are never answered
             await r.until(lambda: has_drained(r))
             release.set()
 
@@ -131,12 +132,12 @@
             "discovery": "push",
             "contract--stop_sending_within_ns": 20_000 * MS,
         }
-        async with rig(respond_ok, respond_ok, held=release, **changes) as r:
-            await r.until(lambda: len(r.directory.calls) == 1)
+        async with rig(respond_ok, respond_ok, respond_when=release, **changes) as r:
+            await r.until(lambda: len(r.discovery.calls) == 1)
             client = await r.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.read()).status == 503
-            r.directory.tell(r.backends[0].row("DELETED"))
+            r.discovery.publish(r.backends[0].row("DELETED"))
             release.set()
             await r.until(r.proxy._frontend.accepts_new_clients)
             for _ in range(6):
@@ -150,7 +151,7 @@
 def test_a_start_with_a_silent_agent_uses_the_cached_list_after_a_bounded_time() -> None:
     async def run() -> None:
         release = asyncio.Event()
-        async with rig(respond_ok, held=release, discovery="push") as r:
+        async with rig(respond_ok, respond_when=release, discovery="push") as r:
             await r.until(r.proxy._frontend.accepts_new_clients, 4.0)
             assert r.count("discovery_failures") >= 1
             assert (await r.request()).status == 200
@@ -164,12 +165,12 @@
     async def run() -> None:
         async with rig(respond_ok, respond_ok, discovery=mode) as r:
             await wait_until_watching(r)
-            await r.directory.stop()
-            r.directory.cut()
+            await r.discovery.stop()
+            r.discovery.abort_connections()
             await r.until(lambda: r.count("discovery_failures") >= 1)
             assert (await r.request()).status == 200  # with the list from before the outage
-            r.directory.tell(r.backends[0].row("DRAINING"))
-            await r.directory.start()
+            r.discovery.publish(r.backends[0].row("DRAINING"))
+            await r.discovery.start()
             await r.until(lambda: has_drained(r), 8.0)
 
     asyncio.run(run())
@@ -181,23 +182,23 @@
         async with rig(respond_ok, respond_ok) as r:
             await wait_until_watching(r)
             old = b'{"revision": 0, "complete": true, "members": []}'
-            r.directory.raw = {
+            r.discovery.raw_response = {
                 "cut short": response_bytes(b'{"revision": 9, "complete": true, "members": []}')[
                     :-9
                 ],
                 "an older revision": response_bytes(old),
                 "no end": b"HTTP/1.1 200 OK\r\n\r\n" + old.replace(b"0", b"9", 1),
             }[how]
-            r.directory.cut()
-            calls = len(r.directory.calls)
-            await r.until(lambda: len(r.directory.calls) > calls)
+            r.discovery.abort_connections()
+            calls = len(r.discovery.calls)
+            await r.until(lambda: len(r.discovery.calls) > calls)
             await asyncio.sleep(0)
             if how != "an older revision":
-                r.directory.cut()
+                r.discovery.abort_connections()
             await r.until(lambda: r.count("discovery_failures") >= 2)
             assert r.proxy._decider.listed_count() == 2
-            r.directory.raw = None
-            r.directory.tell(r.backends[0].row("DRAINING"))
+            r.discovery.raw_response = None
+            r.discovery.publish(r.backends[0].row("DRAINING"))
             await r.until(lambda: has_drained(r), 5.0)
 
     asyncio.run(run())
@@ -207,9 +208,9 @@
 def test_an_indented_endpoint_list_is_parsed(mode: str) -> None:
     async def run() -> None:
         async with rig(respond_ok, respond_ok, discovery=mode) as r:
-            r.directory.indent = 4
+            r.discovery.indent = 4
             await wait_until_watching(r)
-            r.directory.tell(r.backends[0].row("DRAINING"))
+            r.discovery.publish(r.backends[0].row("DRAINING"))
             await r.until(lambda: has_drained(r))
 
     asyncio.run(run())
@@ -220,14 +221,14 @@
 
     async def run() -> None:
         async with rig(respond_ok, respond_ok, listed=False, discovery="push") as r:
-            reply = r.directory._reply
+            reply = r.discovery._reply
 
             async def late(target: str) -> bytes:
                 await asyncio.sleep(0.6)
                 return await reply(target)
 
-            r.directory._reply = late  # type: ignore[method-assign]
-            r.directory.tell(*(b.row() for b in r.backends))
+            r.discovery._reply = late  # type: ignore[method-assign]
+            r.discovery.publish(*(b.row() for b in r.backends))
             await r.until(lambda: r.proxy._decider.listed_count() == 2, 8.0)
 
     asyncio.run(run())
@@ -238,8 +239,8 @@
         changes: dict[str, Any] = {"discovery": "push", "contract--stop_sending_within_ns": 0}
         async with rig(respond_ok, **changes) as r:
             await wait_until_watching(r)
-            await r.directory.stop()
-            r.directory.cut()
+            await r.discovery.stop()
+            r.discovery.abort_connections()
             await r.until(lambda: r.count("discovery_failures") >= 2)
             before, began = r.count("discovery_calls"), r.proxy.loop.time()
             await asyncio.sleep(0.3)
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -9,7 +9,14 @@
 from mothstall.interface import UpdateScope
 from mothstall.net.discovery.discovery import EndpointsUpdated, SetWatching
 from mothstall.net.proxy import Proxy
-from tests.peers import Directory, StandIn, respond_ok, response_bytes, rig, tree_of
+from tests.peers import (
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
+    respond_ok,
+    response_bytes,
+    rig,
+)
 
 
 def test_a_watch_delivers_drains_and_new_backends_at_once() -> None:
@@ -18,12 +25,12 @@
             old = r.backends[0]
             assert (await r.request()).status == 200
             # The first call polls missed changes, the second one watches.
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            new = StandIn(respond_ok, "s-new")
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            new = StandInBackend(respond_ok, "s-new")
             await new.start()
             r.backends.append(new)
             updates_before = r.count("list_updates")
-            r.directory.tell(new.row(), old.row("DRAINING"))
+            r.discovery.publish(new.row(), old.row("DRAINING"))
             await r.until(lambda: r.count("list_updates") > updates_before, 0.1)
             await asyncio.sleep(0.02)
             assert old.ended == old.opened == 1  # its idle connection is closed
@@ -43,10 +50,10 @@
             writer.write(response_bytes(b"done"))
 
         async with rig(respond_after_gate) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             request = asyncio.create_task(r.request("order"))
             await r.until(lambda: len(r.backends[0].requests) == 1)
-            r.directory.tell({"id": "s-0", "phase": "DELETED"})
+            r.discovery.publish({"id": "s-0", "phase": "DELETED"})
             await asyncio.sleep(0.05)
             gate.set()
             reply = await request
@@ -59,12 +66,12 @@
 def test_the_next_watch_follows_within_200_ms_and_from_the_received_version() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             for _ in range(3):
-                before = len(r.directory.calls)
-                r.directory.tell(r.backends[0].row())
-                await r.until(lambda b=before: len(r.directory.calls) > b, 0.2)  # type: ignore[misc]
-                assert f"since={r.directory.revision}&" in r.directory.calls[-1]
+                before = len(r.discovery.calls)
+                r.discovery.publish(r.backends[0].row())
+                await r.until(lambda b=before: len(r.discovery.calls) > b, 0.2)  # type: ignore[misc]
+                assert f"since={r.discovery.revision}&" in r.discovery.calls[-1]
 
     asyncio.run(run())
 
@@ -73,12 +80,12 @@
     async def run() -> None:
         async with rig(respond_ok) as r:
             await r.request()
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            restarted = StandIn(respond_ok, "s-0")
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            restarted = StandInBackend(respond_ok, "s-0")
             await restarted.start()
             r.backends.append(restarted)
             now_ms = r.proxy._clock.now() // 1_000_000
-            r.directory.tell(restarted.row(started=now_ms))
+            r.discovery.publish(restarted.row(started=now_ms))
             # Connections to its earlier incarnation are closed.
             await r.until(lambda: r.backends[0].ended == 1)
             (balanced,) = r.proxy._decider._balancer.endpoints.by_id.values()
@@ -93,12 +100,14 @@
 def test_versions_never_go_backward() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            r.directory.tell(r.backends[0].row())
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            r.discovery.publish(r.backends[0].row())
             await r.until(lambda: r.count("list_updates") >= 3)
-            r.directory.raw = response_bytes(b'{"revision":1,"complete":true,"members":[]}')
-            news, r.directory.news = r.directory.news, asyncio.Event()
-            news.set()
+            r.discovery.raw_response = response_bytes(
+                b'{"revision":1,"complete":true,"members":[]}'
+            )
+            published, r.discovery.published = r.discovery.published, asyncio.Event()
+            published.set()
             await r.until(lambda: r.count("discovery_failures") >= 1)
             assert (await r.request()).status == 200
 
@@ -121,10 +130,10 @@
             b"\x00\x01\r\n\r\n",
         ):
             async with rig(respond_ok) as r:
-                r.directory.raw = raw
+                r.discovery.raw_response = raw
                 await r.until(lambda r=r: r.count("discovery_failures") >= 1)  # type: ignore[misc]
                 assert (await r.request()).status == 200
-                r.directory.raw = None
+                r.discovery.raw_response = None
                 await r.until(lambda r=r: r.count("list_updates") >= 2, 5.0)  # type: ignore[misc]
 
     asyncio.run(run())
@@ -133,25 +142,25 @@
 def test_a_discovery_that_hangs_or_is_down_does_not_delay_the_proxy() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            r.directory.hangs = True
+            r.discovery.hangs = True
             assert (await r.request()).status == 200
             await r.until(lambda: r.count("discovery_failures") >= 1, 4.0)
 
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
-        directory = Directory([])
-        await directory.start()
-        await directory.stop()
-        proxy = Proxy(config.from_tree(tree_of(directory, [stand_in.row()])))
+        discovery = StandInDiscovery([])
+        await discovery.start()
+        await discovery.stop()
+        proxy = Proxy(config.from_tree(make_config_tree(discovery, [stand_in.row()])))
         await proxy.start()
         while not proxy.counters.values["discovery_failures"]:
             await asyncio.sleep(0.01)
-        await directory.start()  # on the same port
+        await discovery.start()  # on the same port
         async with asyncio.timeout(6):
             while proxy.counters.values["list_updates"] < 2:
                 await asyncio.sleep(0.01)
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -160,13 +169,13 @@
 def test_a_silent_watch_is_cancelled_before_its_events_count_as_delivered() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            r.directory.hangs, silent_since = True, asyncio.get_running_loop().time()
-            r.directory.news.set()
-            r.directory.calls.clear()
-            await r.until(lambda: len(r.directory.calls) >= 1)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            r.discovery.hangs, silent_since = True, asyncio.get_running_loop().time()
+            r.discovery.published.set()
+            r.discovery.calls.clear()
+            await r.until(lambda: len(r.discovery.calls) >= 1)
             # That call is never answered; the next one, made at once, is answered.
-            r.directory.hangs = False
+            r.discovery.hangs = False
             updates_before = r.count("list_updates")
             await r.until(lambda: r.count("discovery_failures") >= 1, 8.0)
             wait_s = r.proxy._discovery._timing.wait_s
@@ -179,15 +188,15 @@
 def test_watch_requests_during_a_call_in_flight_share_its_response() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             updates: list[EndpointsUpdated] = []
             r.proxy._discovery._report = updates.append
-            r.directory.calls.clear()
-            r.directory.hangs = True
+            r.discovery.calls.clear()
+            r.discovery.hangs = True
             for _ in range(3):
                 r.proxy._discovery.tell(SetWatching(True))
                 await asyncio.sleep(0.02)
-            assert len(r.directory.calls) == 1
+            assert len(r.discovery.calls) == 1
             await r.until(lambda: len(updates) > 0)
             assert [t.scope for t in updates] == [UpdateScope.FAILED]
 
@@ -197,8 +206,8 @@
 def test_the_proxy_watches_from_the_start_where_the_list_is_pushed() -> None:
     async def run() -> None:
         async with rig(respond_ok, listed=False, discovery="push") as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            r.directory.tell(r.backends[0].row())
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            r.discovery.publish(r.backends[0].row())
             await r.until(lambda: r.count("list_updates") >= 3, 0.2)
             assert (await r.request()).status == 200
 
--- a/tests/net/handover/test_handover.py
+++ b/tests/net/handover/test_handover.py
@@ -43,9 +43,9 @@
 from tests.net.test_net_body_relay import BODY, long_response, read_long
 from tests.peers import Client as Reader
 from tests.peers import (
-    Directory,
     ReceivedRequest,
-    StandIn,
+    StandInBackend,
+    StandInDiscovery,
     admin_call,
     request_bytes,
     respond_ok,
@@ -198,16 +198,16 @@
 
 
 @contextlib.asynccontextmanager
-async def start_platform(tmp_path: Path, stand_in: StandIn) -> AsyncIterator[Platform]:
+async def start_platform(tmp_path: Path, stand_in: StandInBackend) -> AsyncIterator[Platform]:
     await stand_in.start()
-    directory = Directory([stand_in.row()])
-    await directory.start()
-    found = Platform(tmp_path, stand_in, directory)
+    discovery = StandInDiscovery([stand_in.row()])
+    await discovery.start()
+    found = Platform(tmp_path, stand_in, discovery)
     try:
         yield found
     finally:
         await found.end()
-        await directory.stop()
+        await discovery.stop()
         await stand_in.stop()
 
 
@@ -218,7 +218,7 @@
 
 def test_idle_connections_survive_an_upgrade_without_closing_on_a_request(tmp_path: Path) -> None:
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
+        async with start_platform(tmp_path, StandInBackend(respond_ok)) as p:
             old, _ = await p.start()
             clients = [await p.client() for _ in range(8)]
             silent = await p.client()
@@ -277,7 +277,7 @@
     """
 
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
+        async with start_platform(tmp_path, StandInBackend(respond_ok)) as p:
             old, _ = await p.start()
             new, _ = await p.start()
             p.stand_in.behave = respond_after_800_ms
@@ -315,7 +315,7 @@
             writer.close()
 
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(behave)) as p:
+        async with start_platform(tmp_path, StandInBackend(behave)) as p:
             old, _ = await p.start()
             client = await p.client()
             client.writer.write(request_bytes("search"))
@@ -350,7 +350,7 @@
             writer.write(response_bytes(body))
 
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(behave)) as p:
+        async with start_platform(tmp_path, StandInBackend(behave)) as p:
             old, _ = await p.start()
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -399,7 +399,7 @@
 
 def test_the_old_process_accepts_clients_again_if_the_new_one_dies(tmp_path: Path) -> None:
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
+        async with start_platform(tmp_path, StandInBackend(respond_ok)) as p:
             _, admin_port = await p.start()
             new, _ = await p.start()
             assert (await admin_call(admin_port, "/api/ready")).status == 503
@@ -416,7 +416,7 @@
 
 def test_a_hung_or_killed_old_process_does_not_delay_the_new_one(tmp_path: Path) -> None:
     async def run() -> None:
-        async with start_platform(tmp_path, StandIn(respond_ok)) as p:
+        async with start_platform(tmp_path, StandInBackend(respond_ok)) as p:
             hung, _ = await p.start()
             hung.send_signal(signal.SIGSTOP)
             second, _ = await asyncio.wait_for(p.start(), 5)
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -30,7 +30,7 @@
     Client,
     ReceivedRequest,
     Rig,
-    StandIn,
+    StandInBackend,
     request_bytes,
     respond_ok,
     response_bytes,
@@ -239,7 +239,7 @@
             await writer.drain()
 
     async def run() -> None:
-        stand_in = StandIn(behave)
+        stand_in = StandInBackend(behave)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             before = peak_memory_kib(proxy.process.pid)
@@ -372,7 +372,7 @@
     asyncio.run(run())
 
 
-class UploadBackend(StandIn):
+class UploadBackend(StandInBackend):
     """A backend that reads long requests by their framing and records a digest of each."""
 
     def __init__(self) -> None:
@@ -417,7 +417,7 @@
     async with rig(listed=False, admin_addr="127.0.0.1:0", **changes) as r:
         backend = UploadBackend()
         await backend.start()
-        r.directory.tell(backend.row())
+        r.discovery.publish(backend.row())
         await r.until(lambda: r.proxy._decider.listed_count() == 1)
         try:
             yield r, backend
--- a/tests/net/test_net_settings.py
+++ b/tests/net/test_net_settings.py
@@ -10,14 +10,14 @@
 from mothstall import config, settings
 from tests.peers import (
     MS,
-    Directory,
+    StandInDiscovery,
     abort_connection,
+    make_config_tree,
     never_respond,
     respond_ok,
     respond_with,
     response_bytes,
     rig,
-    tree_of,
 )
 from tests.peers import settings as nested
 
@@ -173,8 +173,8 @@
 
 
 def test_faulty_reloaded_settings_leave_the_old_ones_in_force() -> None:
-    directory = Directory([])
-    tree = tree_of(directory, [], discovery="ask")
+    discovery = StandInDiscovery([])
+    tree = make_config_tree(discovery, [], discovery="ask")
     tree["discovery"] = "127.0.0.1:1"
     good = config.from_tree(tree)
     tree["settings"]["contract"]["ask-within-ns"] = -1
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -21,12 +21,12 @@
 from mothstall.net.proxy import Proxy
 from tests.peers import (
     Client,
-    Directory,
-    StandIn,
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
     request_bytes,
     respond_ok,
     response_bytes,
-    tree_of,
 )
 from tests.peers import settings as nested
 from tests.ports import free_port
@@ -59,12 +59,12 @@
 
 @contextlib.asynccontextmanager
 async def start_proxy(
-    tmp_path: Path, stand_in: StandIn, port: int = 0, **env: str
+    tmp_path: Path, stand_in: StandInBackend, port: int = 0, **env: str
 ) -> AsyncIterator[ProxyProcess]:
-    directory = Directory([stand_in.row()])
-    await directory.start()
+    discovery = StandInDiscovery([stand_in.row()])
+    await discovery.start()
     port = port or free_port()
-    tree = tree_of(directory, [stand_in.row()])
+    tree = make_config_tree(discovery, [stand_in.row()])
     tree["listen"] = f"127.0.0.1:{port}"
     path = tmp_path / "config.json"
     path.write_text(json.dumps(tree))
@@ -90,7 +90,7 @@
         if process.returncode is None:
             process.kill()
         await process.wait()
-        await directory.stop()
+        await discovery.stop()
 
 
 async def respond_after_800_ms(request: Any, writer: asyncio.StreamWriter) -> None:
@@ -100,7 +100,7 @@
 
 def test_sigterm_answers_open_requests_closes_idle_connections_and_exits_0(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_after_800_ms)
+        stand_in = StandInBackend(respond_after_800_ms)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             idle, busy = await proxy.client(), await proxy.client()
@@ -132,7 +132,7 @@
 
 def test_a_killed_proxy_restarts_on_its_address(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             client = await proxy.client()
@@ -148,12 +148,12 @@
 
 def test_a_start_retries_while_its_address_is_in_use() -> None:
     async def run() -> None:
-        directory = Directory([])
-        await directory.start()
+        discovery = StandInDiscovery([])
+        await discovery.start()
         with socket.socket() as earlier:
             earlier.bind(("127.0.0.1", 0))
             earlier.listen()
-            tree = tree_of(directory, [])
+            tree = make_config_tree(discovery, [])
             tree["listen"] = f"127.0.0.1:{earlier.getsockname()[1]}"
             proxy = Proxy(config.from_tree(tree))
             start = asyncio.create_task(proxy.start())
@@ -162,14 +162,14 @@
         await start
         assert proxy.port == config.parse_address(tree["listen"]).port
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
 
 def test_sigusr1_prints_the_counters(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             assert (await (await proxy.client()).request()).status == 200
@@ -443,12 +443,12 @@
 
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             stay = r.backends[0].row()
             for i in range(50):
                 row = {**stay, "id": f"s-new-{i}"}
                 updates_before = r.count("list_updates")
-                r.directory.tell(row, {"id": f"s-new-{i - 1}", "phase": "DELETED"})
+                r.discovery.publish(row, {"id": f"s-new-{i - 1}", "phase": "DELETED"})
                 await r.until(lambda w=updates_before: r.count("list_updates") > w)  # type: ignore[misc]
                 assert (await r.request()).status == 200
             decider = r.proxy._decider
@@ -475,12 +475,12 @@
             writer.write(response_bytes())
 
         async with rig(waits) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             out = asyncio.create_task(r.request("order"))
             await r.until(lambda: len(r.backends[0].requests) == 1)
             updates_before = r.count("list_updates")
             new = {**r.backends[0].row(), "id": "s-successor"}
-            r.directory.tell({"id": "s-0", "phase": "DELETED"}, new)
+            r.discovery.publish({"id": "s-0", "phase": "DELETED"}, new)
             await r.until(lambda: r.count("list_updates") > updates_before)
             gate.set()
             assert (await out).status == 200
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -12,13 +12,21 @@
 
 from mothstall import config
 from tests.net.test_process import respond_after_800_ms, start_proxy
-from tests.peers import Directory, Rig, StandIn, request_bytes, respond_ok, rig, tree_of
-
-
-async def change_discovery_address(r: Rig) -> Directory:
+from tests.peers import (
+    Rig,
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
+    request_bytes,
+    respond_ok,
+    rig,
+)
+
+
+async def change_discovery_address(r: Rig) -> StandInDiscovery:
     """Start discovery at a second address, and reload the proxy with that address."""
-    other = Directory(r.directory.members)
-    other.revision, other.changes = r.directory.revision, r.directory.changes
+    other = StandInDiscovery(r.discovery.members)
+    other.revision, other.changes = r.discovery.revision, r.discovery.changes
     await other.start()
     fresh = replace(r.proxy.config, discovery=config.Address("127.0.0.1", other.port))
     r.proxy.reload(fresh)
@@ -29,24 +37,24 @@
 def test_the_watch_changes_its_address_at_once_and_the_old_address_may_close(mode: str) -> None:
     async def run() -> None:
         async with rig(respond_ok, discovery=mode) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            await r.directory.stop()  # refuses new connections, keeps open ones
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            await r.discovery.stop()  # refuses new connections, keeps open ones
             other = await change_discovery_address(r)
             await r.until(lambda: len(other.calls) == 1, 0.5)
             assert "timeout_ms=1&" not in other.calls[0] + "&"  # the first call waits for an event
             # An update from the old address is applied, and no further call is made there.
-            new = StandIn(respond_ok, "s-new")
+            new = StandInBackend(respond_ok, "s-new")
             await new.start()
             r.backends.append(new)
-            before, updates_before = len(r.directory.calls), r.count("list_updates")
-            r.directory.tell(new.row())
+            before, updates_before = len(r.discovery.calls), r.count("list_updates")
+            r.discovery.publish(new.row())
             await r.until(lambda: r.count("list_updates") > updates_before, 0.5)
-            r.directory.cut()
+            r.discovery.abort_connections()
             await asyncio.sleep(0.05)
-            assert len(r.directory.calls) == before
+            assert len(r.discovery.calls) == before
             # The list is kept, and updates from the new address are applied at once.
-            other.revision, updates_before = r.directory.revision, r.count("list_updates")
-            other.tell(r.backends[0].row("DRAINING"))
+            other.revision, updates_before = r.discovery.revision, r.count("list_updates")
+            other.publish(r.backends[0].row("DRAINING"))
             await r.until(lambda: r.count("list_updates") > updates_before, 0.5)
             for _ in range(4):
                 assert (await r.request()).status == 200
@@ -60,21 +68,21 @@
 def test_several_address_changes_in_a_row_leave_one_watch() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             second = await change_discovery_address(r)
             third = await change_discovery_address(r)
             # Back to the first address: its watch in flight must not go on beside the new one.
             r.proxy.reload(
-                replace(r.proxy.config, discovery=config.Address("127.0.0.1", r.directory.port))
+                replace(r.proxy.config, discovery=config.Address("127.0.0.1", r.discovery.port))
             )
             await asyncio.sleep(0.1)
-            r.directory.calls.clear()
-            r.directory.tell(r.backends[0].row())
+            r.discovery.calls.clear()
+            r.discovery.publish(r.backends[0].row())
             await asyncio.sleep(0.2)
-            assert len(r.directory.calls) == 1, r.directory.calls
+            assert len(r.discovery.calls) == 1, r.discovery.calls
             assert r.count("reloads") == 3 and (await r.request()).status == 200
             for other in (second, third):
-                other.cut()
+                other.abort_connections()
                 await other.stop()
 
     asyncio.run(run())
@@ -83,17 +91,17 @@
 def test_a_new_address_that_is_not_up_yet_is_retried_soon() -> None:
     async def run() -> None:
         async with rig(respond_ok) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             other = await change_discovery_address(r)
             port = other.port
             await r.until(lambda: len(other.calls) == 1)
             await other.stop()
-            late = Directory(r.directory.members)
+            late = StandInDiscovery(r.discovery.members)
             with_port = replace(
-                r.proxy.config, discovery=config.Address("127.0.0.1", r.directory.port)
+                r.proxy.config, discovery=config.Address("127.0.0.1", r.discovery.port)
             )
             r.proxy.reload(with_port)
-            other.cut()
+            other.abort_connections()
             r.proxy.reload(replace(with_port, discovery=config.Address("127.0.0.1", port)))
             await r.until(lambda: r.count("discovery_failures") >= 2, 1.0)
             late.port = port
@@ -107,11 +115,15 @@
 
 def test_sighup_reloads_the_file_and_never_ends_the_program(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in, old, new = StandIn(respond_after_800_ms), Directory([]), Directory([])
+        stand_in, old, new = (
+            StandInBackend(respond_after_800_ms),
+            StandInDiscovery([]),
+            StandInDiscovery([]),
+        )
         await stand_in.start()
-        for directory in (old, new):
-            directory.members = [stand_in.row()]
-            await directory.start()
+        for discovery in (old, new):
+            discovery.members = [stand_in.row()]
+            await discovery.start()
         # On a reload the address in the file takes precedence over that in the environment.
         async with start_proxy(tmp_path, stand_in, LB_DISCOVERY=f"127.0.0.1:{old.port}") as proxy:
             assert proxy.process.stderr
@@ -166,7 +178,9 @@
 
 def test_the_reloaded_file_overrides_a_stale_address_in_the_environment(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
-    path.write_text(json.dumps(tree_of(Directory([]), []) | {"discovery": "127.0.0.1:7"}))
+    path.write_text(
+        json.dumps(make_config_tree(StandInDiscovery([]), []) | {"discovery": "127.0.0.1:7"})
+    )
     env = {"LB_DISCOVERY": "127.0.0.1:6", "LB_NAME": "n9"}
     assert config.load(str(path), env).discovery.port == 6
     reloaded = config.load(str(path), env, is_reload=True)
--- a/tests/net/test_startup.py
+++ b/tests/net/test_startup.py
@@ -16,7 +16,7 @@
 import pytest
 
 from mothstall.cli import main
-from tests.peers import Client, Directory, StandIn, respond_ok, tree_of
+from tests.peers import Client, StandInBackend, StandInDiscovery, make_config_tree, respond_ok
 
 ROOT = Path(__file__).parents[2]
 PROXY_COUNT = 20
@@ -152,28 +152,28 @@
         await self._log
 
 
-class FullListDirectory(Directory):
+class FullListDiscovery(StandInDiscovery):
     """Sends the full list to callers without a list; `delay_s`: response time."""
 
     delay_s = 0.0
 
     async def _reply(self, target: str) -> bytes:
-        if self.held is not None:
-            await self.held.wait()
+        if self.respond_when is not None:
+            await self.respond_when.wait()
         await asyncio.sleep(self.delay_s)
         return await super()._reply("/" if "since=0&" in target else target)
 
 
 @contextlib.asynccontextmanager
 async def start_many(
-    folder: Path, directory: Directory, has_cached_list: bool, mode: str
+    folder: Path, discovery: StandInDiscovery, has_cached_list: bool, mode: str
 ) -> AsyncIterator[list[Process]]:
     """Start PROXY_COUNT proxies of one fleet at once."""
     processes = []
     for position in range(PROXY_COUNT):
-        tree = tree_of(
-            directory,
-            directory.members,
+        tree = make_config_tree(
+            discovery,
+            discovery.members,
             discovery=mode,
             position=position,
             replicas_of_me=PROXY_COUNT,
@@ -202,22 +202,22 @@
     tmp_path: Path, state: str, mode: str
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
-        directory = FullListDirectory([stand_in.row()])
-        directory.delay_s = SLOW_S if state == "slow" else 0.0
-        directory.held = asyncio.Event() if state == "silent" else None
-        await directory.start()
+        discovery = FullListDiscovery([stand_in.row()])
+        discovery.delay_s = SLOW_S if state == "slow" else 0.0
+        discovery.respond_when = asyncio.Event() if state == "silent" else None
+        await discovery.start()
         if state == "refusing":
-            await directory.stop()
+            await discovery.stop()
         async with (
             asyncio.timeout(TEST_TIMEOUT_S),
-            start_many(tmp_path, directory, True, mode) as proxies,
+            start_many(tmp_path, discovery, True, mode) as proxies,
         ):
             await asyncio.gather(*(process.until_ready() for process in proxies))
             for process in proxies:
                 assert (await (await process.client()).request()).status == 200
-        await directory.stop()
+        await discovery.stop()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -229,27 +229,27 @@
     tmp_path: Path, state: str, mode: str
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
-        directory = FullListDirectory([stand_in.row()])
-        directory.held = asyncio.Event()
-        await directory.start()
+        discovery = FullListDiscovery([stand_in.row()])
+        discovery.respond_when = asyncio.Event()
+        await discovery.start()
         if state == "refusing":
-            await directory.stop()
+            await discovery.stop()
         async with (
             asyncio.timeout(TEST_TIMEOUT_S),
-            start_many(tmp_path, directory, False, mode) as proxies,
+            start_many(tmp_path, discovery, False, mode) as proxies,
         ):
             await wait_until_listening(proxies)
             await asyncio.sleep(1.0)  # calls fail meanwhile
             assert not any([await process.ready() for process in proxies])
-            directory.held.set()
+            discovery.respond_when.set()
             if state == "refusing":
-                await directory.start()
+                await discovery.start()
             await asyncio.gather(*(process.until_ready() for process in proxies))
             for process in proxies:
                 assert (await (await process.client()).request()).status == 200
-        await directory.stop()
+        await discovery.stop()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -260,19 +260,19 @@
     tmp_path: Path, mode: str
 ) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
-        directory = FullListDirectory([stand_in.row()])
-        directory.delay_s = SLOW_S
-        await directory.start()
+        discovery = FullListDiscovery([stand_in.row()])
+        discovery.delay_s = SLOW_S
+        await discovery.start()
         async with (
             asyncio.timeout(TEST_TIMEOUT_S),
-            start_many(tmp_path, directory, False, mode) as proxies,
+            start_many(tmp_path, discovery, False, mode) as proxies,
         ):
             await asyncio.gather(*(process.until_ready() for process in proxies))
             for process in proxies:
                 assert (await (await process.client()).request()).status == 200
-        await directory.stop()
+        await discovery.stop()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -282,11 +282,11 @@
     tmp_path: Path,
 ) -> None:
     async def run() -> dict[str, Any]:
-        stand_in = StandIn(respond_ok)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
-        directory = FullListDirectory([stand_in.row()])
-        await directory.start()
-        tree = tree_of(directory, directory.members, discovery="push")
+        discovery = FullListDiscovery([stand_in.row()])
+        await discovery.start()
+        tree = make_config_tree(discovery, discovery.members, discovery="push")
         del tree["known"]
         path, trusted = tmp_path / "config.json", tmp_path / "trusted.pem"
         path.write_text(json.dumps(tree))
@@ -306,7 +306,7 @@
                 report: dict[str, Any] = json.loads(await process.process.stdout.read())
         finally:
             await process.stop()
-            await directory.stop()
+            await discovery.stop()
             await stand_in.stop()
         assert report["file"] == str(trusted) and report["dir"] is None
         return report
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -92,7 +92,7 @@
     writer.transport.abort()
 
 
-class StandIn:
+class StandInBackend:
     """A stand-in backend; a test may replace `behave` while the backend runs."""
 
     def __init__(self, behave: Behaviour = respond_ok, ident: str = "s-0") -> None:
@@ -142,54 +142,54 @@
         }
 
 
-class Directory:
+class StandInDiscovery:
     """A stand-in for discovery: serves a list with a revision, to list calls and to watches."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.revision, self.members = 1, members
         self.changes: dict[int, list[dict[str, Any]]] = {}
         self.calls: list[str] = []
-        self.raw: bytes | None = None  # sent as the response instead of a list
+        self.raw_response: bytes | None = None  # sent as the response instead of a list
         self.indent: int | None = None
-        self.whole = False  # watches also receive complete lists
-        self.piece = 0  # bytes per write; 0: the response in one write
+        self.always_complete = False  # watches also receive complete lists
+        self.write_size = 0  # bytes per write; 0: the response in one write
         self.hangs = False
-        self.held: asyncio.Event | None = None  # responses wait until it is set
-        self.news = asyncio.Event()
+        self.respond_when: asyncio.Event | None = None  # responses wait until it is set
+        self.published = asyncio.Event()
         self.port = 0
-        self.place: socket.socket | None = None
+        self.bound_socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        if self.place is None:
-            self.place = self._bound()
-        place, self.place = self.place, None
-        self.server = await asyncio.start_server(self._serve, sock=place)
+        if self.bound_socket is None:
+            self.bound_socket = self._bind_socket()
+        bound_socket, self.bound_socket = self.bound_socket, None
+        self.server = await asyncio.start_server(self._serve, sock=bound_socket)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
         """Refuses further connections. The port stays bound, so no other socket can take it."""
         if self.server:
             self.server.close()
-            self.server, self.place = None, self._bound()
+            self.server, self.bound_socket = None, self._bind_socket()
 
-    def _bound(self) -> socket.socket:
-        place = socket.socket()
-        place.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        place.bind(("127.0.0.1", self.port))
-        return place
+    def _bind_socket(self) -> socket.socket:
+        bound_socket = socket.socket()
+        bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound_socket.bind(("127.0.0.1", self.port))
+        return bound_socket
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Aborts all open connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def tell(self, *rows: dict[str, Any]) -> None:
+    def publish(self, *rows: dict[str, Any]) -> None:
         self.revision += 1
         self.changes[self.revision] = list(rows)
-        news, self.news = self.news, asyncio.Event()
-        news.set()
+        published, self.published = self.published, asyncio.Event()
+        published.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -199,8 +199,8 @@
                 target = line.split()[1].decode()
                 self.calls.append(target)
                 raw = await self._reply(target)
-                for at in range(0, len(raw), self.piece or len(raw) or 1):
-                    writer.write(raw[at : at + (self.piece or len(raw))])
+                for at in range(0, len(raw), self.write_size or len(raw) or 1):
+                    writer.write(raw[at : at + (self.write_size or len(raw))])
                     await asyncio.sleep(0)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -211,20 +211,20 @@
     async def _reply(self, target: str) -> bytes:
         if self.hangs:
             await asyncio.sleep(30)
-        if self.held is not None:
-            await self.held.wait()
-        if self.raw is not None:
-            return self.raw
+        if self.respond_when is not None:
+            await self.respond_when.wait()
+        if self.raw_response is not None:
+            return self.raw_response
         query = dict(pair.split("=") for pair in target.partition("?")[2].split("&") if pair)
         if "since" not in query:
             return self._list(True, self.members)
         since = int(query["since"])
         if since >= self.revision:
             try:
-                await asyncio.wait_for(self.news.wait(), int(query["timeout_ms"]) / 1000)
+                await asyncio.wait_for(self.published.wait(), int(query["timeout_ms"]) / 1000)
             except TimeoutError:
                 return self._list(False, [])
-        if self.whole:
+        if self.always_complete:
             return self._list(True, self.members)
         rows = [
             row
@@ -291,7 +291,9 @@
     return tree
 
 
-def tree_of(directory: Directory, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
+def make_config_tree(
+    stand_in: StandInDiscovery, members: list[dict[str, Any]], **changes: Any
+) -> dict[str, Any]:
     admin_addr = changes.pop("admin_addr", None)
     label = changes.pop("cost_label", None)
     usual = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "body_mb": 40}
@@ -301,10 +303,10 @@
         "listen": "127.0.0.1:0",
         "admin_addr": admin_addr,
         "cost_label": label,
-        "discovery": f"127.0.0.1:{directory.port}",
+        "discovery": f"127.0.0.1:{stand_in.port}",
         "seed": "5",
         "limits": limits,
-        "known": {"revision": directory.revision, "complete": True, "members": members},
+        "known": {"revision": stand_in.revision, "complete": True, "members": members},
         "settings": settings(**changes),
     }
 
@@ -312,8 +314,8 @@
 @dataclass
 class Rig:
     proxy: Proxy
-    backends: list[StandIn]
-    directory: Directory
+    backends: list[StandInBackend]
+    discovery: StandInDiscovery
     _ids: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def count(self, name: str) -> int:
@@ -426,26 +428,29 @@
 
 @asynccontextmanager
 async def rig(
-    *behaviours: Behaviour, listed: bool = True, held: asyncio.Event | None = None, **changes: Any
+    *behaviours: Behaviour,
+    listed: bool = True,
+    respond_when: asyncio.Event | None = None,
+    **changes: Any,
 ) -> AsyncIterator[Rig]:
     """Runs a proxy in this process, with one stand-in backend for each behaviour.
 
-    Discovery responds to nothing until `held` is set, if it is given.
+    Discovery responds to nothing until `respond_when` is set, if it is given.
     """
-    backends = [StandIn(behave, f"s-{i}") for i, behave in enumerate(behaviours)]
+    backends = [StandInBackend(behave, f"s-{i}") for i, behave in enumerate(behaviours)]
     for backend in backends:
         await backend.start()
     rows = [backend.row() for backend in backends] if listed else []
-    directory = Directory(rows)
-    directory.held = held
-    await directory.start()
-    proxy = Proxy(config.from_tree(tree_of(directory, rows, **changes)))
+    discovery = StandInDiscovery(rows)
+    discovery.respond_when = respond_when
+    await discovery.start()
+    proxy = Proxy(config.from_tree(make_config_tree(discovery, rows, **changes)))
     await proxy.start()
     try:
-        yield Rig(proxy, backends, directory)
+        yield Rig(proxy, backends, discovery)
     finally:
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
         for backend in backends:
             await backend.stop()
 
@@ -499,8 +504,8 @@
         return [r.result for r in self.reports]
 
 
-async def alone(behave: Behaviour, **more: Any) -> tuple[StandIn, Single]:
-    stand_in = StandIn(behave)
+async def alone(behave: Behaviour, **more: Any) -> tuple[StandInBackend, Single]:
+    stand_in = StandInBackend(behave)
     await stand_in.start()
     return stand_in, Single(config.Address("127.0.0.1", stand_in.port), **more)
 
@@ -526,7 +531,7 @@
 
         monkeypatch.setattr(loop, "sock_connect", held)
 
-    def hold(self, *backends: StandIn) -> None:
+    def hold(self, *backends: StandInBackend) -> None:
         self.ports |= {backend.port for backend in backends}
 
 
--- a/tests/test_net_move.py
+++ b/tests/test_net_move.py
@@ -6,7 +6,15 @@
 from typing import Any
 
 from mothstall import config
-from tests.peers import MS, Directory, ReceivedRequest, respond_ok, response_bytes, rig, tree_of
+from tests.peers import (
+    MS,
+    ReceivedRequest,
+    StandInDiscovery,
+    make_config_tree,
+    respond_ok,
+    response_bytes,
+    rig,
+)
 
 
 async def report_load_to_probes(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -63,7 +71,7 @@
 
 def test_a_changed_cost_label_is_the_only_key_reported_to_need_a_restart() -> None:
     def read(**changes: Any) -> config.Config:
-        return config.from_tree(tree_of(Directory([]), [], **changes))
+        return config.from_tree(make_config_tree(StandInDiscovery([]), [], **changes))
 
     assert config.keys_that_need_restart(read(), read(cost_label="work")) == ["cost_label"]
     assert config.keys_that_need_restart(read(), read(replicas_of_me=9)) == ["settings"]
