--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,34 +23,38 @@
 settings.register_profile("same", derandomize=True, deadline=None, suppress_health_check=[SLOW])
 settings.load_profile("same")
 
-_IN_TURN = ("test_net_", "test_sockets", "test_experiments", "test_processes")
-_IN_TURN_FOLDER = Path(__file__).parent / "net"  # all tests of the proxy, whatever their file name
+_SERIAL = ("test_net_", "test_sockets", "test_experiments", "test_processes")
+_SERIAL_FOLDER = Path(__file__).parent / "net"  # all tests of the proxy, whatever their file name
 # Exceptions in that folder: tests on a simulated clock, and tests that wait for a state with a
 # long timeout.
-_SIDE_BY_SIDE = ("test_retry_schedule", "test_random_endings")
+_PARALLEL = ("test_retry_schedule", "test_random_endings")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
         path = Path(item.path)
-        if path.name.startswith(_SIDE_BY_SIDE):
+        if path.name.startswith(_PARALLEL):
             continue
-        if path.name.startswith(_IN_TURN) or path.is_relative_to(_IN_TURN_FOLDER):
+        if path.name.startswith(_SERIAL) or path.is_relative_to(_SERIAL_FOLDER):
             item.add_marker("processes")
 
 
-LIST = Path(__file__).parents[1] / knownred.FILE
+KNOWN_RED_LIST = Path(__file__).parents[1] / knownred.FILE
 KNOWN = pytest.StashKey[dict[str, knownred.KnownFailure]]()
-SEEN = pytest.StashKey[dict[str, str]]()
+OUTCOMES = pytest.StashKey[dict[str, str]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
-        rows = knownred.parse(LIST.read_text(encoding="utf-8")) if LIST.exists() else []
+        rows = (
+            knownred.parse(KNOWN_RED_LIST.read_text(encoding="utf-8"))
+            if KNOWN_RED_LIST.exists()
+            else []
+        )
     except knownred.InvalidListError as why:
         raise pytest.UsageError(str(why)) from why
     config.stash[KNOWN] = {row.test: row for row in rows}
-    config.stash[SEEN] = {}
+    config.stash[OUTCOMES] = {}
 
 
 @pytest.hookimpl(hookwrapper=True)
@@ -70,6 +74,6 @@
     for outcome in ("passed", "xfailed"):  # a failure in any phase overrides a pass
         for report in terminalreporter.getreports(outcome):
             if report.nodeid in known:
-                config.stash[SEEN][report.nodeid] = outcome
-    for test, outcome in config.stash[SEEN].items():
+                config.stash[OUTCOMES][report.nodeid] = outcome
+    for test, outcome in config.stash[OUTCOMES].items():
         terminalreporter.write_line(knownred.summary_line(known[test], outcome))
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -26,11 +26,10 @@
 from mothstall.net.metrics import RequestMetrics
 from tests.peers import (
     MS,
-    Gate,
+    ConnectGate,
     ReceivedRequest,
     Rig,
     StandInDiscovery,
-    alone,
     make_config_tree,
     never_respond,
     raw_client,
@@ -39,6 +38,7 @@
     respond_with,
     response_bytes,
     rig,
+    start_backend_rig,
 )
 from tests.policy import harness as helpers
 
@@ -208,7 +208,7 @@
             "contract--cold_from": 1.0,
         }
         async with rig(respond_ok, **changes) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = await r.client()
             await r.until(lambda: r.count("list_updates") >= 2)  # the watch is established
@@ -230,19 +230,20 @@
 
 def test_connecting_probe_ends_with_its_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok, connect_ms=5000)
-        gate = Gate(single.loop, monkeypatch)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
+        gate = ConnectGate(backend_rig.loop, monkeypatch)
         gate.hold(stand_in)
-        single.actor.tell(backend_messages.SendProbe())
-        single.send(within_ms=5000)
-        single.send("POST", within_ms=5000, body=b"x")  # retries and hedges are attempts as well
+        backend_rig.actor.tell(backend_messages.SendProbe())
+        backend_rig.send(within_ms=5000)
+        # Retries and hedges are attempts as well.
+        backend_rig.send("POST", within_ms=5000, body=b"x")
         while gate.waiting < 3:
             await asyncio.sleep(0.002)
-        single.actor.tell(backend_messages.DrainBackend())
-        assert await single.ended(3) == [AttemptResult.NOT_SENT] * 3
+        backend_rig.actor.tell(backend_messages.DrainBackend())
+        assert await backend_rig.wait_for_results(3) == [AttemptResult.NOT_SENT] * 3
         gate.open.set()
         await settle()
-        assert not stand_in.requests and single.pool.open_count == 0
+        assert not stand_in.requests and backend_rig.pool.open_count == 0
         await stand_in.stop()
 
     asyncio.run(run())
@@ -250,13 +251,13 @@
 
 def test_attempt_cancelled_before_its_task_starts_leaves_the_pool_unchanged() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok, connect_ms=5000)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
         for count in range(1, 4):
-            request = single.send()
-            single.actor.tell(backend_messages.CancelAttempt(request, 0))
-            assert (await single.ended(count))[-1] == AttemptResult.NOT_SENT
+            request = backend_rig.send()
+            backend_rig.actor.tell(backend_messages.CancelAttempt(request, 0))
+            assert (await backend_rig.wait_for_results(count))[-1] == AttemptResult.NOT_SENT
         await settle()
-        assert single.pool.open_count == 0 and not stand_in.requests
+        assert backend_rig.pool.open_count == 0 and not stand_in.requests
         await stand_in.stop()
 
     asyncio.run(run())
@@ -270,7 +271,7 @@
             respond_ok,
             **{"limits--connect_timeout_ns": 5_000 * MS, "classes": SHORT_DEADLINES},  # type: ignore[arg-type]
         ) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             for lane in ("search", "order"):
                 assert (await r.request(lane, remaining="60m")).status in (502, 503, 504)
@@ -305,7 +306,7 @@
     async def run() -> None:
         changes: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
         async with rig(respond_ok, **changes) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             reply_task = asyncio.create_task(r.request())
             await r.until(lambda: gate.waiting == 1)
@@ -324,7 +325,7 @@
         changes: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
         changes["limits--cancelling"] = cancelling
         async with rig(respond_ok, **changes) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
             client.send(request_bytes())
@@ -358,7 +359,7 @@
         }
         async with rig(fails, fails, **changes) as r:
             window_s = 0.9  # of the class `pay`
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
             reply_task = asyncio.create_task(r.request("pay", remaining="3000m"))
             await r.until(lambda: any(b.requests for b in r.backends))
@@ -383,8 +384,8 @@
 ) -> None:
     async def run() -> None:
         async with rig(respond_ok, respond_ok) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
-            gate.fails = OSError(error_number, "none left")
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
+            gate.error = OSError(error_number, "none left")
             gate.open.set()
             gate.hold(*r.backends)
             assert (await r.request()).status == 503
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -16,11 +16,10 @@
 from mothstall.net.backend_side import pool
 from tests.peers import (
     MS,
+    BackendRig,
     Behaviour,
     ReceivedRequest,
-    Single,
     StandInBackend,
-    alone,
     never_respond,
     request_bytes,
     respond_ok,
@@ -28,6 +27,7 @@
     respond_with,
     response_bytes,
     rig,
+    start_backend_rig,
 )
 
 
@@ -69,11 +69,11 @@
     raw, result = CUTS[where]
 
     async def run() -> None:
-        stand_in, single = await alone(writes_then_resets(raw), connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [result]
+        stand_in, backend_rig = await start_backend_rig(writes_then_resets(raw), connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [result]
         async with asyncio.timeout(3):
-            while single.pool.open_count:  # a reset connection leaves the pool
+            while backend_rig.pool.open_count:  # a reset connection leaves the pool
                 await asyncio.sleep(0.002)
         await stand_in.stop()
 
@@ -82,12 +82,12 @@
 
 def test_close_ends_a_response_with_neither_length_nor_chunks() -> None:
     async def run() -> None:
-        stand_in, single = await alone(
+        stand_in, backend_rig = await start_backend_rig(
             respond_with(HEAD + b"\r\nabc", then_close=True), connect_ms=5000
         )
-        single.send(within_ms=2000)
-        assert await single.ended() == [AttemptResult.OK]
-        assert single.reports[0].response.body == b"abc"
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
+        assert backend_rig.reports[0].response.body == b"abc"
         await stand_in.stop()
 
     asyncio.run(run())
@@ -95,12 +95,14 @@
 
 def test_response_until_close_is_incomplete_when_the_proxy_itself_ends() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_with(HEAD + b"\r\nabc"), connect_ms=5000)
-        single.send(within_ms=5000)
-        while not any(link._reader.received_bytes == 3 for link in single.pool.connections):
+        stand_in, backend_rig = await start_backend_rig(
+            respond_with(HEAD + b"\r\nabc"), connect_ms=5000
+        )
+        backend_rig.send(within_ms=5000)
+        while not any(link._reader.received_bytes == 3 for link in backend_rig.pool.connections):
             await asyncio.sleep(0.002)
-        single.pool.close()
-        assert await single.ended() == [AttemptResult.RESET]
+        backend_rig.pool.close()
+        assert await backend_rig.wait_for_results() == [AttemptResult.RESET]
         await stand_in.stop()
 
     asyncio.run(run())
@@ -155,13 +157,13 @@
                 writer.write(ENDLESS[part])
                 await writer.drain()
 
-        stand_in, single = await alone(sends_endlessly, connect_ms=5000)
-        single.send(within_ms=5000)
-        assert await single.ended() == [AttemptResult.ERROR]
+        stand_in, backend_rig = await start_backend_rig(sends_endlessly, connect_ms=5000)
+        backend_rig.send(within_ms=5000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.ERROR]
         async with asyncio.timeout(3):
-            while not stand_in.ended:
+            while not stand_in.closed_count:
                 await asyncio.sleep(0.002)
-        assert not single.pool.open_count
+        assert not backend_rig.pool.open_count
         await stand_in.stop()
 
     asyncio.run(run())
@@ -181,25 +183,25 @@
             written.append(writer)
             await respond_ok(request, writer)
 
-        stand_in, single = await alone(answers, connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [AttemptResult.OK]
+        stand_in, backend_rig = await start_backend_rig(answers, connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
         # No request is open, so that this shows that backends send second responses.
         written[0].write(response_bytes(b"a second answer"))
         async with asyncio.timeout(3):
-            while not stand_in.ended:
+            while not stand_in.closed_count:
                 await asyncio.sleep(0.002)
         for _ in range(3):
-            count = len(single.reports)
-            request = single.send(within_ms=2000)
-            await single.ended(count + 1)
+            count = len(backend_rig.reports)
+            request = backend_rig.send(within_ms=2000)
+            await backend_rig.wait_for_results(count + 1)
             # A second response is on its way when the next request is sent.
             written[-1].write(response_bytes(b"a second answer"))
-            following = single.send(within_ms=2000)
-            await single.ended(count + 2)
-            bodies = [r.response.body for r in single.reports[count:]]
+            following = backend_rig.send(within_ms=2000)
+            await backend_rig.wait_for_results(count + 2)
+            bodies = [r.response.body for r in backend_rig.reports[count:]]
             assert bodies == [b"served %d" % request, b"served %d" % following]
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -207,12 +209,12 @@
 
 def test_connections_are_reused_at_once_without_unsolicited_bytes() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok, connect_ms=5000)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
         for count in range(1, 30):
-            single.send(within_ms=2000)
-            await single.ended(count)
-        assert stand_in.opened == 1
-        single.pool.close()
+            backend_rig.send(within_ms=2000)
+            await backend_rig.wait_for_results(count)
+        assert stand_in.opened_count == 1
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -250,10 +252,12 @@
 def test_attempt_that_was_not_completely_written_never_ran() -> None:
     async def run() -> None:
         with unread_listener() as listener:
-            stand_in, single = await alone(never_respond, connect_ms=5000)
-            single.actor.tell(backend_messages.AddressChanged(Address(*listener.getsockname()), 1))
-            single.send("POST", within_ms=300, body=b"x" * 30_000_000)
-            assert await single.ended() == [AttemptResult.CONNECT_FAILED]
+            stand_in, backend_rig = await start_backend_rig(never_respond, connect_ms=5000)
+            backend_rig.actor.tell(
+                backend_messages.AddressChanged(Address(*listener.getsockname()), 1)
+            )
+            backend_rig.send("POST", within_ms=300, body=b"x" * 30_000_000)
+            assert await backend_rig.wait_for_results() == [AttemptResult.CONNECT_FAILED]
             await stand_in.stop()
 
     asyncio.run(run())
@@ -297,7 +301,7 @@
     """The response ends the request: no further attempt is sent, even if cancelling is disabled."""
 
     async def run() -> None:
-        from tests.peers import Gate
+        from tests.peers import ConnectGate
 
         go = asyncio.Event()
         respond_ok_after_go = respond_ok_after(go)
@@ -319,7 +323,7 @@
                 known.outlier.failure_score = 1.0
             reply_task = asyncio.create_task(r.request(remaining="3900m"))
             await r.until(lambda: sum(len(b.requests) for b in r.backends) == 5)
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             before = [len(b.requests) for b in r.backends]
             gate.hold(*r.backends)
             await r.until(lambda: gate.waiting == 1)  # the hedge
@@ -335,14 +339,14 @@
 
 def test_replaced_backend_gets_no_connection_of_an_earlier_incarnation() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok, connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [AttemptResult.OK]
-        single.actor.tell(backend_messages.AddressChanged(single.actor.address, 5))
-        single.send(within_ms=2000)
-        await single.ended(2)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
+        backend_rig.actor.tell(backend_messages.AddressChanged(backend_rig.actor.address, 5))
+        backend_rig.send(within_ms=2000)
+        await backend_rig.wait_for_results(2)
         assert [request.connection for request in stand_in.requests] == [1, 2]
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -350,19 +354,19 @@
 
 def test_restarted_backend_is_reached_on_new_connections() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok, connect_ms=5000)
-        single.send(within_ms=2000)
-        await single.ended()
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        await backend_rig.wait_for_results()
         await stand_in.stop()
         restarted = StandInBackend(respond_ok)
         restarted.port = stand_in.port
         async with asyncio.timeout(3):
-            while single.pool.open_count:
+            while backend_rig.pool.open_count:
                 await asyncio.sleep(0.002)
         restarted.server = await asyncio.start_server(restarted._serve, "127.0.0.1", stand_in.port)
-        single.send(within_ms=2000)
-        assert await single.ended(2) == [AttemptResult.OK] * 2
-        single.pool.close()
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results(2) == [AttemptResult.OK] * 2
+        backend_rig.pool.close()
         await restarted.stop()
 
     asyncio.run(run())
@@ -379,8 +383,8 @@
     """
 
     async def run() -> None:
-        stand_in, first = await alone(respond_ok, most=1)
-        second = Single(Address("127.0.0.1", stand_in.port), pool=first.pool)
+        stand_in, first = await start_backend_rig(respond_ok, max_connections=1)
+        second = BackendRig(Address("127.0.0.1", stand_in.port), pool=first.pool)
         sockets: list[socket.socket] = []
         open_counts: list[int] = []
         unpatched_connect = first.loop.sock_connect
@@ -392,9 +396,9 @@
 
         monkeypatch.setattr(first.loop, "sock_connect", count_open_sockets)
         for count in range(1, 21):
-            for single in (first, second):
-                single.send()
-                assert await single.ended(count) == [AttemptResult.OK] * count
+            for backend_rig in (first, second):
+                backend_rig.send()
+                assert await backend_rig.wait_for_results(count) == [AttemptResult.OK] * count
         assert open_counts == [1] * 40
         first.pool.close()
         await stand_in.stop()
--- a/tests/net/client_side/test_net_failures.py
+++ b/tests/net/client_side/test_net_failures.py
@@ -17,14 +17,13 @@
 from mothstall.net.client_side import deadlines, frontend
 from mothstall.net.client_side.connection_states import STATE_TIMEOUT_S, ConnectionState
 from tests.peers import (
+    BackendRig,
     Behaviour,
     Client,
     ReceivedRequest,
-    Single,
     StandInBackend,
     StandInDiscovery,
     abort_connection,
-    alone,
     make_config_tree,
     never_respond,
     request_bytes,
@@ -32,6 +31,7 @@
     respond_with,
     response_bytes,
     rig,
+    start_backend_rig,
 )
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -142,16 +142,16 @@
 def test_backend_behaviour_maps_to_one_attempt_result(name: str) -> None:
     async def run() -> None:
         behave, result = CASES[name]
-        stand_in, single = await alone(behave)
-        single.send()
-        assert await single.ended() == [result]
+        stand_in, backend_rig = await start_backend_rig(behave)
+        backend_rig.send()
+        assert await backend_rig.wait_for_results() == [result]
         await asyncio.sleep(0.02)
-        assert len(single.reports) == len(stand_in.requests) == 1
+        assert len(backend_rig.reports) == len(stand_in.requests) == 1
         if result != AttemptResult.OK:
-            assert single.reports[0].load == ()
+            assert backend_rig.reports[0].load == ()
         if result in (AttemptResult.TIMEOUT, AttemptResult.RESET):
-            assert stand_in.ended == 1  # its connection is closed
-        single.pool.close()
+            assert stand_in.closed_count == 1  # its connection is closed
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -160,15 +160,15 @@
 @pytest.mark.parametrize("method", ["GET", "PUT", "POST"])
 def test_reused_connection_that_drops_is_one_attempt_ending_in_reset(method: str) -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok)
-        single.send(method)
-        assert await single.ended(1) == [AttemptResult.OK]
+        stand_in, backend_rig = await start_backend_rig(respond_ok)
+        backend_rig.send(method)
+        assert await backend_rig.wait_for_results(1) == [AttemptResult.OK]
         stand_in.behave = abort_connection
-        single.send(method)
-        assert await single.ended(2) == [AttemptResult.OK, AttemptResult.RESET]
+        backend_rig.send(method)
+        assert await backend_rig.wait_for_results(2) == [AttemptResult.OK, AttemptResult.RESET]
         await asyncio.sleep(0.05)
         assert [s.connection for s in stand_in.requests] == [1, 1]  # on the kept connection only
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -184,22 +184,25 @@
             await gate.wait()
             writer.write(response_bytes())
 
-        stand_in, single = await alone(respond_ok_after_gate)
+        stand_in, backend_rig = await start_backend_rig(respond_ok_after_gate)
         for _ in range(3):
-            single.send()
+            backend_rig.send()
         while len(stand_in.requests) < 3:
             await asyncio.sleep(0.002)
         gate.set()
-        await single.ended(3)
+        await backend_rig.wait_for_results(3)
         stand_in.behave = abort_connection
-        single.send()
-        await single.ended(4)
+        backend_rig.send()
+        await backend_rig.wait_for_results(4)
         stand_in.behave = respond_ok
-        single.send()
-        assert (await single.ended(5))[3:] == [AttemptResult.RESET, AttemptResult.OK]
+        backend_rig.send()
+        assert (await backend_rig.wait_for_results(5))[3:] == [
+            AttemptResult.RESET,
+            AttemptResult.OK,
+        ]
         assert stand_in.requests[-1].connection == 4
-        assert stand_in.ended == 3
-        single.pool.close()
+        assert stand_in.closed_count == 3
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -214,20 +217,20 @@
             await asyncio.sleep(0.01)
             writer.write(response_bytes(b"stray"))
 
-        stand_in, single = await alone(sends_second_response)
+        stand_in, backend_rig = await start_backend_rig(sends_second_response)
         for i in (1, 2, 3):
-            single.send()
-            await single.ended(i)
+            backend_rig.send()
+            await backend_rig.wait_for_results(i)
             await asyncio.sleep(0.05)
         bodies = [
             r.response.body
-            for r in single.reports
+            for r in backend_rig.reports
             if isinstance(r, backend_messages.AttemptEnded) and r.response
         ]
         assert bodies == [b"for 1", b"for 2", b"for 3"]
         assert [s.connection for s in stand_in.requests] == [1, 2, 3]
-        assert single.counters.values["unreadable"] == 3
-        single.pool.close()
+        assert backend_rig.counters.values["unreadable"] == 3
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -237,10 +240,10 @@
     async def run() -> None:
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            single = Single(config.Address("127.0.0.1", closed.getsockname()[1]))
-        single.send("POST", body=b"x")
-        assert await single.ended() == [AttemptResult.CONNECT_FAILED]
-        single.pool.close()
+            backend_rig = BackendRig(config.Address("127.0.0.1", closed.getsockname()[1]))
+        backend_rig.send("POST", body=b"x")
+        assert await backend_rig.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+        backend_rig.pool.close()
 
     asyncio.run(run())
 
@@ -255,14 +258,14 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(address)
-            single = Single(config.Address("127.0.0.1", address[1]))
-            started_s = single.loop.time()
-            single.send(within_ms=2000)
-            assert await single.ended() == [AttemptResult.CONNECT_FAILED]
-            assert 0.1 < single.loop.time() - started_s < 0.6
-            single.send(within_ms=40)  # times out while connecting
-            assert await single.ended(2) == [AttemptResult.CONNECT_FAILED] * 2
-            single.pool.close()
+            backend_rig = BackendRig(config.Address("127.0.0.1", address[1]))
+            started_s = backend_rig.loop.time()
+            backend_rig.send(within_ms=2000)
+            assert await backend_rig.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            assert 0.1 < backend_rig.loop.time() - started_s < 0.6
+            backend_rig.send(within_ms=40)  # times out while connecting
+            assert await backend_rig.wait_for_results(2) == [AttemptResult.CONNECT_FAILED] * 2
+            backend_rig.pool.close()
             for filler in fillers:
                 filler.close()
 
@@ -271,17 +274,17 @@
 
 def test_cancelled_attempt_closes_its_connection_and_reports_once() -> None:
     async def run() -> None:
-        stand_in, single = await alone(never_respond)
-        request = single.send(within_ms=5000)
+        stand_in, backend_rig = await start_backend_rig(never_respond)
+        request = backend_rig.send(within_ms=5000)
         while not stand_in.requests:
             await asyncio.sleep(0.002)
-        single.actor.tell(backend_messages.CancelAttempt(request, 0))
-        single.actor.tell(backend_messages.CancelAttempt(request, 0))
-        assert await single.ended() == [AttemptResult.CANCELLED]
-        while not stand_in.ended:
+        backend_rig.actor.tell(backend_messages.CancelAttempt(request, 0))
+        backend_rig.actor.tell(backend_messages.CancelAttempt(request, 0))
+        assert await backend_rig.wait_for_results() == [AttemptResult.CANCELLED]
+        while not stand_in.closed_count:
             await asyncio.sleep(0.002)
-        assert len(single.reports) == 1
-        single.pool.close()
+        assert len(backend_rig.reports) == 1
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -289,12 +292,12 @@
 
 def test_attempt_cancelled_before_its_first_step_still_reports() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok)
-        request = single.send()
-        single.actor.tell(backend_messages.CancelAttempt(request, 0))
-        assert await single.ended() == [AttemptResult.NOT_SENT]
-        assert not stand_in.requests and not single.actor.in_flight
-        single.pool.close()
+        stand_in, backend_rig = await start_backend_rig(respond_ok)
+        request = backend_rig.send()
+        backend_rig.actor.tell(backend_messages.CancelAttempt(request, 0))
+        assert await backend_rig.wait_for_results() == [AttemptResult.NOT_SENT]
+        assert not stand_in.requests and not backend_rig.actor.in_flight
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -324,13 +327,13 @@
         async def reporting(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response_bytes(X_Pressure=next(load_texts)))
 
-        stand_in, single = await alone(reporting)
+        stand_in, backend_rig = await start_backend_rig(reporting)
         for i in range(len(reports)):
-            single.send()
-            await single.ended(i + 1)
-        assert [r.load for r in single.reports] == [(0.61, 2.0), (), (), (), ()]
-        assert single.counters.values["unreadable"] == 3
-        single.pool.close()
+            backend_rig.send()
+            await backend_rig.wait_for_results(i + 1)
+        assert [r.load for r in backend_rig.reports] == [(0.61, 2.0), (), (), (), ()]
+        assert backend_rig.counters.values["unreadable"] == 3
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -338,12 +341,14 @@
 
 def test_load_probe_requests_the_load_report_and_reads_its_body() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_with(response_bytes(b"util=0.25,queue=3\n")))
-        single.actor.tell(backend_messages.SendProbe())
-        assert await single.ended() == [AttemptResult.OK]
-        assert single.reports[0].load == (0.25, 3.0)
+        stand_in, backend_rig = await start_backend_rig(
+            respond_with(response_bytes(b"util=0.25,queue=3\n"))
+        )
+        backend_rig.actor.tell(backend_messages.SendProbe())
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
+        assert backend_rig.reports[0].load == (0.25, 3.0)
         assert stand_in.requests[0].line == b"GET /status/load HTTP/1.1"
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -361,17 +366,17 @@
                 await asyncio.sleep(0.03)
             writer.write(response_bytes())
 
-        stand_in, single = await alone(respond_ok_after_gate)
+        stand_in, backend_rig = await start_backend_rig(respond_ok_after_gate)
         for _ in range(3):
-            single.send()
+            backend_rig.send()
             await asyncio.sleep(0.01)
         gate.set()
-        await single.ended(3)
+        await backend_rig.wait_for_results(3)
         for i in range(4, 7):
-            single.send()
-            await single.ended(i)
+            backend_rig.send()
+            await backend_rig.wait_for_results(i)
         assert {s.connection for s in stand_in.requests[3:]} == {1}
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -379,19 +384,19 @@
 
 def test_idle_backend_connections_close_by_the_proxys_clock_and_on_request() -> None:
     async def run() -> None:
-        stand_in, single = await alone(respond_ok, idle_s=0.1)
-        single.send()
-        await single.ended(1)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, idle_s=0.1)
+        backend_rig.send()
+        await backend_rig.wait_for_results(1)
         async with asyncio.timeout(3):
-            while not stand_in.ended:
+            while not stand_in.closed_count:
                 await asyncio.sleep(0.01)
-        single.send()
-        await single.ended(2)
-        single.actor.tell(backend_messages.CloseIdleConnections())
+        backend_rig.send()
+        await backend_rig.wait_for_results(2)
+        backend_rig.actor.tell(backend_messages.CloseIdleConnections())
         async with asyncio.timeout(0.09):
-            while stand_in.ended < 2:
+            while stand_in.closed_count < 2:
                 await asyncio.sleep(0.001)
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -399,23 +404,23 @@
 
 def test_full_pool_closes_an_idle_connection_or_sends_nothing() -> None:
     async def run() -> None:
-        first, single = await alone(respond_ok, most=2)
+        first, backend_rig = await start_backend_rig(respond_ok, max_connections=2)
         second = StandInBackend(never_respond)
         await second.start()
-        single.send()
-        await single.ended(1)
-        other = Single(config.Address("127.0.0.1", second.port), pool=single.pool)
+        backend_rig.send()
+        await backend_rig.wait_for_results(1)
+        other = BackendRig(config.Address("127.0.0.1", second.port), pool=backend_rig.pool)
         for _ in range(3):
             other.send(within_ms=200)
             await asyncio.sleep(0.02)
-        assert first.ended == 1  # closed to free its slot
-        assert await other.ended(3) == [
+        assert first.closed_count == 1  # closed to free its slot
+        assert await other.wait_for_results(3) == [
             AttemptResult.NOT_SENT,
             AttemptResult.TIMEOUT,
             AttemptResult.TIMEOUT,
         ]
         assert len(second.requests) == 2
-        single.pool.close()
+        backend_rig.pool.close()
         await first.stop()
         await second.stop()
 
@@ -494,13 +499,13 @@
             listener.listen()
             thread = threading.Thread(target=answers_late, args=(listener,))
             thread.start()
-            single = Single(config.Address("127.0.0.1", listener.getsockname()[1]))
-            single.send(within_ms=60)
+            backend_rig = BackendRig(config.Address("127.0.0.1", listener.getsockname()[1]))
+            backend_rig.send(within_ms=60)
             while not received.is_set():
                 await asyncio.sleep(0.001)
             time.sleep(0.1)  # meanwhile the response arrives, and then the timeout passes
-            assert await single.ended() == [AttemptResult.OK]
-            single.pool.close()
+            assert await backend_rig.wait_for_results() == [AttemptResult.OK]
+            backend_rig.pool.close()
             thread.join()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -31,10 +31,9 @@
 from tests.net.test_net_body_relay import rig_with_upload_backend
 from tests.peers import (
     MS,
-    Gate,
+    BackendRig,
+    ConnectGate,
     Rig,
-    Single,
-    alone,
     never_respond,
     raw_client,
     request_bytes,
@@ -43,6 +42,7 @@
     respond_with,
     response_bytes,
     rig,
+    start_backend_rig,
 )
 
 LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
@@ -83,7 +83,7 @@
 ) -> None:
     async def run() -> None:
         async with rig(respond_ok, limits__cancelling=cancelling, **LONG_CONNECT_TIMEOUT) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
@@ -170,25 +170,25 @@
     """First attempts, retries, hedges and queued attempts all pass through the backend's actor."""
 
     async def run() -> None:
-        stand_in, single = await alone(respond_ok)
+        stand_in, backend_rig = await start_backend_rig(respond_ok)
         if is_reused:
-            single.send()
-            await single.ended()
+            backend_rig.send()
+            await backend_rig.wait_for_results()
         before = len(stand_in.requests)
         departed = DepartedClient()
-        tell = single.actor.tell
+        tell = backend_rig.actor.tell
 
         def tell_with_departed_client(command: Any) -> None:
             command.client_request.client = departed
             tell(command)
 
-        monkeypatch.setattr(single.actor, "tell", tell_with_departed_client)
-        single.send()
-        assert (await single.ended(before + 1))[-1] == AttemptResult.NOT_SENT
+        monkeypatch.setattr(backend_rig.actor, "tell", tell_with_departed_client)
+        backend_rig.send()
+        assert (await backend_rig.wait_for_results(before + 1))[-1] == AttemptResult.NOT_SENT
         # The socket is checked, as the request arrived long ago.
         assert len(stand_in.requests) == before and departed.socket_checks == [True]
-        assert single.pool.open_count == int(is_reused)
-        single.pool.close()
+        assert backend_rig.pool.open_count == int(is_reused)
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -232,16 +232,16 @@
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            single = Single(config.Address("127.0.0.1", listener.getsockname()[1]))
-            request_number = single.send("POST", within_ms=3_000, body=b"x" * 8_000_000)
+            backend_rig = BackendRig(config.Address("127.0.0.1", listener.getsockname()[1]))
+            request_number = backend_rig.send("POST", within_ms=3_000, body=b"x" * 8_000_000)
             accepted, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
             async with asyncio.timeout(3):
-                while not (links := list(single.pool.connections)) or links[0].attempt is None:
+                while not (links := list(backend_rig.pool.connections)) or links[0].attempt is None:
                     await asyncio.sleep(0.005)
             assert not links[0].is_flushed
-            single.actor.tell(backend_messages.WithholdAttempt(request_number, 0))
-            assert await single.ended() == [AttemptResult.NOT_SENT]
-            single.pool.close()
+            backend_rig.actor.tell(backend_messages.WithholdAttempt(request_number, 0))
+            assert await backend_rig.wait_for_results() == [AttemptResult.NOT_SENT]
+            backend_rig.pool.close()
             accepted.close()
 
     asyncio.run(run())
@@ -309,7 +309,7 @@
 
     async def run() -> None:
         async with rig_with_upload_backend(**LONG_CONNECT_TIMEOUT) as (r, upload_backend):
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(upload_backend)
             if is_end_hidden:
                 assert r.proxy._frontend.acceptor._listener is not None
@@ -378,7 +378,7 @@
 ) -> None:
     async def run() -> None:
         async with rig(respond_ok, **LONG_CONNECT_TIMEOUT) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             reply_task = asyncio.create_task(r.request(remaining="2900m"))
             await r.until(lambda: gate.waiting == 1)
--- a/tests/net/client_side/test_net_page.py
+++ b/tests/net/client_side/test_net_page.py
@@ -39,7 +39,8 @@
             go.set()
             # The attempt in flight continues.
             assert reply_task is not None and (await reply_task).status == 200
-            await r.until(lambda: removed.ended == removed.opened)  # no connection stays open
+            # No connection stays open.
+            await r.until(lambda: removed.closed_count == removed.opened_count)
             request_count = len(removed.requests)
             assert [(await client.request()).status for _ in range(20)] == [200] * 20
             assert len(removed.requests) == request_count
@@ -152,7 +153,7 @@
             assert (await client.request()).status == 200
             (writer,) = backend.writers
             writer.write(partial_input)
-            await r.until(lambda: backend.ended == 1)
+            await r.until(lambda: backend.closed_count == 1)
             assert (await client.request()).status == 200
             assert [s.connection for s in backend.requests] == [1, 2]
             client.close()
--- a/tests/net/client_side/test_net_requests.py
+++ b/tests/net/client_side/test_net_requests.py
@@ -232,7 +232,7 @@
             await r.until(lambda: len(r.backends[0].requests) == 1)
             client.close()
             await r.until(lambda: r.count("attempts_cancelled") == 1)
-            await r.until(lambda: r.backends[0].ended == 1)
+            await r.until(lambda: r.backends[0].closed_count == 1)
             assert r.count("requests_left") == 1
             assert r.count("answers_ok") == r.count("answers_failed") == 0
             r.backends[0].behave = respond_ok
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -24,18 +24,18 @@
 
     Also fails the test if a connection keeps its exchange in a state that allows no open exchange.
     """
-    seen: list[Edge] = []
+    recorded: list[Edge] = []
     left_open: list[ConnectionState] = []
     enter = Connection.enter
 
     def record(connection: Connection, state: ConnectionState) -> None:
         is_accepted = connection.state is state is ConnectionState.NEW
-        seen.append((None if is_accepted else connection.state, state))
+        recorded.append((None if is_accepted else connection.state, state))
         enter(connection, state)
         if connection.exchange is not None and state not in HAS_OPEN_EXCHANGE:
             left_open.append(state)
 
     monkeypatch.setattr(Connection, "enter", record)
-    yield seen
-    assert set(seen) <= EDGES
+    yield recorded
+    assert set(recorded) <= EDGES
     assert not left_open
--- a/tests/net/discovery/test_watches.py
+++ b/tests/net/discovery/test_watches.py
@@ -33,7 +33,7 @@
             r.discovery.publish(new.row(), old.row("DRAINING"))
             await r.until(lambda: r.count("list_updates") > updates_before, 0.1)
             await asyncio.sleep(0.02)
-            assert old.ended == old.opened == 1  # its idle connection is closed
+            assert old.closed_count == old.opened_count == 1  # its idle connection is closed
             for lane in ("search", "pay", "order"):
                 assert (await r.request(lane)).status == 200
             assert len(old.requests) == 1 and len(new.requests) == 3
@@ -87,7 +87,7 @@
             now_ms = r.proxy._clock.now() // 1_000_000
             r.discovery.publish(restarted.row(started=now_ms))
             # Connections to its earlier incarnation are closed.
-            await r.until(lambda: r.backends[0].ended == 1)
+            await r.until(lambda: r.backends[0].closed_count == 1)
             (balanced,) = r.proxy._decider._balancer.endpoints.by_id.values()
             assert balanced.started_ns == now_ms * 1_000_000
             assert r.proxy._decider._balancer.slow_start.warmth(balanced) < 0.3
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -216,7 +216,7 @@
             metrics = await r.telemetry()
             assert (metrics["fulfilled.search"], metrics["open_requests"]) == (2, 0)
             if framing == "length":
-                assert r.backends[0].opened == 1  # the backend connection is reused
+                assert r.backends[0].opened_count == 1  # the backend connection is reused
 
     asyncio.run(run())
 
@@ -345,7 +345,7 @@
             client.writer.write(request_bytes("search"))
             await client.reader.readexactly(100_000)
             client.writer.transport.abort()
-            await r.until(lambda: r.backends[0].ended == 1)
+            await r.until(lambda: r.backends[0].closed_count == 1)
             await r.until(lambda: r.count("requests_left") == 1)
             assert (await r.telemetry())["open_requests"] == 0 and r.count("answers_cut") == 0
             assert len(r.proxy._pool.buffer_grants._holders) == 0
@@ -367,7 +367,7 @@
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await r.until(lambda: r.count("connections_overdue") == 1, 5.0)
-            await r.until(lambda: r.backends[0].ended == 1)
+            await r.until(lambda: r.backends[0].closed_count == 1)
 
     asyncio.run(run())
 
@@ -407,7 +407,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended += 1
+            self.closed_count += 1
             self.writers.discard(writer)
             writer.close()
 
@@ -512,7 +512,7 @@
             )
             await r.until(lambda: len(backend.framings) == 1)
             client.writer.transport.abort()
-            await r.until(lambda: backend.ended == 1)
+            await r.until(lambda: backend.closed_count == 1)
             assert not backend.digests and len(backend.framings) == 1
             assert not r.proxy._decider._pending
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -98,7 +98,7 @@
     def __init__(self, behave: Behaviour = respond_ok, ident: str = "s-0") -> None:
         self.behave, self.ident = behave, ident
         self.requests: list[ReceivedRequest] = []
-        self.opened = self.ended = 0
+        self.opened_count = self.closed_count = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -108,8 +108,8 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
-        number = self.opened
+        self.opened_count += 1
+        number = self.opened_count
         self.writers.add(writer)
         try:
             while True:
@@ -119,7 +119,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended += 1
+            self.closed_count += 1
             self.writers.discard(writer)
             writer.close()
 
@@ -455,13 +455,13 @@
             await backend.stop()
 
 
-class Single:
+class BackendRig:
     """A single backend actor of the proxy without the proxy; collects its reports in order."""
 
     def __init__(
         self,
         address: config.Address,
-        most: int = 20,
+        max_connections: int = 20,
         idle_s: float = 30.0,
         pool: ConnectionPool | None = None,
         connect_ms: int = 150,
@@ -469,8 +469,8 @@
         self.loop = asyncio.get_running_loop()
         self.clock, self.counters = Clock(), Counters()
         self.reports: list[Any] = []
-        self.pool = pool or ConnectionPool(idle_s, most, self.counters, self.loop)
-        self.ids = 0
+        self.pool = pool or ConnectionPool(idle_s, max_connections, self.counters, self.loop)
+        self.last_request_id = 0
         self.actor = Backend(
             7,
             "s-0",
@@ -487,49 +487,53 @@
         )
 
     def send(self, method: str = "GET", within_ms: int = 400, body: bytes = b"") -> int:
-        self.ids += 1
-        tree = [(b"X-Txn", b"%d" % self.ids), (b"X-Lane", b"a"), (b"X-Remaining", b"500m")]
+        self.last_request_id += 1
+        tree = [
+            (b"X-Txn", b"%d" % self.last_request_id),
+            (b"X-Lane", b"a"),
+            (b"X-Remaining", b"500m"),
+        ]
         inbound = protocol.parse_request(method, "/a", tree, body, config.Names(("a",), (), (), ()))
         self.actor.tell(
             backend_messages.SendAttempt(
-                self.ids, 0, inbound, self.clock.now() + within_ms * 1_000_000
+                self.last_request_id, 0, inbound, self.clock.now() + within_ms * 1_000_000
             )
         )
-        return self.ids
+        return self.last_request_id
 
-    async def ended(self, count: int = 1) -> list[AttemptResult]:
+    async def wait_for_results(self, count: int = 1) -> list[AttemptResult]:
         async with asyncio.timeout(3):
             while len(self.reports) < count:
                 await asyncio.sleep(0.002)
         return [r.result for r in self.reports]
 
 
-async def alone(behave: Behaviour, **more: Any) -> tuple[StandInBackend, Single]:
+async def start_backend_rig(behave: Behaviour, **more: Any) -> tuple[StandInBackend, BackendRig]:
     stand_in = StandInBackend(behave)
     await stand_in.start()
-    return stand_in, Single(config.Address("127.0.0.1", stand_in.port), **more)
+    return stand_in, BackendRig(config.Address("127.0.0.1", stand_in.port), **more)
 
 
-class Gate:
-    """Delays connects to chosen backends until `open` is set; they then run or raise `fails`."""
+class ConnectGate:
+    """Delays connects to chosen backends until `open` is set; they then run or raise `error`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, monkeypatch: Any) -> None:
         self.open, self.waiting, self.ports = asyncio.Event(), 0, set[int]()
-        self.fails: OSError | None = None
-        real = loop.sock_connect
+        self.error: OSError | None = None
+        unpatched_connect = loop.sock_connect
 
-        async def held(sock: socket.socket, address: Any) -> None:
+        async def gated_connect(sock: socket.socket, address: Any) -> None:
             if address[1] in self.ports:
                 self.waiting += 1
                 try:
                     await self.open.wait()
                 finally:
                     self.waiting -= 1
-                if self.fails is not None:
-                    raise self.fails
-            await real(sock, address)
+                if self.error is not None:
+                    raise self.error
+            await unpatched_connect(sock, address)
 
-        monkeypatch.setattr(loop, "sock_connect", held)
+        monkeypatch.setattr(loop, "sock_connect", gated_connect)
 
     def hold(self, *backends: StandInBackend) -> None:
         self.ports |= {backend.port for backend in backends}
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -4,7 +4,7 @@
 
 import socket
 
-_held: list[socket.socket] = []
+_reserved: list[socket.socket] = []
 
 
 def free_port() -> int:
@@ -17,6 +17,6 @@
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
-    _held.append(sock)
+    _reserved.append(sock)
     port: int = sock.getsockname()[1]
     return port
