--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,11 @@
-"""Which tests start processes or real sockets: they run in turn, the others side by side (see Makefile).
+"""Marks the tests that use processes or real sockets, which run serially (see Makefile).
 
-Drawn inputs are the same in every run, and no verdict hangs on how fast a machine draws them: by itself
-hypothesis draws others each time, and fails a test whose first input took a second to make.
+Hypothesis generates the same inputs in every run, and slow generation doesn't fail a test. By
+default it generates different inputs each time, and fails a test whose first input takes a second
+to generate.
 
-Tests that `KNOWN-RED.txt` names run like any other; their failure is printed and does not fail the run.
+Tests listed in `KNOWN-RED.txt` run like any other; their failure is printed but does not fail the
+run.
 """
 
 from __future__ import annotations
@@ -21,33 +23,38 @@
 settings.register_profile("same", derandomize=True, deadline=None, suppress_health_check=[SLOW])
 settings.load_profile("same")
 
-_IN_TURN = ("test_net_", "test_sockets", "test_experiments", "test_processes")
-_IN_TURN_FOLDER = Path(__file__).parent / "net"  # the proxy's own tests, however they are named
-# Of that folder: tests on a given clock, and tests whose waits are for a state under a wide limit.
-_SIDE_BY_SIDE = ("test_retry_schedule", "test_random_endings")
+_SERIAL = ("test_net_", "test_sockets", "test_experiments", "test_processes")
+_SERIAL_FOLDER = Path(__file__).parent / "net"  # all tests of the proxy, whatever their file name
+# Exceptions in that folder: tests on a simulated clock, and tests that wait for a state with a
+# long timeout.
+_PARALLEL = ("test_retry_schedule", "test_random_endings")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
         path = Path(item.path)
-        if path.name.startswith(_SIDE_BY_SIDE):
+        if path.name.startswith(_PARALLEL):
             continue
-        if path.name.startswith(_IN_TURN) or path.is_relative_to(_IN_TURN_FOLDER):
+        if path.name.startswith(_SERIAL) or path.is_relative_to(_SERIAL_FOLDER):
             item.add_marker("processes")
 
 
-LIST = Path(__file__).parents[1] / knownred.FILE
+KNOWN_RED_LIST = Path(__file__).parents[1] / knownred.FILE
 KNOWN = pytest.StashKey[dict[str, knownred.KnownFailure]]()
-SEEN = pytest.StashKey[dict[str, str]]()
+OUTCOMES = pytest.StashKey[dict[str, str]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
-        rows = knownred.parse(LIST.read_text(encoding="utf-8")) if LIST.exists() else []
+        rows = (
+            knownred.parse(KNOWN_RED_LIST.read_text(encoding="utf-8"))
+            if KNOWN_RED_LIST.exists()
+            else []
+        )
     except knownred.InvalidListError as why:
         raise pytest.UsageError(str(why)) from why
     config.stash[KNOWN] = {row.test: row for row in rows}
-    config.stash[SEEN] = {}
+    config.stash[OUTCOMES] = {}
 
 
 @pytest.hookimpl(hookwrapper=True)
@@ -64,9 +71,9 @@
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
     known = config.stash[KNOWN]
-    for outcome in ("passed", "xfailed"):  # of one that failed in any phase the failure counts
+    for outcome in ("passed", "xfailed"):  # a failure in any phase overrides a pass
         for report in terminalreporter.getreports(outcome):
             if report.nodeid in known:
-                config.stash[SEEN][report.nodeid] = outcome
-    for test, outcome in config.stash[SEEN].items():
+                config.stash[OUTCOMES][report.nodeid] = outcome
+    for test, outcome in config.stash[OUTCOMES].items():
         terminalreporter.write_line(knownred.summary_line(known[test], outcome))
--- a/tests/net/backend_side/test_net_attempts.py
+++ b/tests/net/backend_side/test_net_attempts.py
@@ -26,19 +26,19 @@
 from mothstall.net.metrics import RequestMetrics
 from tests.peers import (
     MS,
-    Directory,
-    Gate,
+    ConnectGate,
+    ReceivedRequest,
     Rig,
-    Seen,
-    alone,
-    answer,
+    StandInDiscovery,
+    make_config_tree,
+    never_respond,
     raw_client,
     request_bytes,
+    respond_ok,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    silent,
-    tree_of,
+    start_backend_rig,
 )
 from tests.policy import harness as helpers
 
@@ -70,7 +70,7 @@
     """Runs a decider alone on batches of messages."""
 
     def __init__(self, **changes: Any) -> None:
-        tree = tree_of(Directory([]), [], **changes)
+        tree = make_config_tree(StandInDiscovery([]), [], **changes)
         tree["discovery"], tree["known"] = "127.0.0.1:1", None
         self.config = config.from_tree(tree)
         self.counters, self.clock = Counters(), Clock()
@@ -174,19 +174,19 @@
     """The same over sockets: response and client hang-up arrive in one loop iteration."""
 
     async def run() -> None:
-        async with rig(silent, silent) as r:
+        async with rig(never_respond, never_respond) as r:
             client = raw_client(r.proxy.port)
             for backend in r.backends:
-                backend.behave = says(b"")
+                backend.behave = respond_with(b"")
             client.send(request_bytes())
-            await r.until(lambda: any(b.seen for b in r.backends))
-            first = next(b for b in r.backends if b.seen)
+            await r.until(lambda: any(b.requests for b in r.backends))
+            first = next(b for b in r.backends if b.requests)
             (writer,) = first.writers
             client.close()
-            writer.write(answer(b"", 503, X_Turned_Away="1"))
+            writer.write(response_bytes(b"", 503, X_Turned_Away="1"))
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
             await settle()
-            assert sum(len(b.seen) for b in r.backends) == 1
+            assert sum(len(b.requests) for b in r.backends) == 1
             assert not r.proxy._decider._pending
 
     asyncio.run(run())
@@ -207,20 +207,20 @@
             "limits--connect_timeout_ns": 5_000 * MS,
             "contract--cold_from": 1.0,
         }
-        async with rig(serves, **changes) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+        async with rig(respond_ok, **changes) as r:
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = await r.client()
             await r.until(lambda: r.count("list_updates") >= 2)  # the watch is established
-            reply_task = asyncio.create_task(client.ask(lane))
+            reply_task = asyncio.create_task(client.request(lane))
             await r.until(lambda: gate.waiting == 1)
-            r.directory.tell(changed_row(r, 0, how))
+            r.discovery.publish(changed_row(r, 0, how))
             await r.until(lambda: r.count("list_updates") >= 3)
             await settle()
             reconnects = gate.waiting  # a successor at the same address may get a new attempt
             gate.open.set()
             reply = await reply_task
-            assert len(r.backends[0].seen) == reconnects <= (how == "replaced")
+            assert len(r.backends[0].requests) == reconnects <= (how == "replaced")
             assert reply.status == (200 if reconnects else 503)
             assert r.count("attempts_not_sent") + r.count("attempts_cancelled") == 1
             client.close()
@@ -230,19 +230,20 @@
 
 def test_connecting_probe_ends_with_its_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
-        gate = Gate(single.loop, monkeypatch)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
+        gate = ConnectGate(backend_rig.loop, monkeypatch)
         gate.hold(stand_in)
-        single.actor.tell(backend_messages.SendProbe())
-        single.send(within_ms=5000)
-        single.send("POST", within_ms=5000, body=b"x")  # retries and hedges are attempts as well
+        backend_rig.actor.tell(backend_messages.SendProbe())
+        backend_rig.send(within_ms=5000)
+        # Retries and hedges are attempts as well.
+        backend_rig.send("POST", within_ms=5000, body=b"x")
         while gate.waiting < 3:
             await asyncio.sleep(0.002)
-        single.actor.tell(backend_messages.DrainBackend())
-        assert await single.ended(3) == [AttemptResult.NOT_SENT] * 3
+        backend_rig.actor.tell(backend_messages.DrainBackend())
+        assert await backend_rig.wait_for_results(3) == [AttemptResult.NOT_SENT] * 3
         gate.open.set()
         await settle()
-        assert not stand_in.seen and single.pool.open_count == 0
+        assert not stand_in.requests and backend_rig.pool.open_count == 0
         await stand_in.stop()
 
     asyncio.run(run())
@@ -250,13 +251,13 @@
 
 def test_attempt_cancelled_before_its_task_starts_leaves_the_pool_unchanged() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
         for count in range(1, 4):
-            request = single.send()
-            single.actor.tell(backend_messages.CancelAttempt(request, 0))
-            assert (await single.ended(count))[-1] == AttemptResult.NOT_SENT
+            request = backend_rig.send()
+            backend_rig.actor.tell(backend_messages.CancelAttempt(request, 0))
+            assert (await backend_rig.wait_for_results(count))[-1] == AttemptResult.NOT_SENT
         await settle()
-        assert single.pool.open_count == 0 and not stand_in.seen
+        assert backend_rig.pool.open_count == 0 and not stand_in.requests
         await stand_in.stop()
 
     asyncio.run(run())
@@ -267,16 +268,16 @@
 ) -> None:
     async def run() -> None:
         async with rig(
-            serves,
+            respond_ok,
             **{"limits--connect_timeout_ns": 5_000 * MS, "classes": SHORT_DEADLINES},  # type: ignore[arg-type]
         ) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             for lane in ("search", "order"):
-                assert (await r.ask(lane, remaining="60m")).status in (502, 503, 504)
+                assert (await r.request(lane, remaining="60m")).status in (502, 503, 504)
             gate.open.set()
             await settle()
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
 
     asyncio.run(run())
 
@@ -304,14 +305,14 @@
 ) -> None:
     async def run() -> None:
         changes: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
-        async with rig(serves, **changes) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+        async with rig(respond_ok, **changes) as r:
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
-            reply_task = asyncio.create_task(r.ask())
+            reply_task = asyncio.create_task(r.request())
             await r.until(lambda: gate.waiting == 1)
             gate.open.set()
             assert (await reply_task).status == 200
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
@@ -323,8 +324,8 @@
     async def run() -> None:
         changes: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
         changes["limits--cancelling"] = cancelling
-        async with rig(serves, **changes) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+        async with rig(respond_ok, **changes) as r:
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
             client.send(request_bytes())
@@ -334,8 +335,8 @@
             await settle()
             gate.open.set()
             await r.until(lambda: r.proxy._decider._balancer.limits.in_flight == 0)
-            assert (await r.ask()).status == 200
-            assert len(r.backends[0].seen) == 1  # only the later request
+            assert (await r.request()).status == 200
+            assert len(r.backends[0].requests) == 1  # only the later request
 
     asyncio.run(run())
 
@@ -348,9 +349,9 @@
     async def run() -> None:
         go = asyncio.Event()
 
-        async def fails(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def fails(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await go.wait()
-            writer.write(answer(b"", 500))
+            writer.write(response_bytes(b"", 500))
 
         changes: dict[str, Any] = {
             "limits--connect_timeout_ns": 5_000 * MS,
@@ -358,12 +359,12 @@
         }
         async with rig(fails, fails, **changes) as r:
             window_s = 0.9  # of the class `pay`
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
-            reply_task = asyncio.create_task(r.ask("pay", remaining="3000m"))
-            await r.until(lambda: any(b.seen for b in r.backends))
+            reply_task = asyncio.create_task(r.request("pay", remaining="3000m"))
+            await r.until(lambda: any(b.requests for b in r.backends))
             started_s = r.proxy.loop.time()
-            gate.hold(*(b for b in r.backends if not b.seen))
+            gate.hold(*(b for b in r.backends if not b.requests))
             go.set()
             await r.until(lambda: gate.waiting == 1)
             reply = await reply_task
@@ -371,7 +372,7 @@
             assert r.proxy.loop.time() - started_s < window_s + 1.5
             gate.open.set()
             await settle()
-            assert sum(len(b.seen) for b in r.backends) == 1
+            assert sum(len(b.requests) for b in r.backends) == 1
             assert reply.status in (502, 503)
 
     asyncio.run(run())
@@ -382,15 +383,15 @@
     monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     async def run() -> None:
-        async with rig(serves, serves) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
-            gate.fails = OSError(error_number, "none left")
+        async with rig(respond_ok, respond_ok) as r:
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
+            gate.error = OSError(error_number, "none left")
             gate.open.set()
             gate.hold(*r.backends)
-            assert (await r.ask()).status == 503
+            assert (await r.request()).status == 503
             assert r.proxy._decider.out_of_rotation_count() == 0
             gate.ports.clear()
-            assert (await r.ask()).status == 200
+            assert (await r.request()).status == 200
 
     asyncio.run(run())
 
@@ -448,12 +449,12 @@
     """Requests that the first backend rejects are retried on the second one."""
 
     async def run() -> None:
-        async def rejects(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"", 503, X_Turned_Away="1"))
+        async def rejects(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(b"", 503, X_Turned_Away="1"))
 
-        async with rig(rejects, serves) as r:
+        async with rig(rejects, respond_ok) as r:
             for _ in range(4):
-                assert (await r.ask()).status == 200
-            assert len(r.backends[1].seen) == 4
+                assert (await r.request()).status == 200
+            assert len(r.backends[1].requests) == 4
 
     asyncio.run(run())
--- a/tests/net/backend_side/test_net_backends.py
+++ b/tests/net/backend_side/test_net_backends.py
@@ -16,18 +16,18 @@
 from mothstall.net.backend_side import pool
 from tests.peers import (
     MS,
+    BackendRig,
     Behaviour,
-    Seen,
-    Single,
-    StandIn,
-    alone,
-    answer,
+    ReceivedRequest,
+    StandInBackend,
+    never_respond,
     request_bytes,
+    respond_ok,
+    respond_ok_after,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    serves_after,
-    silent,
+    start_backend_rig,
 )
 
 
@@ -43,7 +43,7 @@
 ) -> Behaviour:
     """Write, then reset once the data was read: an immediate reset would discard it."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(raw)
         await (condition() if condition else asyncio.sleep(0.05))
         reset_connection(writer)
@@ -59,7 +59,7 @@
     "in a body with a length": (HEAD + b"Content-Length: 9\r\n\r\nabc", AttemptResult.RESET),
     "in a chunk": (HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nab", AttemptResult.RESET),
     "in a body with neither": (HEAD + b"\r\nabc", AttemptResult.RESET),
-    "behind a whole answer": (answer(b"whole"), AttemptResult.OK),
+    "behind a whole answer": (response_bytes(b"whole"), AttemptResult.OK),
     "behind an interim answer": (b"HTTP/1.1 102 Processing\r\n\r\n", AttemptResult.RESET),
 }
 
@@ -69,11 +69,11 @@
     raw, result = CUTS[where]
 
     async def run() -> None:
-        stand_in, single = await alone(writes_then_resets(raw), connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [result]
+        stand_in, backend_rig = await start_backend_rig(writes_then_resets(raw), connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [result]
         async with asyncio.timeout(3):
-            while single.pool.open_count:  # a reset connection leaves the pool
+            while backend_rig.pool.open_count:  # a reset connection leaves the pool
                 await asyncio.sleep(0.002)
         await stand_in.stop()
 
@@ -82,10 +82,12 @@
 
 def test_close_ends_a_response_with_neither_length_nor_chunks() -> None:
     async def run() -> None:
-        stand_in, single = await alone(says(HEAD + b"\r\nabc", then_close=True), connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [AttemptResult.OK]
-        assert single.reports[0].response.body == b"abc"
+        stand_in, backend_rig = await start_backend_rig(
+            respond_with(HEAD + b"\r\nabc", then_close=True), connect_ms=5000
+        )
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
+        assert backend_rig.reports[0].response.body == b"abc"
         await stand_in.stop()
 
     asyncio.run(run())
@@ -93,12 +95,14 @@
 
 def test_response_until_close_is_incomplete_when_the_proxy_itself_ends() -> None:
     async def run() -> None:
-        stand_in, single = await alone(says(HEAD + b"\r\nabc"), connect_ms=5000)
-        single.send(within_ms=5000)
-        while not any(link._reader.received_bytes == 3 for link in single.pool.connections):
+        stand_in, backend_rig = await start_backend_rig(
+            respond_with(HEAD + b"\r\nabc"), connect_ms=5000
+        )
+        backend_rig.send(within_ms=5000)
+        while not any(link._reader.received_bytes == 3 for link in backend_rig.pool.connections):
             await asyncio.sleep(0.002)
-        single.pool.close()
-        assert await single.ended() == [AttemptResult.RESET]
+        backend_rig.pool.close()
+        assert await backend_rig.wait_for_results() == [AttemptResult.RESET]
         await stand_in.stop()
 
     asyncio.run(run())
@@ -109,18 +113,20 @@
     """Whether it ran is unknown: it fails if it may not run twice, else it is retried."""
 
     async def run() -> None:
-        async with rig(serves, serves) as r:
+        async with rig(respond_ok, respond_ok) as r:
             r.proxy._decider._balancer.retry_budget.tokens = 5.0
             for _ in range(6):
-                assert (await r.ask()).status == 200
-            before = [len(b.seen) for b in r.backends]
+                assert (await r.request()).status == 200
+            before = [len(b.requests) for b in r.backends]
 
-            async def resets_at_once(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            async def resets_at_once(
+                request: ReceivedRequest, writer: asyncio.StreamWriter
+            ) -> None:
                 reset_connection(writer)
 
             r.backends[0].behave = resets_at_once
-            replies = [await r.ask(lane) for _ in range(4)]
-            sent = [len(b.seen) - n for b, n in zip(r.backends, before, strict=True)]
+            replies = [await r.request(lane) for _ in range(4)]
+            sent = [len(b.requests) - n for b, n in zip(r.backends, before, strict=True)]
             if lane == "search":
                 assert all(reply.status == 200 for reply in replies)
             else:
@@ -145,19 +151,19 @@
 @pytest.mark.parametrize("part", ENDLESS)
 def test_endless_responses_end_their_attempt_and_their_connection(part: str) -> None:
     async def run() -> None:
-        async def sends_endlessly(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def sends_endlessly(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(RESPONSE_STARTS.get(part, b""))
             for _ in range(100_000):
                 writer.write(ENDLESS[part])
                 await writer.drain()
 
-        stand_in, single = await alone(sends_endlessly, connect_ms=5000)
-        single.send(within_ms=5000)
-        assert await single.ended() == [AttemptResult.ERROR]
+        stand_in, backend_rig = await start_backend_rig(sends_endlessly, connect_ms=5000)
+        backend_rig.send(within_ms=5000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.ERROR]
         async with asyncio.timeout(3):
-            while not stand_in.ended:
+            while not stand_in.closed_count:
                 await asyncio.sleep(0.002)
-        assert not single.pool.open_count
+        assert not backend_rig.pool.open_count
         await stand_in.stop()
 
     asyncio.run(run())
@@ -173,29 +179,29 @@
     async def run() -> None:
         written: list[asyncio.StreamWriter] = []
 
-        async def answers(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answers(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             written.append(writer)
-            await serves(seen, writer)
+            await respond_ok(request, writer)
 
-        stand_in, single = await alone(answers, connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [AttemptResult.OK]
+        stand_in, backend_rig = await start_backend_rig(answers, connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
         # No request is open, so that this shows that backends send second responses.
-        written[0].write(answer(b"a second answer"))
+        written[0].write(response_bytes(b"a second answer"))
         async with asyncio.timeout(3):
-            while not stand_in.ended:
+            while not stand_in.closed_count:
                 await asyncio.sleep(0.002)
         for _ in range(3):
-            count = len(single.reports)
-            request = single.send(within_ms=2000)
-            await single.ended(count + 1)
+            count = len(backend_rig.reports)
+            request = backend_rig.send(within_ms=2000)
+            await backend_rig.wait_for_results(count + 1)
             # A second response is on its way when the next request is sent.
-            written[-1].write(answer(b"a second answer"))
-            following = single.send(within_ms=2000)
-            await single.ended(count + 2)
-            bodies = [r.response.body for r in single.reports[count:]]
+            written[-1].write(response_bytes(b"a second answer"))
+            following = backend_rig.send(within_ms=2000)
+            await backend_rig.wait_for_results(count + 2)
+            bodies = [r.response.body for r in backend_rig.reports[count:]]
             assert bodies == [b"served %d" % request, b"served %d" % following]
-        single.pool.close()
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -203,12 +209,12 @@
 
 def test_connections_are_reused_at_once_without_unsolicited_bytes() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
         for count in range(1, 30):
-            single.send(within_ms=2000)
-            await single.ended(count)
-        assert stand_in.opened == 1
-        single.pool.close()
+            backend_rig.send(within_ms=2000)
+            await backend_rig.wait_for_results(count)
+        assert stand_in.opened_count == 1
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -228,14 +234,14 @@
     """Once the kernel has all of it, it may still run: it fails if it may not run twice."""
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             with unread_listener() as listener:
                 row = {**r.backends[0].row(), "id": "s-9"}
                 row["host_port"] = f"127.0.0.1:{listener.getsockname()[1]}"
-                r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
+                r.discovery.publish({**r.backends[0].row(), "phase": "DELETED"}, row)
                 listed_backends = r.proxy._decider._backends
                 await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
-                reply = await r.ask("order", remaining="300m", body=b"x" * size)
+                reply = await r.request("order", remaining="300m", body=b"x" * size)
                 written_count = r.proxy.metrics.relayed
                 assert (reply.status in (502, 504)) == bool(written_count)
                 assert reply.status in (502, 503, 504) and r.count("attempts") == 1
@@ -246,10 +252,12 @@
 def test_attempt_that_was_not_completely_written_never_ran() -> None:
     async def run() -> None:
         with unread_listener() as listener:
-            stand_in, single = await alone(silent, connect_ms=5000)
-            single.actor.tell(backend_messages.AddressChanged(Address(*listener.getsockname()), 1))
-            single.send("POST", within_ms=300, body=b"x" * 30_000_000)
-            assert await single.ended() == [AttemptResult.CONNECT_FAILED]
+            stand_in, backend_rig = await start_backend_rig(never_respond, connect_ms=5000)
+            backend_rig.actor.tell(
+                backend_messages.AddressChanged(Address(*listener.getsockname()), 1)
+            )
+            backend_rig.send("POST", within_ms=300, body=b"x" * 30_000_000)
+            assert await backend_rig.wait_for_results() == [AttemptResult.CONNECT_FAILED]
             await stand_in.stop()
 
     asyncio.run(run())
@@ -257,25 +265,25 @@
 
 def test_response_before_its_request_is_complete_closes_the_connection() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
 
             async def answer_early(
                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter
             ) -> None:
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(answer(b"too early"))
+                writer.write(response_bytes(b"too early"))
                 await writer.drain()
 
             server = await asyncio.start_server(answer_early, "127.0.0.1", 0)
             row = {**r.backends[0].row(), "id": "s-9"}
             row["host_port"] = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            r.directory.tell({**r.backends[0].row(), "phase": "DELETED"}, row)
+            r.discovery.publish({**r.backends[0].row(), "phase": "DELETED"}, row)
             listed_backends = r.proxy._decider._backends
             await r.until(lambda: [b.ident for b in listed_backends.values()] == ["s-9"])
             client = await r.client()
             size = 500_000
             client.writer.write(
-                request_bytes("order", drop=("Content-Length",), Content_length=str(size))
+                request_bytes("order", omit=("Content-Length",), Content_length=str(size))
             )
             client.writer.write(b"u" * 200_000)
             reply = await client.read()
@@ -293,30 +301,30 @@
     """The response ends the request: no further attempt is sent, even if cancelling is disabled."""
 
     async def run() -> None:
-        from tests.peers import Gate
+        from tests.peers import ConnectGate
 
         go = asyncio.Event()
-        serves_after_go = serves_after(go)
+        respond_ok_after_go = respond_ok_after(go)
 
         changes: dict[str, Any] = {
             "limits--connect_timeout_ns": 5_000 * MS,
             "limits--cancelling": False,
         }
-        async with rig(serves, serves, **changes) as r:
+        async with rig(respond_ok, respond_ok, **changes) as r:
             for _ in range(4):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             for backend in r.backends:
-                backend.behave = serves_after_go
+                backend.behave = respond_ok_after_go
             for actor in r.proxy._decider._backends.values():
                 actor.tell(backend_messages.CloseIdleConnections())
             balancer = r.proxy._decider._balancer
             balancer.retry_budget.tokens = 5.0
             for known in balancer.endpoints.by_id.values():
                 known.outlier.failure_score = 1.0
-            reply_task = asyncio.create_task(r.ask(remaining="3900m"))
-            await r.until(lambda: sum(len(b.seen) for b in r.backends) == 5)
-            gate = Gate(r.proxy.loop, monkeypatch)
-            before = [len(b.seen) for b in r.backends]
+            reply_task = asyncio.create_task(r.request(remaining="3900m"))
+            await r.until(lambda: sum(len(b.requests) for b in r.backends) == 5)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
+            before = [len(b.requests) for b in r.backends]
             gate.hold(*r.backends)
             await r.until(lambda: gate.waiting == 1)  # the hedge
             go.set()
@@ -324,21 +332,21 @@
             await r.until(lambda: gate.waiting == 0)
             gate.open.set()
             await asyncio.sleep(0.02)
-            assert [len(b.seen) for b in r.backends] == before
+            assert [len(b.requests) for b in r.backends] == before
 
     asyncio.run(run())
 
 
 def test_replaced_backend_gets_no_connection_of_an_earlier_incarnation() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
-        single.send(within_ms=2000)
-        assert await single.ended() == [AttemptResult.OK]
-        single.actor.tell(backend_messages.AddressChanged(single.actor.address, 5))
-        single.send(within_ms=2000)
-        await single.ended(2)
-        assert [seen.connection for seen in stand_in.seen] == [1, 2]
-        single.pool.close()
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results() == [AttemptResult.OK]
+        backend_rig.actor.tell(backend_messages.AddressChanged(backend_rig.actor.address, 5))
+        backend_rig.send(within_ms=2000)
+        await backend_rig.wait_for_results(2)
+        assert [request.connection for request in stand_in.requests] == [1, 2]
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -346,19 +354,19 @@
 
 def test_restarted_backend_is_reached_on_new_connections() -> None:
     async def run() -> None:
-        stand_in, single = await alone(serves, connect_ms=5000)
-        single.send(within_ms=2000)
-        await single.ended()
+        stand_in, backend_rig = await start_backend_rig(respond_ok, connect_ms=5000)
+        backend_rig.send(within_ms=2000)
+        await backend_rig.wait_for_results()
         await stand_in.stop()
-        restarted = StandIn(serves)
+        restarted = StandInBackend(respond_ok)
         restarted.port = stand_in.port
         async with asyncio.timeout(3):
-            while single.pool.open_count:
+            while backend_rig.pool.open_count:
                 await asyncio.sleep(0.002)
         restarted.server = await asyncio.start_server(restarted._serve, "127.0.0.1", stand_in.port)
-        single.send(within_ms=2000)
-        assert await single.ended(2) == [AttemptResult.OK] * 2
-        single.pool.close()
+        backend_rig.send(within_ms=2000)
+        assert await backend_rig.wait_for_results(2) == [AttemptResult.OK] * 2
+        backend_rig.pool.close()
         await restarted.stop()
 
     asyncio.run(run())
@@ -375,8 +383,8 @@
     """
 
     async def run() -> None:
-        stand_in, first = await alone(serves, most=1)
-        second = Single(Address("127.0.0.1", stand_in.port), pool=first.pool)
+        stand_in, first = await start_backend_rig(respond_ok, max_connections=1)
+        second = BackendRig(Address("127.0.0.1", stand_in.port), pool=first.pool)
         sockets: list[socket.socket] = []
         open_counts: list[int] = []
         unpatched_connect = first.loop.sock_connect
@@ -388,9 +396,9 @@
 
         monkeypatch.setattr(first.loop, "sock_connect", count_open_sockets)
         for count in range(1, 21):
-            for single in (first, second):
-                single.send()
-                assert await single.ended(count) == [AttemptResult.OK] * count
+            for backend_rig in (first, second):
+                backend_rig.send()
+                assert await backend_rig.wait_for_results(count) == [AttemptResult.OK] * count
         assert open_counts == [1] * 40
         first.pool.close()
         await stand_in.stop()
--- a/tests/net/client_side/test_net_descriptors.py
+++ b/tests/net/client_side/test_net_descriptors.py
@@ -21,14 +21,14 @@
 from tests.net.test_process import MAIN, ROOT
 from tests.peers import (
     Client,
-    Directory,
-    StandIn,
-    answer,
-    call,
+    StandInBackend,
+    StandInDiscovery,
+    admin_call,
     raw_client,
     request_bytes,
+    respond_ok,
+    response_bytes,
     rig,
-    serves,
 )
 from tests.ports import free_port
 
@@ -58,38 +58,39 @@
     tmp_path: Path, mode: str
 ) -> None:
     async def run() -> None:
-        old, new = StandIn(serves, "s-old"), StandIn(serves, "s-new")
+        old, new = StandInBackend(respond_ok, "s-old"), StandInBackend(respond_ok, "s-new")
         for backend in (old, new):
             await backend.start()
-        directory = Directory([old.row()])
-        await directory.start()
+        discovery = StandInDiscovery([old.row()])
+        await discovery.start()
         admin = free_port()
         path, port = configuration(
-            tmp_path, directory, discovery=mode, operators=f"127.0.0.1:{admin}"
+            tmp_path, discovery, discovery=mode, admin_addr=f"127.0.0.1:{admin}"
         )
-        directory.tell(old.row())
+        discovery.publish(old.row())
         process = await start_limited_proxy(path)
         assert process.stderr
         log_lines: list[bytes] = []
         reading = asyncio.create_task(collect_lines(process.stderr, log_lines))
         async with asyncio.timeout(10):
-            while (await ask_once(port)) != 200:
+            while (await request_once(port)) != 200:
                 await asyncio.sleep(0.05)
-        await directory.stop()
-        directory.cut()
+        await discovery.stop()
+        discovery.abort_connections()
         idle_sockets: list[socket.socket] = []
         stop = asyncio.Event()
         connecting = asyncio.create_task(connect_idle_clients(port, idle_sockets, stop))
         while len(idle_sockets) < IDLE_CLIENTS:
             await asyncio.sleep(0.01)
-        assert (await call(admin, "/api/telemetry")).status == 200  # the admin server still answers
-        directory.tell(old.row("DELETED"), new.row())
-        directory.members = [new.row()]
-        await directory.start()
+        # The admin server still answers.
+        assert (await admin_call(admin, "/api/telemetry")).status == 200
+        discovery.publish(old.row("DELETED"), new.row())
+        discovery.members = [new.row()]
+        await discovery.start()
         restarted_at = asyncio.get_running_loop().time()
-        while not new.seen and asyncio.get_running_loop().time() - restarted_at < 6.0:
-            await ask_once(port)
-        assert new.seen  # within 6 s of its return, discovery reported the new backend
+        while not new.requests and asyncio.get_running_loop().time() - restarted_at < 6.0:
+            await request_once(port)
+        assert new.requests  # within 6 s of its return, discovery reported the new backend
         stop.set()
         await connecting
         for sock in idle_sockets:
@@ -100,8 +101,8 @@
         assert b"Too many open files" not in b"".join(log_lines)
         for backend in (old, new):
             await backend.stop()
-        await directory.stop()
-        directory.cut()
+        await discovery.stop()
+        discovery.abort_connections()
 
     asyncio.run(run())
 
@@ -111,12 +112,12 @@
         log_lines.append(line)
 
 
-async def ask_once(port: int) -> int:
+async def request_once(port: int) -> int:
     """Send one request on a new connection; return its status, 0 if it is closed unanswered."""
     try:
         client = Client(*await asyncio.open_connection("127.0.0.1", port))
         try:
-            return (await client.ask(remaining="900m")).status
+            return (await client.request(remaining="900m")).status
         finally:
             client.close()
     except (OSError, asyncio.IncompleteReadError, TimeoutError):
@@ -149,7 +150,7 @@
     """Connections closed for new ones hold their descriptors until the next loop iteration."""
 
     async def run() -> None:
-        async with rig(serves, sockets=96) as r:
+        async with rig(respond_ok, sockets=96) as r:
             frontend = r.proxy._frontend
             assert frontend.acceptor._listener is not None
             max_open = [0]
@@ -172,7 +173,7 @@
             await r.until(lambda: frontend.connection_count >= 40)
             await asyncio.sleep(0.15)
             second = [raw_client(r.proxy.port) for _ in range(60)]
-            assert (await asyncio.wait_for(r.ask(), 3)).status == 200
+            assert (await asyncio.wait_for(r.request(), 3)).status == 200
             assert 40 <= max_open[0] <= frontend.budget.max_connections
             monkeypatch.setattr(frontend.acceptor, "_listener", listener)
             for client in first + second:
@@ -185,7 +186,7 @@
     """A request that crosses the close is read, so that the client sees an end and no reset."""
 
     async def run() -> None:
-        async with rig(serves, sockets=64) as r:
+        async with rig(respond_ok, sockets=64) as r:
             loop, frontend = r.proxy.loop, r.proxy._frontend
             idle_client = raw_client(r.proxy.port)
             idle_client.send(request_bytes())
@@ -199,10 +200,10 @@
             ]
             await r.until(lambda: connection.state == ConnectionState.LINGERING)
             idle_client.send(request_bytes())  # crosses the close
-            seen = len(r.backends[0].seen)
+            request_count = len(r.backends[0].requests)
             await r.until(lambda: connection.discarded_bytes > 0)
             assert await asyncio.wait_for(loop.sock_recv(idle_client, 65536), 3) == b""
-            assert len(r.backends[0].seen) == seen
+            assert len(r.backends[0].requests) == request_count
             for client in [idle_client, *others]:
                 client.close()
 
@@ -213,8 +214,8 @@
     """They are closed with unread data, and count until their descriptors are free."""
 
     async def run() -> None:
-        async def long_response(seen: Any, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(b"z" * 60_000))
+        async def long_response(request: Any, writer: asyncio.StreamWriter) -> None:
+            writer.write(response_bytes(b"z" * 60_000))
 
         async with rig(long_response, sockets=64) as r:
             frontend = r.proxy._frontend
@@ -228,7 +229,7 @@
                     r.proxy.loop.sock_connect(sock, ("127.0.0.1", r.proxy.port)), 3
                 )
                 sock.send(b"".join(request_bytes(remaining="3900m") for _ in range(100)))
-            assert (await asyncio.wait_for(r.ask(remaining="3900m"), 8)).status in (200, 503)
+            assert (await asyncio.wait_for(r.request(remaining="3900m"), 8)).status in (200, 503)
             assert frontend.connection_count <= frontend.budget.max_connections
             for sock in unread_sockets:
                 sock.close()
@@ -244,7 +245,7 @@
 
 def test_answered_and_pending_admin_calls_share_their_descriptors() -> None:
     async def run() -> None:
-        async with rig(serves, operators="127.0.0.1:0") as r:
+        async with rig(respond_ok, admin_addr="127.0.0.1:0") as r:
             admin_server = r.proxy._admin_server
             assert admin_server is not None
             callers = []
@@ -254,7 +255,7 @@
                 callers.append(sock)
                 await asyncio.sleep(0.002)
                 assert len(admin_server._callers) + len(admin_server._lingering) <= MAX_CALLERS
-            assert (await r.call("/api/ready")).status == 200
+            assert (await r.admin_call("/api/ready")).status == 200
             for sock in callers:
                 sock.close()
 
--- a/tests/net/client_side/test_net_gone.py
+++ b/tests/net/client_side/test_net_gone.py
@@ -31,18 +31,18 @@
 from tests.net.test_net_body_relay import rig_with_upload_backend
 from tests.peers import (
     MS,
-    Gate,
+    BackendRig,
+    ConnectGate,
     Rig,
-    Single,
-    alone,
-    answer,
+    never_respond,
     raw_client,
     request_bytes,
+    respond_ok,
+    respond_ok_after,
+    respond_with,
+    response_bytes,
     rig,
-    says,
-    serves,
-    serves_after,
-    silent,
+    start_backend_rig,
 )
 
 LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits--connect_timeout_ns": 5_000 * MS}
@@ -82,8 +82,8 @@
     monkeypatch: pytest.MonkeyPatch, cancelling: bool, end: Callable[[socket.socket], None]
 ) -> None:
     async def run() -> None:
-        async with rig(serves, limits__cancelling=cancelling, **LONG_CONNECT_TIMEOUT) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+        async with rig(respond_ok, limits__cancelling=cancelling, **LONG_CONNECT_TIMEOUT) as r:
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
@@ -93,7 +93,7 @@
             await wait_past_socket_check(r)
             gate.open.set()
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and not r.backends[0].seen
+            assert resources_released(r) and not r.backends[0].requests
             assert r.proxy._pool.open_count == 1  # open, and reusable for the next request
 
     asyncio.run(run())
@@ -104,20 +104,20 @@
     end: Callable[[socket.socket], None],
 ) -> None:
     async def run() -> None:
-        async with rig(silent, silent) as r:
+        async with rig(never_respond, never_respond) as r:
             for backend in r.backends:
-                backend.behave = says(b"")
+                backend.behave = respond_with(b"")
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: any(b.seen for b in r.backends))
-            first = next(b for b in r.backends if b.seen)
+            await r.until(lambda: any(b.requests for b in r.backends))
+            first = next(b for b in r.backends if b.requests)
             leave_unread(r, client, end)
             await hang_ups_pending(r)
             await wait_past_socket_check(r)
             (writer,) = first.writers
-            writer.write(answer(b"", 503, X_Turned_Away="1"))
+            writer.write(response_bytes(b"", 503, X_Turned_Away="1"))
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and sum(len(b.seen) for b in r.backends) == 1
+            assert resources_released(r) and sum(len(b.requests) for b in r.backends) == 1
 
     asyncio.run(run())
 
@@ -128,7 +128,7 @@
 ) -> None:
     async def run() -> None:
         go = asyncio.Event()
-        async with rig(serves_after(go), classes=LONG_OBJECTIVE) as r:
+        async with rig(respond_ok_after(go), classes=LONG_OBJECTIVE) as r:
             balancer = r.proxy._decider._balancer
             clients = []
             while not balancer.queue.count:
@@ -137,7 +137,7 @@
                 sent = len(clients)
                 await r.until(lambda sent=sent: len(balancer.requests.open) == sent)  # type: ignore[misc]
             served = len(clients) - 1
-            await r.until(lambda: len(r.backends[0].seen) == served)
+            await r.until(lambda: len(r.backends[0].requests) == served)
             leave_unread(r, clients[-1], end)
             await r.until(lambda: any(has_peer_hung_up(c.transport) for c in connections(r)))
             await wait_past_socket_check(r)
@@ -145,7 +145,7 @@
             go.set()
             await r.until(lambda: r.count("answers_ok") >= served)
             await r.until(lambda: resources_released(r))
-            assert len(r.backends[0].seen) == served
+            assert len(r.backends[0].requests) == served
             for client in clients[:-1]:
                 client.close()
 
@@ -170,25 +170,25 @@
     """First attempts, retries, hedges and queued attempts all pass through the backend's actor."""
 
     async def run() -> None:
-        stand_in, single = await alone(serves)
+        stand_in, backend_rig = await start_backend_rig(respond_ok)
         if is_reused:
-            single.send()
-            await single.ended()
-        before = len(stand_in.seen)
+            backend_rig.send()
+            await backend_rig.wait_for_results()
+        before = len(stand_in.requests)
         departed = DepartedClient()
-        tell = single.actor.tell
+        tell = backend_rig.actor.tell
 
         def tell_with_departed_client(command: Any) -> None:
             command.client_request.client = departed
             tell(command)
 
-        monkeypatch.setattr(single.actor, "tell", tell_with_departed_client)
-        single.send()
-        assert (await single.ended(before + 1))[-1] == AttemptResult.NOT_SENT
+        monkeypatch.setattr(backend_rig.actor, "tell", tell_with_departed_client)
+        backend_rig.send()
+        assert (await backend_rig.wait_for_results(before + 1))[-1] == AttemptResult.NOT_SENT
         # The socket is checked, as the request arrived long ago.
-        assert len(stand_in.seen) == before and departed.socket_checks == [True]
-        assert single.pool.open_count == int(is_reused)
-        single.pool.close()
+        assert len(stand_in.requests) == before and departed.socket_checks == [True]
+        assert backend_rig.pool.open_count == int(is_reused)
+        backend_rig.pool.close()
         await stand_in.stop()
 
     asyncio.run(run())
@@ -201,8 +201,8 @@
     """The command is in the backend's mailbox when the hang-up is read."""
 
     async def run() -> None:
-        async with rig(serves, limits__cancelling=cancelling) as r:
-            assert (await r.ask()).status == 200  # leaves an idle connection to the backend
+        async with rig(respond_ok, limits__cancelling=cancelling) as r:
+            assert (await r.request()).status == 200  # leaves an idle connection to the backend
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             tell = Backend.tell
 
@@ -216,7 +216,7 @@
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
             await r.until(lambda: r.count("attempts") == 2 and resources_released(r))
-            assert len(r.backends[0].seen) == 1
+            assert len(r.backends[0].requests) == 1
             client.close()
 
     asyncio.run(run())
@@ -232,16 +232,16 @@
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            single = Single(config.Address("127.0.0.1", listener.getsockname()[1]))
-            request_number = single.send("POST", within_ms=3_000, body=b"x" * 8_000_000)
+            backend_rig = BackendRig(config.Address("127.0.0.1", listener.getsockname()[1]))
+            request_number = backend_rig.send("POST", within_ms=3_000, body=b"x" * 8_000_000)
             accepted, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
             async with asyncio.timeout(3):
-                while not (links := list(single.pool.connections)) or links[0].attempt is None:
+                while not (links := list(backend_rig.pool.connections)) or links[0].attempt is None:
                     await asyncio.sleep(0.005)
             assert not links[0].is_flushed
-            single.actor.tell(backend_messages.WithholdAttempt(request_number, 0))
-            assert await single.ended() == [AttemptResult.NOT_SENT]
-            single.pool.close()
+            backend_rig.actor.tell(backend_messages.WithholdAttempt(request_number, 0))
+            assert await backend_rig.wait_for_results() == [AttemptResult.NOT_SENT]
+            backend_rig.pool.close()
             accepted.close()
 
     asyncio.run(run())
@@ -256,17 +256,17 @@
     monkeypatch.setattr(frontend, "SWEEP_S", 1_000.0)  # no periodic checks
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = raw_client(r.proxy.port)
             client.send(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             raw = (
                 request_bytes("order", body=b"x" * 200, remaining=LONG_REMAINING) + b"x" * body_size
             )
             await asyncio.wait_for(r.proxy.loop.sock_sendall(client, raw), 3)
             end(client)
             await r.until(lambda: no_open_requests_or_clients(r))
-            assert resources_released(r) and len(r.backends[0].seen) == 1
+            assert resources_released(r) and len(r.backends[0].requests) == 1
 
     asyncio.run(run())
 
@@ -278,15 +278,15 @@
     monkeypatch.setattr(lingering_close, "MAX_DISCARDED_BYTES", 2_000_000)
 
     async def run() -> None:
-        async with rig(silent) as r:
+        async with rig(never_respond) as r:
             client = await r.client()
             client.writer.write(request_bytes(remaining=LONG_REMAINING))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             sending = asyncio.create_task(_send_endlessly(client.writer))
             rejected = await client.read()
             assert (rejected.status, rejected.headers["connection"]) == (400, "close")
             await r.until(lambda: resources_released(r))
-            assert len(r.backends[0].seen) == 1 and r.count("attempts_cancelled") == 1
+            assert len(r.backends[0].requests) == 1 and r.count("attempts_cancelled") == 1
             sending.cancel()
             client.writer.transport.abort()
 
@@ -309,7 +309,7 @@
 
     async def run() -> None:
         async with rig_with_upload_backend(**LONG_CONNECT_TIMEOUT) as (r, upload_backend):
-            gate = Gate(r.proxy.loop, monkeypatch)
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(upload_backend)
             if is_end_hidden:
                 assert r.proxy._frontend.acceptor._listener is not None
@@ -323,7 +323,7 @@
             size = 160_000
             head = request_bytes(
                 "order",
-                drop=("Content-Length",),
+                omit=("Content-Length",),
                 Content_length=str(size),
                 remaining=LONG_REMAINING,
             )
@@ -352,8 +352,8 @@
     """A delay under 0.1 s counts, too: the first request's age starts with its connection."""
 
     async def run() -> None:
-        async with rig(serves) as r:
-            assert (await r.ask()).status == 200
+        async with rig(respond_ok) as r:
+            assert (await r.request()).status == 200
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
             client = raw_client(r.proxy.port)
             await r.until(lambda: r.proxy._frontend.connection_count == 1)
@@ -363,7 +363,7 @@
             client.send(b"\r\n")
             client.close()
             await r.until(lambda: r.proxy._frontend.connection_count == 0)
-            assert len(r.backends[0].seen) == 1 and resources_released(r)
+            assert len(r.backends[0].requests) == 1 and resources_released(r)
 
     asyncio.run(run())
 
@@ -377,18 +377,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run() -> None:
-        async with rig(serves, **LONG_CONNECT_TIMEOUT) as r:
-            gate = Gate(r.proxy.loop, monkeypatch)
+        async with rig(respond_ok, **LONG_CONNECT_TIMEOUT) as r:
+            gate = ConnectGate(r.proxy.loop, monkeypatch)
             gate.hold(r.backends[0])
-            reply_task = asyncio.create_task(r.ask(remaining="2900m"))
+            reply_task = asyncio.create_task(r.request(remaining="2900m"))
             await r.until(lambda: gate.waiting == 1)
             began = time.monotonic()
             await asyncio.sleep(0.3)
             held_ms = 1000 * (time.monotonic() - began)
             gate.open.set()
             assert (await reply_task).status == 200
-            (seen,) = r.backends[0].seen
-            assert 0 < remaining_ms(seen.header(b"X-Remaining")) <= 2900 - held_ms
+            (request,) = r.backends[0].requests
+            assert 0 < remaining_ms(request.header(b"X-Remaining")) <= 2900 - held_ms
 
     asyncio.run(run())
 
@@ -396,10 +396,10 @@
 def test_deadline_of_a_pipelined_request_counts_from_its_arrival() -> None:
     async def run() -> None:
         go = asyncio.Event()
-        async with rig(serves_after(go)) as r:
+        async with rig(respond_ok_after(go)) as r:
             client = await r.client()
             client.writer.write(request_bytes(remaining="2900m"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             client.writer.write(request_bytes(remaining="2900m") + request_bytes(remaining="2900m"))
             await r.until(lambda: connections(r)[0].has_pipelined_input())
             sent = time.monotonic()
@@ -408,8 +408,8 @@
             go.set()
             for _ in range(3):
                 assert (await client.read()).status == 200
-            for seen in r.backends[0].seen[1:]:
-                assert remaining_ms(seen.header(b"X-Remaining")) <= 2900 - held_ms
+            for request in r.backends[0].requests[1:]:
+                assert remaining_ms(request.header(b"X-Remaining")) <= 2900 - held_ms
             client.close()
 
     asyncio.run(run())
--- a/tests/net/client_side/test_random_endings.py
+++ b/tests/net/client_side/test_random_endings.py
@@ -24,7 +24,14 @@
 from mothstall.net.client_side import connection_states, deadlines, request_body, response_relay
 from mothstall.net.client_side.connection_states import ConnectionState
 from mothstall.net.proxy import Proxy
-from tests.peers import Directory, StandIn, answer, request_bytes, reset, tree_of
+from tests.peers import (
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
+    request_bytes,
+    reset,
+    response_bytes,
+)
 
 SEEDS = range(40)
 CLIENTS = 12
@@ -35,7 +42,7 @@
 MALFORMED = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
-class RandomBackend(StandIn):
+class RandomBackend(StandInBackend):
     """Reads requests by their framing, and answers each in a random way."""
 
     def __init__(self, rng: random.Random, ident: str) -> None:
@@ -89,9 +96,9 @@
         elif kind == "bad":
             writer.write(b"no response at all\r\n\r\n")
         elif kind == "busy":
-            writer.write(answer(b"busy", 503))
+            writer.write(response_bytes(b"busy", 503))
         elif kind == "short":
-            writer.write(answer(b"short"))
+            writer.write(response_bytes(b"short"))
         elif kind == "chunked":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (LONG_BYTES, b"c" * LONG_BYTES))
@@ -110,16 +117,16 @@
 
 @dataclass
 class Setup:
-    """The directory, backends, listener and folder of one seed."""
+    """The discovery, backends, listener and folder of one seed."""
 
-    directory: Directory
+    discovery: StandInDiscovery
     backends: list[RandomBackend]
     listener: socket.socket
     folder: Path
 
     def proxy(self) -> Proxy:
         rows = [backend.row() for backend in self.backends]
-        tree = tree_of(self.directory, rows)
+        tree = make_config_tree(self.discovery, rows)
         return Proxy(config.from_tree(tree, self.listener.fileno(), str(self.folder)))
 
     def connect(self) -> socket.socket:
@@ -184,9 +191,9 @@
         remaining = rng.choice(("300m", "900m"))
         if lane == "search":
             return [request_bytes(lane, remaining=remaining)]
-        drop = ("Content-Length",)
+        omit = ("Content-Length",)
         if rng.random() < 0.5:
-            head = request_bytes(lane, drop=drop, Transfer_Encoding="chunked", remaining=remaining)
+            head = request_bytes(lane, omit=omit, Transfer_Encoding="chunked", remaining=remaining)
             part = max(1, size // 5)
             body = b"".join(b"%x\r\n%b\r\n" % (part, b"u" * part) for _ in range(5))
             if rng.random() < 0.4:
@@ -194,7 +201,7 @@
             else:
                 body += b"0\r\n\r\n"
         else:
-            head = request_bytes(lane, drop=drop, Content_length=str(size), remaining=remaining)
+            head = request_bytes(lane, omit=omit, Content_length=str(size), remaining=remaining)
             body = b"u" * size
         if rng.random() < 0.15:
             body = body[: len(body) // 2]  # the rest never comes
@@ -284,10 +291,10 @@
     backends = [RandomBackend(random.Random(f"{seed}.{i}"), f"s-{i}") for i in range(BACKENDS)]
     for backend in backends:
         await backend.start()
-    directory = Directory([backend.row() for backend in backends])
-    await directory.start()
+    discovery = StandInDiscovery([backend.row() for backend in backends])
+    await discovery.start()
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-    setup = Setup(directory, backends, listener, folder)
+    setup = Setup(discovery, backends, listener, folder)
     descriptors = Path("/proc/self/fd")
     before = len(os.listdir(descriptors))
     proxy = setup.proxy()
@@ -303,7 +310,7 @@
                 await asyncio.sleep(0.02)
     assert_nothing_open(proxy)
     await proxy.stop(0.0)
-    await directory.stop()
+    await discovery.stop()
     for backend in backends:
         await backend.stop()
     listener.close()
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -20,22 +20,22 @@
 
 @pytest.fixture(autouse=True)
 def state_changes(monkeypatch: pytest.MonkeyPatch) -> Generator[list[Edge], None, None]:
-    """Record each state change of a connection; fail the test if one is not in the table.
+    """Records the state changes of all connections; fails the test if one is not in the table.
 
-    Also fail the test if a change keeps a request open in a state without an open request.
+    Also fails the test if a connection keeps its exchange in a state that allows no open exchange.
     """
-    seen: list[Edge] = []
+    recorded: list[Edge] = []
     left_open: list[ConnectionState] = []
     enter = Connection.enter
 
     def record(connection: Connection, state: ConnectionState) -> None:
         is_accepted = connection.state is state is ConnectionState.NEW
-        seen.append((None if is_accepted else connection.state, state))
+        recorded.append((None if is_accepted else connection.state, state))
         enter(connection, state)
         if connection.exchange is not None and state not in HAS_OPEN_EXCHANGE:
             left_open.append(state)
 
     monkeypatch.setattr(Connection, "enter", record)
-    yield seen
-    assert set(seen) <= EDGES
+    yield recorded
+    assert set(recorded) <= EDGES
     assert not left_open
--- a/tests/net/test_net_body_relay.py
+++ b/tests/net/test_net_body_relay.py
@@ -26,7 +26,16 @@
 )
 from mothstall.net.client_side import response_relay
 from tests.net.test_process import start_proxy
-from tests.peers import Client, Rig, Seen, StandIn, answer, request_bytes, rig, serves
+from tests.peers import (
+    Client,
+    ReceivedRequest,
+    Rig,
+    StandInBackend,
+    request_bytes,
+    respond_ok,
+    response_bytes,
+    rig,
+)
 
 MB = 1 << 20
 
@@ -174,7 +183,7 @@
 
 def long_response(framing: str) -> bytes:
     if framing == "length":
-        return answer(BODY)
+        return response_bytes(BODY)
     if framing == "close":
         return HEAD + b"Connection: close\r\n\r\n" + BODY
     rows = [HEAD, b"Transfer-Encoding: chunked\r\nTrailer: x-sum\r\n\r\n"]
@@ -189,7 +198,7 @@
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("piece", [1_300, 400_000])
 def test_long_response_is_forwarded_unchanged_in_any_framing(framing: str, piece: int) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         raw = b"HTTP/1.1 103 Early\r\n\r\n" + long_response(framing)
         for at in range(0, len(raw), piece):
             writer.write(raw[at : at + piece])
@@ -198,16 +207,16 @@
             writer.close()
 
     async def run() -> None:
-        async with rig(behave, operators="127.0.0.1:0") as r:
+        async with rig(behave, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
             for _ in range(2):  # the connection is reusable
                 client.writer.write(request_bytes("search"))
                 _, body = await asyncio.wait_for(read_long(client), 10)
                 assert body == BODY
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (metrics["fulfilled.search"], metrics["open_requests"]) == (2, 0)
             if framing == "length":
-                assert r.backends[0].opened == 1  # the backend connection is reused
+                assert r.backends[0].opened_count == 1  # the backend connection is reused
 
     asyncio.run(run())
 
@@ -223,14 +232,14 @@
 ) -> None:
     size, readers = 32 * MB, 10
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
             writer.write(b"y" * 65536)
             await writer.drain()
 
     async def run() -> None:
-        stand_in = StandIn(behave)
+        stand_in = StandInBackend(behave)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             before = peak_memory_kib(proxy.process.pid)
@@ -265,20 +274,20 @@
 def test_response_truncated_by_the_backend_is_truncated_for_the_client_and_counted(
     framing: str,
 ) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         raw = long_response(framing)
         writer.write(raw[: len(raw) // 2])
         await writer.drain()
         writer.transport.abort()
 
     async def run() -> None:
-        async with rig(behave, operators="127.0.0.1:0") as r:
+        async with rig(behave, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
             client.writer.write(request_bytes("search"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await asyncio.wait_for(read_long(client), 5)
             await r.until(lambda: r.count("answers_failed") == 1)
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (
                 metrics["faulted.search"],
                 metrics["fulfilled.search"],
@@ -297,8 +306,8 @@
 def test_received_part_of_a_truncated_response_reaches_the_client(
     sent_bytes: int,
 ) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(BODY)[:sent_bytes])
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(response_bytes(BODY)[:sent_bytes])
         await writer.drain()
         writer.close()
 
@@ -317,28 +326,28 @@
             while data := await client.reader.read(20_000):
                 received += data
                 await asyncio.sleep(0.001)
-            body = answer(BODY)[:sent_bytes].partition(b"\r\n\r\n")[2]
+            body = response_bytes(BODY)[:sent_bytes].partition(b"\r\n\r\n")[2]
             assert received == body and b"Content-Length: %d" % len(BODY) in head
 
     asyncio.run(run())
 
 
 def test_client_that_leaves_during_a_response_ends_it_at_the_backend() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (30 * MB))
         while not writer.is_closing():
             writer.write(b"z" * 65536)
             await writer.drain()
 
     async def run() -> None:
-        async with rig(behave, operators="127.0.0.1:0") as r:
+        async with rig(behave, admin_addr="127.0.0.1:0") as r:
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await client.reader.readexactly(100_000)
             client.writer.transport.abort()
-            await r.until(lambda: r.backends[0].ended == 1)
+            await r.until(lambda: r.backends[0].closed_count == 1)
             await r.until(lambda: r.count("requests_left") == 1)
-            assert (await r.figures())["open_requests"] == 0 and r.count("answers_cut") == 0
+            assert (await r.telemetry())["open_requests"] == 0 and r.count("answers_cut") == 0
             assert len(r.proxy._pool.buffer_grants._holders) == 0
 
     asyncio.run(run())
@@ -347,7 +356,7 @@
 def test_client_that_stops_reading_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(response_relay, "STALL_S", 0.4)
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (30 * MB))
         while not writer.is_closing():
             writer.write(b"z" * 65536)
@@ -358,16 +367,16 @@
             client = await r.client()
             client.writer.write(request_bytes("search"))
             await r.until(lambda: r.count("connections_overdue") == 1, 5.0)
-            await r.until(lambda: r.backends[0].ended == 1)
+            await r.until(lambda: r.backends[0].closed_count == 1)
 
     asyncio.run(run())
 
 
-class UploadBackend(StandIn):
+class UploadBackend(StandInBackend):
     """A backend that reads long requests by their framing and records a digest of each."""
 
     def __init__(self) -> None:
-        super().__init__(serves)
+        super().__init__(respond_ok)
         self.digests: list[tuple[int, str]] = []
         self.is_stalled = False
         self.framings: list[bytes] = []
@@ -394,21 +403,21 @@
                     digest.update(data)
                     size = len(data)
                 self.digests.append((size, digest.hexdigest()))
-                writer.write(answer(b"swallowed"))
+                writer.write(response_bytes(b"swallowed"))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended += 1
+            self.closed_count += 1
             self.writers.discard(writer)
             writer.close()
 
 
 @asynccontextmanager
 async def rig_with_upload_backend(**changes: Any) -> AsyncIterator[tuple[Rig, UploadBackend]]:
-    async with rig(listed=False, operators="127.0.0.1:0", **changes) as r:
+    async with rig(listed=False, admin_addr="127.0.0.1:0", **changes) as r:
         backend = UploadBackend()
         await backend.start()
-        r.directory.tell(backend.row())
+        r.discovery.publish(backend.row())
         await r.until(lambda: r.proxy._decider.listed_count() == 1)
         try:
             yield r, backend
@@ -427,12 +436,12 @@
                 head = request_bytes(
                     "order",
                     remaining="400m",
-                    drop=("Content-Length",),
+                    omit=("Content-Length",),
                     Content_length=str(len(BODY)),
                 )
             else:
                 head = request_bytes(
-                    "order", remaining="400m", drop=("Content-Length",), Transfer_Encoding="chunked"
+                    "order", remaining="400m", omit=("Content-Length",), Transfer_Encoding="chunked"
                 )
             client.writer.write(head)
             # The upload takes longer than the remaining time, which counts from the end of the body.
@@ -448,13 +457,13 @@
             reply = await client.read()
             assert (reply.status, reply.body) == (200, b"swallowed")
             assert backend.digests == [(len(BODY), hashlib.sha256(BODY).hexdigest())]
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (metrics["relayed"], metrics["fulfilled.order"], metrics["open_requests"]) == (
                 1,
                 1,
                 0,
             )
-            assert (await client.ask("order", body=b"short")).status == 200
+            assert (await client.request("order", body=b"short")).status == 200
 
     asyncio.run(run())
 
@@ -470,7 +479,7 @@
             client = await r.client()
             size = 32 * MB
             client.writer.write(
-                request_bytes("order", drop=("Content-Length",), Content_length=str(size))
+                request_bytes("order", omit=("Content-Length",), Content_length=str(size))
             )
 
             async def send_body() -> None:
@@ -482,7 +491,7 @@
             reply = await client.read()
             assert reply.status == 503  # safe to retry: the request was not executed
             await asyncio.wait_for(sending, 5)  # the rest of the body was read and discarded
-            metrics = await r.figures()
+            metrics = await r.telemetry()
             assert (metrics["relayed"], metrics["throttled.order"], metrics["open_requests"]) == (
                 0,
                 1,
@@ -498,12 +507,12 @@
         async with rig_with_upload_backend() as (r, backend):
             client = await r.client()
             client.writer.write(
-                request_bytes("pay", drop=("Content-Length",), Content_length=str(MB))
+                request_bytes("pay", omit=("Content-Length",), Content_length=str(MB))
                 + b"u" * 300_000
             )
             await r.until(lambda: len(backend.framings) == 1)
             client.writer.transport.abort()
-            await r.until(lambda: backend.ended == 1)
+            await r.until(lambda: backend.closed_count == 1)
             assert not backend.digests and len(backend.framings) == 1
             assert not r.proxy._decider._pending
 
@@ -512,14 +521,14 @@
 
 def test_body_of_64_kib_in_chunks_of_one_byte_is_accepted() -> None:
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
             client.writer.write(
-                request_bytes("pay", drop=("Content-Length",), Transfer_Encoding="chunked")
+                request_bytes("pay", omit=("Content-Length",), Transfer_Encoding="chunked")
             )
             client.writer.write(b"1\r\nx\r\n" * 65536 + b"0\r\n\r\n")
             assert (await client.read()).status == 200
-            assert r.backends[0].seen[0].body == b"x" * 65536
+            assert r.backends[0].requests[0].body == b"x" * 65536
 
     asyncio.run(run())
 
@@ -530,7 +539,7 @@
             balancer = r.proxy._decider._balancer
             client = await r.client()
             client.writer.write(
-                request_bytes("pay", drop=("Content-Length",), Content_length=str(MB))
+                request_bytes("pay", omit=("Content-Length",), Content_length=str(MB))
                 + b"u" * 300_000
             )
             await r.until(lambda: len(backend.framings) == 1)
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -19,7 +19,15 @@
 from mothstall import config, settings
 from mothstall.net import logs
 from mothstall.net.proxy import Proxy
-from tests.peers import Client, Directory, StandIn, answer, request_bytes, serves, tree_of
+from tests.peers import (
+    Client,
+    StandInBackend,
+    StandInDiscovery,
+    make_config_tree,
+    request_bytes,
+    respond_ok,
+    response_bytes,
+)
 from tests.peers import settings as nested
 from tests.ports import free_port
 
@@ -51,12 +59,12 @@
 
 @contextlib.asynccontextmanager
 async def start_proxy(
-    tmp_path: Path, stand_in: StandIn, port: int = 0, **env: str
+    tmp_path: Path, stand_in: StandInBackend, port: int = 0, **env: str
 ) -> AsyncIterator[ProxyProcess]:
-    directory = Directory([stand_in.row()])
-    await directory.start()
+    discovery = StandInDiscovery([stand_in.row()])
+    await discovery.start()
     port = port or free_port()
-    tree = tree_of(directory, [stand_in.row()])
+    tree = make_config_tree(discovery, [stand_in.row()])
     tree["listen"] = f"127.0.0.1:{port}"
     path = tmp_path / "config.json"
     path.write_text(json.dumps(tree))
@@ -82,28 +90,28 @@
         if process.returncode is None:
             process.kill()
         await process.wait()
-        await directory.stop()
+        await discovery.stop()
 
 
-async def respond_after_800_ms(seen: Any, writer: asyncio.StreamWriter) -> None:
+async def respond_after_800_ms(request: Any, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(0.8)
-    writer.write(answer(b"late but whole"))
+    writer.write(response_bytes(b"late but whole"))
 
 
 def test_sigterm_answers_open_requests_closes_idle_connections_and_exits_0(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(respond_after_800_ms)
+        stand_in = StandInBackend(respond_after_800_ms)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             idle, busy = await proxy.client(), await proxy.client()
             busy.writer.write(request_bytes("order", remaining="990m"))
-            while not stand_in.seen:
+            while not stand_in.requests:
                 await asyncio.sleep(0.01)
-            stand_in.behave = serves
+            stand_in.behave = respond_ok
             proxy.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
             late = await proxy.client()  # new connections are still accepted for a while
-            reply = await late.ask("search")
+            reply = await late.request("search")
             assert reply.status == 200 and reply.headers["connection"] == "close"
             assert await late.closed()
             assert await idle.closed(1.0)  # before the open request is answered
@@ -116,7 +124,7 @@
             assert "event=end" in end and "requests=2" in end and "answers_ok=2" in end
         # A new process can listen on the same address at once.
         async with start_proxy(tmp_path, stand_in, proxy.port) as again:
-            assert (await (await again.client()).ask("search")).status == 200
+            assert (await (await again.client()).request("search")).status == 200
         await stand_in.stop()
 
     asyncio.run(run())
@@ -124,15 +132,15 @@
 
 def test_a_killed_proxy_restarts_on_its_address(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
             client = await proxy.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             proxy.process.kill()
             await proxy.process.wait()
             async with start_proxy(tmp_path, stand_in, proxy.port) as again:
-                assert (await (await again.client()).ask()).status == 200
+                assert (await (await again.client()).request()).status == 200
         await stand_in.stop()
 
     asyncio.run(run())
@@ -140,12 +148,12 @@
 
 def test_a_start_retries_while_its_address_is_in_use() -> None:
     async def run() -> None:
-        directory = Directory([])
-        await directory.start()
+        discovery = StandInDiscovery([])
+        await discovery.start()
         with socket.socket() as earlier:
             earlier.bind(("127.0.0.1", 0))
             earlier.listen()
-            tree = tree_of(directory, [])
+            tree = make_config_tree(discovery, [])
             tree["listen"] = f"127.0.0.1:{earlier.getsockname()[1]}"
             proxy = Proxy(config.from_tree(tree))
             start = asyncio.create_task(proxy.start())
@@ -154,17 +162,17 @@
         await start
         assert proxy.port == config.parse_address(tree["listen"]).port
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
 
     asyncio.run(run())
 
 
 def test_sigusr1_prints_the_counters(tmp_path: Path) -> None:
     async def run() -> None:
-        stand_in = StandIn(serves)
+        stand_in = StandInBackend(respond_ok)
         await stand_in.start()
         async with start_proxy(tmp_path, stand_in) as proxy:
-            assert (await (await proxy.client()).ask()).status == 200
+            assert (await (await proxy.client()).request()).status == 200
             proxy.process.send_signal(signal.SIGUSR1)
             assert proxy.process.stderr
             async with asyncio.timeout(3):
@@ -328,9 +336,9 @@
     from tests.peers import rig
 
     async def run() -> None:
-        async with rig(serves) as r:
+        async with rig(respond_ok) as r:
             client = await r.client()
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             (connection,) = r.proxy._frontend._accepted
             assert isinstance(connection, Connection)
             transport: Callable[[], object] = weakref.ref(connection.transport)
@@ -434,15 +442,15 @@
     from tests.peers import rig
 
     async def run() -> None:
-        async with rig(serves) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
+        async with rig(respond_ok) as r:
+            await r.until(lambda: len(r.discovery.calls) >= 2)
             stay = r.backends[0].row()
             for i in range(50):
                 row = {**stay, "id": f"s-new-{i}"}
                 updates_before = r.count("list_updates")
-                r.directory.tell(row, {"id": f"s-new-{i - 1}", "phase": "DELETED"})
+                r.discovery.publish(row, {"id": f"s-new-{i - 1}", "phase": "DELETED"})
                 await r.until(lambda w=updates_before: r.count("list_updates") > w)  # type: ignore[misc]
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             decider = r.proxy._decider
             assert (
                 len(decider._backends)
@@ -461,22 +469,22 @@
     async def run() -> None:
         gate = asyncio.Event()
 
-        async def waits(seen: Any, writer: asyncio.StreamWriter) -> None:
-            if len(r.backends[0].seen) == 1:
+        async def waits(request: Any, writer: asyncio.StreamWriter) -> None:
+            if len(r.backends[0].requests) == 1:
                 await gate.wait()
-            writer.write(answer())
+            writer.write(response_bytes())
 
         async with rig(waits) as r:
-            await r.until(lambda: len(r.directory.calls) >= 2)
-            out = asyncio.create_task(r.ask("order"))
-            await r.until(lambda: len(r.backends[0].seen) == 1)
+            await r.until(lambda: len(r.discovery.calls) >= 2)
+            out = asyncio.create_task(r.request("order"))
+            await r.until(lambda: len(r.backends[0].requests) == 1)
             updates_before = r.count("list_updates")
             new = {**r.backends[0].row(), "id": "s-successor"}
-            r.directory.tell({"id": "s-0", "phase": "DELETED"}, new)
+            r.discovery.publish({"id": "s-0", "phase": "DELETED"}, new)
             await r.until(lambda: r.count("list_updates") > updates_before)
             gate.set()
             assert (await out).status == 200
-            assert (await r.ask("order")).status == 200
-            assert [s.connection for s in r.backends[0].seen] == [1, 2]
+            assert (await r.request("order")).status == 200
+            assert [s.connection for s in r.backends[0].requests] == [1, 2]
 
     asyncio.run(run())
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small stand-in peers on 127.0.0.1, port 0: backends and discovery by script, and a client."""
+"""Scripted backends, scripted discovery and a test client, all on 127.0.0.1 and port 0."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 @dataclass
-class Seen:
-    """A request as a stand-in read it."""
+class ReceivedRequest:
+    """A request as a stand-in backend received it."""
 
     line: bytes
     headers: list[tuple[bytes, bytes]]
@@ -39,7 +39,7 @@
         return next((v for n, v in self.headers if n.lower() == name.lower()), None)
 
 
-Behaviour = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Behaviour = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def read_message(
@@ -54,18 +54,18 @@
     return head[0], headers, await reader.readexactly(size) if size else b""
 
 
-def answer(body: bytes = b"ok", status: int = 200, **headers: str) -> bytes:
+def response_bytes(body: bytes = b"ok", status: int = 200, **headers: str) -> bytes:
     rows = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     rows += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(rows).encode() + b"\r\n\r\n" + body
 
 
-async def serves(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(b"served " + (seen.header(b"X-Txn") or b"")))
+async def respond_ok(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(response_bytes(b"served " + (request.header(b"X-Txn") or b"")))
 
 
-def says(raw: bytes, then_close: bool = False) -> Behaviour:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def respond_with(raw: bytes, then_close: bool = False) -> Behaviour:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(raw)
         if then_close:
             await writer.drain()
@@ -74,31 +74,31 @@
     return behave
 
 
-def serves_after(go: asyncio.Event) -> Behaviour:
-    """Serves once it is let to."""
+def respond_ok_after(go: asyncio.Event) -> Behaviour:
+    """Responds to each request only after `go` is set."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await go.wait()
-        await serves(seen, writer)
+        await respond_ok(request, writer)
 
     return behave
 
 
-async def silent(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_respond(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
-async def drops(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-class StandIn:
-    """One backend; `behave` may be changed while it runs."""
+class StandInBackend:
+    """A stand-in backend; a test may replace `behave` while the backend runs."""
 
-    def __init__(self, behave: Behaviour = serves, ident: str = "s-0") -> None:
+    def __init__(self, behave: Behaviour = respond_ok, ident: str = "s-0") -> None:
         self.behave, self.ident = behave, ident
-        self.seen: list[Seen] = []
-        self.opened = self.ended = 0
+        self.requests: list[ReceivedRequest] = []
+        self.opened_count = self.closed_count = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -108,18 +108,18 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
-        number = self.opened
+        self.opened_count += 1
+        number = self.opened_count
         self.writers.add(writer)
         try:
             while True:
-                seen = Seen(*await read_message(reader), number)
-                self.seen.append(seen)
-                await self.behave(seen, writer)
+                request = ReceivedRequest(*await read_message(reader), number)
+                self.requests.append(request)
+                await self.behave(request, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended += 1
+            self.closed_count += 1
             self.writers.discard(writer)
             writer.close()
 
@@ -142,54 +142,54 @@
         }
 
 
-class Directory:
-    """Discovery: a list with a revision, told on request and to watches."""
+class StandInDiscovery:
+    """A stand-in for discovery: serves a list with a revision, to list calls and to watches."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.revision, self.members = 1, members
         self.changes: dict[int, list[dict[str, Any]]] = {}
         self.calls: list[str] = []
-        self.raw: bytes | None = None  # said instead of any list
+        self.raw_response: bytes | None = None  # sent as the response instead of a list
         self.indent: int | None = None
-        self.whole = False  # whole lists also on a watch
-        self.piece = 0  # bytes written at once; 0: all
+        self.always_complete = False  # watches also receive complete lists
+        self.write_size = 0  # bytes per write; 0: the response in one write
         self.hangs = False
-        self.held: asyncio.Event | None = None  # answers wait for it
-        self.news = asyncio.Event()
+        self.respond_when: asyncio.Event | None = None  # responses wait until it is set
+        self.published = asyncio.Event()
         self.port = 0
-        self.place: socket.socket | None = None
+        self.bound_socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        if self.place is None:
-            self.place = self._bound()
-        place, self.place = self.place, None
-        self.server = await asyncio.start_server(self._serve, sock=place)
+        if self.bound_socket is None:
+            self.bound_socket = self._bind_socket()
+        bound_socket, self.bound_socket = self.bound_socket, None
+        self.server = await asyncio.start_server(self._serve, sock=bound_socket)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Connections are refused from now on. Its port stays bound: nobody else takes it meanwhile."""
+        """Refuses further connections. The port stays bound, so no other socket can take it."""
         if self.server:
             self.server.close()
-            self.server, self.place = None, self._bound()
+            self.server, self.bound_socket = None, self._bind_socket()
 
-    def _bound(self) -> socket.socket:
-        place = socket.socket()
-        place.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        place.bind(("127.0.0.1", self.port))
-        return place
+    def _bind_socket(self) -> socket.socket:
+        bound_socket = socket.socket()
+        bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound_socket.bind(("127.0.0.1", self.port))
+        return bound_socket
 
-    def cut(self) -> None:
-        """Closes the connections that are open."""
+    def abort_connections(self) -> None:
+        """Aborts all open connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def tell(self, *rows: dict[str, Any]) -> None:
+    def publish(self, *rows: dict[str, Any]) -> None:
         self.revision += 1
         self.changes[self.revision] = list(rows)
-        news, self.news = self.news, asyncio.Event()
-        news.set()
+        published, self.published = self.published, asyncio.Event()
+        published.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -199,8 +199,8 @@
                 target = line.split()[1].decode()
                 self.calls.append(target)
                 raw = await self._reply(target)
-                for at in range(0, len(raw), self.piece or len(raw) or 1):
-                    writer.write(raw[at : at + (self.piece or len(raw))])
+                for at in range(0, len(raw), self.write_size or len(raw) or 1):
+                    writer.write(raw[at : at + (self.write_size or len(raw))])
                     await asyncio.sleep(0)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -211,20 +211,20 @@
     async def _reply(self, target: str) -> bytes:
         if self.hangs:
             await asyncio.sleep(30)
-        if self.held is not None:
-            await self.held.wait()
-        if self.raw is not None:
-            return self.raw
+        if self.respond_when is not None:
+            await self.respond_when.wait()
+        if self.raw_response is not None:
+            return self.raw_response
         query = dict(pair.split("=") for pair in target.partition("?")[2].split("&") if pair)
         if "since" not in query:
             return self._list(True, self.members)
         since = int(query["since"])
         if since >= self.revision:
             try:
-                await asyncio.wait_for(self.news.wait(), int(query["timeout_ms"]) / 1000)
+                await asyncio.wait_for(self.published.wait(), int(query["timeout_ms"]) / 1000)
             except TimeoutError:
                 return self._list(False, [])
-        if self.whole:
+        if self.always_complete:
             return self._list(True, self.members)
         rows = [
             row
@@ -236,7 +236,7 @@
 
     def _list(self, full: bool, rows: list[dict[str, Any]]) -> bytes:
         tree = {"revision": self.revision, "complete": full, "members": rows}
-        return answer(json.dumps(tree, indent=self.indent).encode())
+        return response_bytes(json.dumps(tree, indent=self.indent).encode())
 
 
 def settings(**changes: Any) -> dict[str, Any]:
@@ -291,20 +291,22 @@
     return tree
 
 
-def tree_of(directory: Directory, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
-    operators = changes.pop("operators", None)  # the operators' address
+def make_config_tree(
+    stand_in: StandInDiscovery, members: list[dict[str, Any]], **changes: Any
+) -> dict[str, Any]:
+    admin_addr = changes.pop("admin_addr", None)
     label = changes.pop("cost_label", None)
     usual = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "body_mb": 40}
     limits = {name: changes.pop(name, value) for name, value in usual.items()}
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "admin_addr": operators,
+        "admin_addr": admin_addr,
         "cost_label": label,
-        "discovery": f"127.0.0.1:{directory.port}",
+        "discovery": f"127.0.0.1:{stand_in.port}",
         "seed": "5",
         "limits": limits,
-        "known": {"revision": directory.revision, "complete": True, "members": members},
+        "known": {"revision": stand_in.revision, "complete": True, "members": members},
         "settings": settings(**changes),
     }
 
@@ -312,8 +314,8 @@
 @dataclass
 class Rig:
     proxy: Proxy
-    backends: list[StandIn]
-    directory: Directory
+    backends: list[StandInBackend]
+    discovery: StandInDiscovery
     _ids: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def count(self, name: str) -> int:
@@ -322,19 +324,19 @@
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.proxy.port))
 
-    async def ask(self, lane: str = "search", **more: Any) -> Reply:
+    async def request(self, lane: str = "search", **more: Any) -> Reply:
         client = await self.client()
         try:
-            return await client.ask(lane, **more)
+            return await client.request(lane, **more)
         finally:
             client.close()
 
-    async def call(self, path: str, method: str | None = None) -> Reply:
-        """A call of the operators."""
-        return await call(self.proxy.admin_port, path, method)
+    async def admin_call(self, path: str, method: str | None = None) -> Reply:
+        """Calls the admin interface of the proxy."""
+        return await admin_call(self.proxy.admin_port, path, method)
 
-    async def figures(self) -> dict[str, int]:
-        return read_figures((await self.call("/api/telemetry")).body)
+    async def telemetry(self) -> dict[str, int]:
+        return parse_telemetry((await self.admin_call("/api/telemetry")).body)
 
     async def until(self, condition: Callable[[], bool], seconds: float = 3.0) -> None:
         async with asyncio.timeout(seconds):
@@ -359,7 +361,7 @@
     method: str | None = None,
     remaining: str | None = "800m",
     body: bytes = b"",
-    drop: tuple[str, ...] = (),
+    omit: tuple[str, ...] = (),
     **extra: str,
 ) -> bytes:
     method = method or ("GET" if lane == "search" else "POST")
@@ -376,12 +378,12 @@
         headers["Content-Length"] = str(len(body))
     headers.update({name.replace("_", "-"): value for name, value in extra.items()})
     rows = [f"{method} {target or '/' + lane} HTTP/1.1"]
-    rows += [f"{name}: {value}" for name, value in headers.items() if name not in drop]
+    rows += [f"{name}: {value}" for name, value in headers.items() if name not in omit]
     return "\r\n".join(rows).encode() + b"\r\n\r\n" + body
 
 
-async def call(port: int, path: str, method: str | None = None) -> Reply:
-    """A call at the operators' door of a proxy on this machine."""
+async def admin_call(port: int, path: str, method: str | None = None) -> Reply:
+    """Sends one request to the admin interface of a proxy on this machine."""
     method = method or ("POST" if path in ("/api/evacuate", "/api/rejoin") else "GET")
     client = Client(*await asyncio.open_connection("127.0.0.1", port))
     try:
@@ -393,7 +395,7 @@
         client.close()
 
 
-def read_figures(text: bytes) -> dict[str, int]:
+def parse_telemetry(text: bytes) -> dict[str, int]:
     rows = (row.partition(":") for row in text.decode().splitlines())
     return {name.removeprefix("app."): int(value.partition("|")[0]) for name, _, value in rows}
 
@@ -402,7 +404,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ask(self, lane: str = "search", **more: Any) -> Reply:
+    async def request(self, lane: str = "search", **more: Any) -> Reply:
         self.writer.write(request_bytes(lane, **more))
         return await self.read()
 
@@ -426,34 +428,40 @@
 
 @asynccontextmanager
 async def rig(
-    *behaviours: Behaviour, listed: bool = True, held: asyncio.Event | None = None, **changes: Any
+    *behaviours: Behaviour,
+    listed: bool = True,
+    respond_when: asyncio.Event | None = None,
+    **changes: Any,
 ) -> AsyncIterator[Rig]:
-    """A proxy in this process, with one backend for each behaviour; discovery answers once `held` is set."""
-    backends = [StandIn(behave, f"s-{i}") for i, behave in enumerate(behaviours)]
+    """Runs a proxy in this process, with one stand-in backend for each behaviour.
+
+    Discovery responds to nothing until `respond_when` is set, if it is given.
+    """
+    backends = [StandInBackend(behave, f"s-{i}") for i, behave in enumerate(behaviours)]
     for backend in backends:
         await backend.start()
     rows = [backend.row() for backend in backends] if listed else []
-    directory = Directory(rows)
-    directory.held = held
-    await directory.start()
-    proxy = Proxy(config.from_tree(tree_of(directory, rows, **changes)))
+    discovery = StandInDiscovery(rows)
+    discovery.respond_when = respond_when
+    await discovery.start()
+    proxy = Proxy(config.from_tree(make_config_tree(discovery, rows, **changes)))
     await proxy.start()
     try:
-        yield Rig(proxy, backends, directory)
+        yield Rig(proxy, backends, discovery)
     finally:
         await proxy.stop(0.0)
-        await directory.stop()
+        await discovery.stop()
         for backend in backends:
             await backend.stop()
 
 
-class Single:
-    """One backend actor of the proxy by itself; its reports in order."""
+class BackendRig:
+    """A single backend actor of the proxy without the proxy; collects its reports in order."""
 
     def __init__(
         self,
         address: config.Address,
-        most: int = 20,
+        max_connections: int = 20,
         idle_s: float = 30.0,
         pool: ConnectionPool | None = None,
         connect_ms: int = 150,
@@ -461,8 +469,8 @@
         self.loop = asyncio.get_running_loop()
         self.clock, self.counters = Clock(), Counters()
         self.reports: list[Any] = []
-        self.pool = pool or ConnectionPool(idle_s, most, self.counters, self.loop)
-        self.ids = 0
+        self.pool = pool or ConnectionPool(idle_s, max_connections, self.counters, self.loop)
+        self.last_request_id = 0
         self.actor = Backend(
             7,
             "s-0",
@@ -479,62 +487,66 @@
         )
 
     def send(self, method: str = "GET", within_ms: int = 400, body: bytes = b"") -> int:
-        self.ids += 1
-        tree = [(b"X-Txn", b"%d" % self.ids), (b"X-Lane", b"a"), (b"X-Remaining", b"500m")]
+        self.last_request_id += 1
+        tree = [
+            (b"X-Txn", b"%d" % self.last_request_id),
+            (b"X-Lane", b"a"),
+            (b"X-Remaining", b"500m"),
+        ]
         inbound = protocol.parse_request(method, "/a", tree, body, config.Names(("a",), (), (), ()))
         self.actor.tell(
             backend_messages.SendAttempt(
-                self.ids, 0, inbound, self.clock.now() + within_ms * 1_000_000
+                self.last_request_id, 0, inbound, self.clock.now() + within_ms * 1_000_000
             )
         )
-        return self.ids
+        return self.last_request_id
 
-    async def ended(self, count: int = 1) -> list[AttemptResult]:
+    async def wait_for_results(self, count: int = 1) -> list[AttemptResult]:
         async with asyncio.timeout(3):
             while len(self.reports) < count:
                 await asyncio.sleep(0.002)
         return [r.result for r in self.reports]
 
 
-async def alone(behave: Behaviour, **more: Any) -> tuple[StandIn, Single]:
-    stand_in = StandIn(behave)
+async def start_backend_rig(behave: Behaviour, **more: Any) -> tuple[StandInBackend, BackendRig]:
+    stand_in = StandInBackend(behave)
     await stand_in.start()
-    return stand_in, Single(config.Address("127.0.0.1", stand_in.port), **more)
+    return stand_in, BackendRig(config.Address("127.0.0.1", stand_in.port), **more)
 
 
-class Gate:
-    """Holds back connections to backends: a dial waits until it is let through, or fails as it is told."""
+class ConnectGate:
+    """Delays connects to chosen backends until `open` is set; they then run or raise `error`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, monkeypatch: Any) -> None:
         self.open, self.waiting, self.ports = asyncio.Event(), 0, set[int]()
-        self.fails: OSError | None = None
-        real = loop.sock_connect
+        self.error: OSError | None = None
+        unpatched_connect = loop.sock_connect
 
-        async def held(sock: socket.socket, address: Any) -> None:
+        async def gated_connect(sock: socket.socket, address: Any) -> None:
             if address[1] in self.ports:
                 self.waiting += 1
                 try:
                     await self.open.wait()
                 finally:
                     self.waiting -= 1
-                if self.fails is not None:
-                    raise self.fails
-            await real(sock, address)
+                if self.error is not None:
+                    raise self.error
+            await unpatched_connect(sock, address)
 
-        monkeypatch.setattr(loop, "sock_connect", held)
+        monkeypatch.setattr(loop, "sock_connect", gated_connect)
 
-    def hold(self, *backends: StandIn) -> None:
+    def hold(self, *backends: StandInBackend) -> None:
         self.ports |= {backend.port for backend in backends}
 
 
 def raw_client(port: int) -> socket.socket:
-    """A client on a plain socket, whose every system call is the test's own."""
+    """A non-blocking client socket, on which the test itself makes every system call."""
     sock = socket.create_connection(("127.0.0.1", port), timeout=5)
     sock.setblocking(False)
     return sock
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes with a reset."""
+    """Closes the connection with a TCP reset (linger time 0)."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/tests/test_net_move.py
+++ b/tests/test_net_move.py
@@ -6,15 +6,23 @@
 from typing import Any
 
 from mothstall import config
-from tests.peers import MS, Directory, Seen, answer, rig, serves, tree_of
-
-
-async def report_load_to_probes(seen: Seen, writer: asyncio.StreamWriter) -> None:
+from tests.peers import (
+    MS,
+    ReceivedRequest,
+    StandInDiscovery,
+    make_config_tree,
+    respond_ok,
+    response_bytes,
+    rig,
+)
+
+
+async def report_load_to_probes(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """A backend that reports its load only in responses to probes."""
-    if b"/status/load" in seen.line:
-        writer.write(answer(b"qps=5,queue=0\n"))
+    if b"/status/load" in request.line:
+        writer.write(response_bytes(b"qps=5,queue=0\n"))
     else:
-        await serves(seen, writer)
+        await respond_ok(request, writer)
 
 
 PROBING: dict[str, Any] = {
@@ -27,10 +35,10 @@
     async def run() -> None:
         async with rig(*[report_load_to_probes] * 9, **PROBING) as r:
             for _ in range(40):
-                assert (await r.ask()).status == 200
+                assert (await r.request()).status == 200
             await r.until(lambda: r.count("probes") >= 1)
             assert r.count("probes") <= 0.3 * 40 + 2
-            asked = [seen.line for backend in r.backends for seen in backend.seen]
+            asked = [request.line for backend in r.backends for request in backend.requests]
             assert asked.count(b"GET /status/load HTTP/1.1") >= 1
             known = r.proxy._decider._balancer.endpoints.by_id
             await r.until(lambda: any(b.queue_report.reported_at_ns >= 0 for b in known.values()))
@@ -53,9 +61,9 @@
 
     async def run() -> None:
         for label, work in (("work", 7.0 * MS), (None, 0.0)):
-            async with rig(serves, cost_label=label) as r:
+            async with rig(respond_ok, cost_label=label) as r:
                 for labels in (f"key=3, work={7 * MS}", *malformed):
-                    assert (await r.ask(X_Labels=labels)).status == 200
+                    assert (await r.request(X_Labels=labels)).status == 200
                 assert r.proxy._decider._balancer.latency._mean_costs[0] == work
 
     asyncio.run(run())
@@ -63,7 +71,7 @@
 
 def test_a_changed_cost_label_is_the_only_key_reported_to_need_a_restart() -> None:
     def read(**changes: Any) -> config.Config:
-        return config.from_tree(tree_of(Directory([]), [], **changes))
+        return config.from_tree(make_config_tree(StandInDiscovery([]), [], **changes))
 
     assert config.keys_that_need_restart(read(), read(cost_label="work")) == ["cost_label"]
     assert config.keys_that_need_restart(read(), read(replicas_of_me=9)) == ["settings"]
