--- a/tests/net/discovery/test_watch_recovery.py
+++ b/tests/net/discovery/test_watch_recovery.py
@@ -74,7 +74,7 @@
                 # and without the balancer's own check.
                 monkeypatch.setattr(r.proxy._discovery._timing, "pause_s", 60.0)
                 polling = r.proxy._decider._balancer.polling
-                monkeypatch.setattr(polling, "_check", lambda: None)
+                monkeypatch.setattr(polling, "_watch_if_due", lambda: None)
             r.discovery.abort_connections()
             r.discovery.publish(r.backends[0].row("DRAINING"))
             await r.until(lambda: has_drained(r))
