--- a/mothstall/net/body_relay.py
+++ b/mothstall/net/body_relay.py
@@ -47,7 +47,7 @@
 
 
 class BufferGrants:
-    """Permits for streams, granted in the order of the requests.
+    """Permits that limit the concurrent streams, granted in the order of calls of `request`.
 
     Attributes:
         max_streams: Maximum number of streams that hold a permit at once.
--- a/mothstall/net/client_side/connection.py
+++ b/mothstall/net/client_side/connection.py
@@ -228,8 +228,8 @@
     def enter(self, state: ConnectionState) -> None:
         """Change the state.
 
-        Guards against a request that stays open in the decider after its connection has moved on:
-        the open request is withdrawn if the new state is one without an open request.
+        Guards against a request that stays open in the decider although its connection no longer
+        handles it: the request is withdrawn if the new state is one without an open request.
         """
         if self.exchange is not None and state not in HAS_OPEN_EXCHANGE:
             self.end_exchange(ExchangeEnd.WITHDRAWN)
--- a/mothstall/net/discovery/discovery.py
+++ b/mothstall/net/discovery/discovery.py
@@ -38,9 +38,9 @@
 ADDRESS_CHANGE_WINDOW_S = 3.0  # after a change of address: ADDRESS_CHANGE_RETRY_S applies
 # Where the list is pushed, the grace of a drain starts when the agent receives the drain: the two
 # fractions below derive time limits from that grace.
-FIRST_CALL_GRACE_FRACTION = 0.5  # of the grace: time of a first call before the next one begins
+FIRST_CALL_GRACE_FRACTION = 0.5  # of the grace: a watch's first call counts as failed after this
 PAUSE_GRACE_FRACTION = 0.25  # of the grace: pause between calls from the second failure in a row on
-MIN_FIRST_CALL_S = 0.2  # lower limit of the time of a first call
+MIN_FIRST_CALL_S = 0.2  # lower limit of the time after which a first call counts as failed
 MIN_PAUSE_S = 0.05  # guards against a busy loop where the grace is zero
 MAX_PAUSE_S = 1.0  # upper limit of the pause
 SPREAD_PER_PROXY_S = 0.01  # spreads the calls of all proxies after an outage of discovery
@@ -172,7 +172,7 @@
     """Time limits of calls and pauses between them, in seconds."""
 
     wait_s: float  # time that a watch call waits for an event
-    first_s: float  # time of a first call before the next one begins
+    first_s: float  # a watch's first call counts as failed after this time
     pause_s: float  # between calls from the second failure in a row on, where the list is pushed
     spread_s: float  # delay of this proxy's next call after a watch that timed out silently
 
--- a/mothstall/policy/rotation.py
+++ b/mothstall/policy/rotation.py
@@ -151,8 +151,8 @@
     def _least_unhealthy(self, request: Request, search: _Search) -> Backend | None:
         """Return the least unhealthy member for a first attempt, if all members are unhealthy.
 
-        Guards against the last unhealthy or warming backend receiving all requests that others
-        rejected: unhealthy ones get no retries, and warming ones no attempts beyond their tokens.
+        Guards against one backend receiving all requests that the others rejected: an unhealthy
+        backend gets no retries, and a warming one gets no attempts beyond its tokens.
         """
         candidates = [backend for backend in search.unhealthy if self._is_warm_enough(backend)]
         if search.found_full or request.attempts or not candidates:
--- a/tests/compatibility/test_field_positions.py
+++ b/tests/compatibility/test_field_positions.py
@@ -1,8 +1,8 @@
-"""Fields keep their positions: structs built by field names give the bytes of earlier versions.
+"""Fields keep their positions: structs built by field names encode to the bytes of the fixtures.
 
-Structs are encoded as arrays. If two fields of one type were swapped, a decoded struct would still
-be encoded to the same bytes, with the values under the wrong names. Here each name has its own
-value.
+Structs are encoded as arrays without field names. If two fields of one type were swapped, decoding
+and encoding a fixture would still give the same bytes, but with each value under the wrong name.
+Here structs are built by field names, with different values, so that a swap changes the bytes.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -191,7 +191,7 @@
     # Guards against hedges of late requests, whose additional load made all responses late.
     driver = warm_driver()
     _, slow = driver.send()
-    driver.balancer.endpoints.by_id[slow].last_progress_ns = driver.now + 1  # it has responded
+    driver.balancer.endpoints.by_id[slow].last_progress_ns = driver.now + 1  # responds, but slowly
     assert not sends(driver.wait(NS))
     driver = warm_driver()
     rid, unresponsive_backend = driver.send()
