--- a/mothstall/lab/fleetbench.py
+++ b/mothstall/lab/fleetbench.py
@@ -278,7 +278,11 @@
                 say(f"{rate} requests a second, agent {which}")
                 more = ("--operator", str(keepers.path)) if which == "on" else ()
                 rows[which].append(
-                    (await bench.measure(seconds, (rate,), _quiet, more=more, flat_out=False))[0]
+                    (
+                        await bench.measure(
+                            seconds, (rate,), _quiet, extra_args=more, with_max_rate=False
+                        )
+                    )[0]
                 )
             # No figure of an agent that took no part.
             if MEMBER_LEASE_PREFIX + "bench" not in (await looker.read_state(5.0)).leases:
--- a/mothstall/lab/fleetplay.py
+++ b/mothstall/lab/fleetplay.py
@@ -101,7 +101,7 @@
         }
         self.proxies = {
             f"p{i + 1}": ServeProcess(
-                f"p{i + 1}", folder, more=("--operator", str(folder / f"p{i + 1}.toml"))
+                f"p{i + 1}", folder, extra_args=("--operator", str(folder / f"p{i + 1}.toml"))
             )
             for i in range(s.proxies)
         }
@@ -705,7 +705,7 @@
                 else RemoveDrain(DrainKind.BACKEND, name, "lab")
             )
             if fault.to:
-                door = f"127.0.0.1:{self.proxies[fault.to].door}"
+                door = f"127.0.0.1:{self.proxies[fault.to].agent_port}"
                 refused = (
                     await send_local_drain_request(
                         self.operator,
--- a/mothstall/lab/scale/beside.py
+++ b/mothstall/lab/scale/beside.py
@@ -148,12 +148,12 @@
 
     async def __aenter__(self) -> Beside:
         self._playing = asyncio.get_running_loop().create_task(self.run.play())
-        begun = asyncio.ensure_future(self.run.begun.wait())
+        begun = asyncio.ensure_future(self.run.clients_started.wait())
         await asyncio.wait(
             {self._playing, begun}, timeout=BEGIN_S, return_when=asyncio.FIRST_COMPLETED
         )
         begun.cancel()
-        if not self.run.begun.is_set():
+        if not self.run.clients_started.is_set():
             await self.__aexit__()
             raise Unfinished("real proxies did not start")
         return self
@@ -174,7 +174,7 @@
 
     async def finish(self) -> Ledger:
         """Nobody asks any more; what was seen, once all that was asked has had its time."""
-        self.run.finish()
+        self.run.stop_clients()
         assert self._playing
         ledger = await self._playing
         for proxy in range(len(self.names)):
--- a/mothstall/lab/scale/control.py
+++ b/mothstall/lab/scale/control.py
@@ -649,7 +649,7 @@
     """
     context = multiprocessing.get_context("spawn")
     mine, theirs = context.Pipe()
-    stand_ins = context.Process(target=bench.serve_boxes, args=(theirs,), daemon=True)
+    stand_ins = context.Process(target=bench.serve_backends, args=(theirs,), daemon=True)
     stand_ins.start()
     loop = asyncio.get_running_loop()
     try:
--- a/mothstall/lab/scale/real.py
+++ b/mothstall/lab/scale/real.py
@@ -187,7 +187,7 @@
     """Both sides by rate, and what both hold in MB."""
     name, on_first = f"{ON}-{number}", number % 2 == 0
     seed = seed * 100 + number
-    on = path.Watched(name, keepers.folder, more=("--operator", str(operator)))
+    on = path.Watched(name, keepers.folder, extra_args=("--operator", str(operator)))
     off = path.Watched(f"{OFF}-{number}", keepers.folder)
     both = (on, off) if on_first else (off, on)
     found: dict[int, tuple[Side, Side]] = {}
--- a/mothstall/lab/soak/clients.py
+++ b/mothstall/lab/soak/clients.py
@@ -12,10 +12,10 @@
 
 CLASSES = ("search", "pay", "order")
 UPLOAD_BYTES = (70_000, 150_000, 300_000)
-WAITS_S = (0.3, 0.6, 0.9)  # values of X-Remaining
+REMAINING_TIMES_S = (0.3, 0.6, 0.9)  # values of X-Remaining
 CUT_STATUS = 0  # recorded for a response that was cut off
-GIVE_UP_S = 2.5  # more than any response that still counts takes
-BREAKS = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
+CLIENT_TIMEOUT_S = 2.5  # more than any response that still counts takes
+MALFORMED_INPUTS = (b"zz\r\n", b"5\r\nabcdeXX", b"F" * 18 + b"\r\n", b"0\r\n\x00nonsense\r\n\r\n")
 
 
 class SoakClient:
@@ -29,7 +29,7 @@
         self,
         name: str,
         rng: random.Random,
-        seen: Observations,
+        observations: Observations,
         now: Callable[[], float],
         address: tuple[str, int],
     ) -> None:
@@ -37,7 +37,7 @@
         self.is_paused = False
         self._name = name
         self._rng = rng
-        self._seen = seen
+        self._observations = observations
         self._now = now
         self._address = address
         self._count = 0
@@ -77,7 +77,7 @@
     def _new_request(self, class_name: str) -> ClientRequest:
         self._count += 1
         request_id = f"{self._name}-{self._count}"
-        return ClientRequest(request_id, class_name, 0.0, self._rng.choice(WAITS_S))
+        return ClientRequest(request_id, class_name, 0.0, self._rng.choice(REMAINING_TIMES_S))
 
     def _head(self, request: ClientRequest, length: int | None) -> bytes:
         method = "GET" if request.class_name == "search" else "POST"
@@ -107,9 +107,9 @@
             writer.write(piece)
             await writer.drain()
         request.sent_at_s = self._now()
-        self._seen.requests.append(request)
+        self._observations.requests.append(request)
         try:
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 request.statuses.append(await read_response(reader))
             request.answered_at_s = self._now()
         except CutResponseError:
@@ -138,11 +138,13 @@
             if self._rng.random() < 0.5:
                 await self._request(reader, writer, *self._next_request())
             else:
-                await self._break(reader, writer)
+                await self._send_malformed_upload(reader, writer)
                 return
             await asyncio.sleep(self._rng.uniform(0.0, 0.05))
 
-    async def _break(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _send_malformed_upload(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Send a part of an upload and then malformed input; record all responses to it."""
         request = self._new_request("order")
         writer.write(self._head(request, None))
@@ -150,7 +152,7 @@
             writer.write(b"%x\r\n%b\r\n" % (40_000, b"u" * 40_000))
             await writer.drain()
             await asyncio.sleep(self._rng.choice((0.0, 0.01)))
-        writer.write(self._rng.choice(BREAKS))
+        writer.write(self._rng.choice(MALFORMED_INPUTS))
         if self._rng.random() < 0.3:
             return  # leaves with a reset
         if self._rng.random() < 0.3 and writer.can_write_eof():
@@ -162,7 +164,7 @@
                     received += data
         request.sent_at_s = request.answered_at_s = self._now()
         request.statuses = [int(part[:3]) for part in received.split(b"HTTP/1.1 ")[1:]]
-        self._seen.requests.append(request)
+        self._observations.requests.append(request)
 
 
 class RestingClient(SoakClient):
--- a/mothstall/lab/wire.py
+++ b/mothstall/lab/wire.py
@@ -67,7 +67,7 @@
             yield Message(line, headers, body)
 
     @property
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has been received in part."""
         return bool(self._data)
 
@@ -106,11 +106,13 @@
     return b"served %016x\n" % number
 
 
-def answer(status: int, body: bytes = b"", load: str = "", more: str = "") -> bytes:
-    """Encodes a response of a backend or of discovery; each header in `more` ends with CRLF."""
+def answer(status: int, body: bytes = b"", load: str = "", extra_headers: str = "") -> bytes:
+    """Encodes a response of a backend or of discovery; each extra header ends with CRLF."""
     if load:
-        more += f"X-Pressure: {load}\r\n"
-    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
+        extra_headers += f"X-Pressure: {load}\r\n"
+    return (
+        f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n".encode() + body
+    )
 
 
 def load_text(names: tuple[str, ...], values: tuple[float, ...]) -> str:
