--- a/mothstall/lab/scale/faults.py
+++ b/mothstall/lab/scale/faults.py
@@ -200,7 +200,7 @@
     """Nothing goes between the region that is cut off and the keepers, until it does again."""
     for (sender, _), link in mesh.links.items():
         if sender == FAR:
-            link.there.held = link.back.held = on
+            link.forward.is_paused = link.backward.is_paused = on
 
 
 async def links_to(keepers: Keepers, mesh: Mesh) -> list[dict[str, Any]]:
